--- a/core/query/admit.go
+++ b/core/query/admit.go
@@ -7,13 +7,13 @@
 	"endivehitch/core/value"
 )
 
-// Admitted is what the later steps need to know of an admitted request.
+// Admitted holds the client account and the kind of an admitted request, for the later steps.
 type Admitted struct {
 	Account value.ClientAccount
 	Kind    value.Kind
 }
 
-// Admit checks that the request may be served at all; the error is a value.Refusal with NotRun set.
+// Admit checks whether the request may be served; the error is a value.Refusal with NotRun set.
 func Admit(s state.State, r value.Request, now time.Time) (Admitted, error) {
 	if s.Leaving {
 		return Admitted{}, refuse(value.ReasonLeaving, "instance is shutting down")
@@ -38,14 +38,15 @@
 	return Admitted{Account: account, Kind: kind}, nil
 }
 
-// Within checks the client account's bound on concurrent requests at one instance; the error is a value.Refusal with NotRun set.
+// Within checks the client account's limit on concurrent requests at one instance; the error is a
+// value.Refusal with NotRun set.
 func Within(a value.ClientAccount, inFlight int) error {
 	if a.MaxInFlight > 0 && inFlight >= a.MaxInFlight {
-		return busy(value.ReasonOverloaded, "client account has its most concurrent requests", 0)
+		return refuseWithRetryAfter(value.ReasonOverloaded, "client account has its most concurrent requests", 0)
 	}
 	return nil
 }
 
-func refuse(why value.Reason, detail string) value.Refusal {
-	return value.Refusal{Reason: why, NotRun: true, Detail: detail}
+func refuse(reason value.Reason, detail string) value.Refusal {
+	return value.Refusal{Reason: reason, NotRun: true, Detail: detail}
 }
--- a/core/query/audit.go
+++ b/core/query/audit.go
@@ -8,61 +8,61 @@
 	"endivehitch/core/value"
 )
 
-// Audit is the reconciliation of kept bills with the requests that were answered.
+// Audit is the result of reconciling the stored bills with the requests that were answered.
 type Audit struct {
-	// Charges holds one bill for each request, by request.
+	// Charges holds the bill that each request is charged by, in the order of request identifiers.
 	Charges []value.Bill
 	// Missing lists answered requests without a bill.
 	Missing []value.RequestID
-	// Doubled lists requests with more than one kept bill, of which the first is charged.
+	// Doubled lists requests with more than one stored bill; only the earliest is charged.
 	Doubled []value.RequestID
-	// Unknown lists requests that have a bill and no answer.
+	// Unknown lists requests that have a bill but were not answered.
 	Unknown []value.RequestID
 }
 
-// Clean reports whether every answered request has its charge and nobody else has one.
+// Clean reports whether every answered request has exactly one bill and no other request has any.
 func (a Audit) Clean() bool {
 	return len(a.Missing) == 0 && len(a.Doubled) == 0 && len(a.Unknown) == 0
 }
 
-// Reconcile charges each request once, however often and wherever its bill was kept: the earliest
-// bill counts, and among equal ones that of the lowest owner and sequence.
+// Reconcile charges each request once, even if several instances stored its bill: the earliest bill
+// counts, and of bills with the same time the one with the lowest owner and sequence number.
 func Reconcile(segments []ledger.Segment, answered []value.RequestID) Audit {
-	kept := make(map[value.RequestID][]placed)
+	stored := make(map[value.RequestID][]ownedEntry)
 	for _, s := range segments {
 		for _, e := range s.Entries {
-			kept[e.Bill.Request] = append(kept[e.Bill.Request], placed{owner: s.Owner, entry: e})
+			stored[e.Bill.Request] = append(stored[e.Bill.Request], ownedEntry{owner: s.Owner, entry: e})
 		}
 	}
-	var a Audit
-	for id, list := range kept {
-		a.Charges = append(a.Charges, slices.MinFunc(list, comparePlaced).entry.Bill)
-		if len(list) > 1 {
-			a.Doubled = append(a.Doubled, id)
+	var audit Audit
+	for id, copies := range stored {
+		audit.Charges = append(audit.Charges, slices.MinFunc(copies, compareOwnedEntries).entry.Bill)
+		if len(copies) > 1 {
+			audit.Doubled = append(audit.Doubled, id)
 		}
 	}
-	known := make(map[value.RequestID]bool, len(answered))
+	answeredSet := make(map[value.RequestID]bool, len(answered))
 	for _, id := range answered {
-		if _, ok := kept[id]; !ok && !known[id] {
-			a.Missing = append(a.Missing, id)
+		if _, ok := stored[id]; !ok && !answeredSet[id] {
+			audit.Missing = append(audit.Missing, id)
 		}
-		known[id] = true
+		answeredSet[id] = true
 	}
-	for id := range kept {
-		if !known[id] {
-			a.Unknown = append(a.Unknown, id)
+	for id := range stored {
+		if !answeredSet[id] {
+			audit.Unknown = append(audit.Unknown, id)
 		}
 	}
-	return a.ordered()
+	return audit.sorted()
 }
 
-// placed is an entry with the owner whose sequence it stands in.
-type placed struct {
+// ownedEntry is a ledger entry with the instance whose sequence it belongs to.
+type ownedEntry struct {
 	owner value.InstanceID
 	entry ledger.Entry
 }
 
-func comparePlaced(x, y placed) int {
+func compareOwnedEntries(x, y ownedEntry) int {
 	return cmp.Or(
 		x.entry.Bill.At.Compare(y.entry.Bill.At),
 		cmp.Compare(x.owner, y.owner),
@@ -70,7 +70,7 @@
 	)
 }
 
-func (a Audit) ordered() Audit {
+func (a Audit) sorted() Audit {
 	slices.SortFunc(a.Charges, func(x, y value.Bill) int { return cmp.Compare(x.Request, y.Request) })
 	slices.Sort(a.Missing)
 	slices.Sort(a.Doubled)
--- a/core/query/cost_measure_test.go
+++ b/core/query/cost_measure_test.go
@@ -12,26 +12,28 @@
 	"endivehitch/core/value"
 )
 
+// Conditions of the simulation. The rates are the shares of good and of bad answers that get rated;
+// no ratings arrive between outageStart and outageEnd.
 const (
-	goodRate    = 0.05
-	badRate     = 0.2
-	ratingDelay = 30 * time.Minute
-	costSpan    = 48 * time.Hour
-	awayFrom    = 20 * time.Hour
-	awayUntil   = 26 * time.Hour
-	costSeeds   = 8
-	turns       = 4
+	goodRatingRate  = 0.05
+	badRatingRate   = 0.2
+	ratingDelay     = 30 * time.Minute
+	simulatedTime   = 48 * time.Hour
+	outageStart     = 20 * time.Hour
+	outageEnd       = 26 * time.Hour
+	costSeeds       = 8
+	turnsPerSession = 4
 )
 
-// town is one deployment as the measurement plays it.
-type town struct {
-	name     string
-	requests int
-	document value.Document
-	truth    map[value.KindName]map[value.VersionKey]float64
+// deployment is a simulated deployment with the true quality of each version for each kind.
+type deployment struct {
+	name        string
+	requests    int
+	document    value.Document
+	trueQuality map[value.KindName]map[value.VersionKey]float64
 }
 
-func townOf(name string, requests int, targets []float64, seed uint64) town {
+func newDeployment(name string, requests int, targets []float64, seed uint64) deployment {
 	rnd := rand.New(rand.NewPCG(seed, uint64(requests)))
 	judge := value.Judge{CostMicros: 100, Latency: time.Second, AcceptGood: 0.93, AcceptBad: 0.1}
 	versions := []value.Version{
@@ -42,83 +44,84 @@
 	}
 	d := value.Document{Name: name, Models: []value.Model{{Name: "llm", Versions: versions}}}
 	account := value.ClientAccount{Name: "all"}
-	truth := make(map[value.KindName]map[value.VersionKey]float64)
+	trueQuality := make(map[value.KindName]map[value.VersionKey]float64)
 	for i, target := range targets {
 		k := value.KindName(fmt.Sprint("kind-", i))
 		d.Kinds = append(d.Kinds, value.Kind{Name: k, Model: "llm", QualityTarget: target, Idempotent: true, MaxTokens: 500, Judge: judge})
 		account.Kinds = append(account.Kinds, k)
-		truth[k] = make(map[value.VersionKey]float64)
+		trueQuality[k] = make(map[value.VersionKey]float64)
 		for _, v := range versions {
-			// Answers are not as good as stated: the weaker the version, the further off.
+			// The true quality differs from the stated one, the more so the weaker the version is.
 			q := v.Quality + (1-v.Quality)*0.25*rnd.NormFloat64()
-			truth[k][d.Models[0].Key(v.Name)] = min(max(q, 0), 0.99)
+			trueQuality[k][d.Models[0].Key(v.Name)] = min(max(q, 0), 0.99)
 		}
 	}
 	for _, v := range versions {
 		account.Versions = append(account.Versions, d.Models[0].Key(v.Name))
 	}
 	d.ClientAccounts = []value.ClientAccount{account}
-	return town{name: name, requests: requests, document: d, truth: truth}
+	return deployment{name: name, requests: requests, document: d, trueQuality: trueQuality}
 }
 
-// spent is what a way of choosing costs, and how good its answers truly are.
-type spent struct {
-	micros  float64
-	quality map[value.KindName]float64
-	count   map[value.KindName]int
-	below   int
-	// explored counts the answers that were given for the sake of ratings by a version truly below target.
-	explored int
-	total    int
-	// settled is the cost of the second half.
-	settled float64
+// policyResult accumulates the expected cost and the true quality of the answers of one way of
+// choosing.
+type policyResult struct {
+	micros      float64
+	quality     map[value.KindName]float64
+	count       map[value.KindName]int
+	belowTarget int
+	// exploredBelowTarget counts the answers below the target that exploration caused.
+	exploredBelowTarget int
+	total               int
+	// secondHalfMicros is the cost of the second half of the requests.
+	secondHalfMicros float64
 }
 
-func (s *spent) add(w town, k value.Kind, versions []value.VersionKey, explored bool) {
-	micros, quality := w.price(k, versions)
+func (s *policyResult) add(d deployment, k value.Kind, versions []value.VersionKey, explored bool) {
+	micros, quality := d.costAndQuality(k, versions)
 	if s.quality == nil {
 		s.quality, s.count = make(map[value.KindName]float64), make(map[value.KindName]int)
 	}
 	s.micros += micros
-	if s.total >= w.requests/2 {
-		s.settled += micros
+	if s.total >= d.requests/2 {
+		s.secondHalfMicros += micros
 	}
 	s.quality[k.Name] += quality
 	s.count[k.Name]++
 	s.total++
-	if quality >= k.QualityTarget || !w.reachable(k) {
+	if quality >= k.QualityTarget || !d.reachable(k) {
 		return
 	}
 	if explored {
-		s.explored++
+		s.exploredBelowTarget++
 	} else {
-		s.below++
+		s.belowTarget++
 	}
 }
 
 // deficit returns how far the worst kind's mean quality lies below its target.
-func (s *spent) deficit(w town) float64 {
+func (s *policyResult) deficit(d deployment) float64 {
 	worst := 0.0
-	for _, k := range w.document.Kinds {
-		if w.reachable(k) {
+	for _, k := range d.document.Kinds {
+		if d.reachable(k) {
 			worst = max(worst, k.QualityTarget-s.quality[k.Name]/float64(s.count[k.Name]))
 		}
 	}
 	return worst
 }
 
-// price returns the true expected cost and quality of a plan.
-func (w town) price(k value.Kind, versions []value.VersionKey) (float64, float64) {
-	first, q := w.cost(k, versions[0]), w.truth[k.Name][versions[0]]
+// costAndQuality returns the expected cost and quality of a plan by the true qualities.
+func (d deployment) costAndQuality(k value.Kind, versions []value.VersionKey) (float64, float64) {
+	first, firstQuality := d.cost(k, versions[0]), d.trueQuality[k.Name][versions[0]]
 	if len(versions) == 1 {
-		return first, q
+		return first, firstQuality
 	}
-	second, q2 := w.cost(k, versions[1]), w.truth[k.Name][versions[1]]
-	return first + float64(k.Judge.CostMicros) + (1-k.Judge.Accepts(q))*second, k.Judge.Quality(q, q2)
+	second, secondQuality := d.cost(k, versions[1]), d.trueQuality[k.Name][versions[1]]
+	return first + float64(k.Judge.CostMicros) + (1-k.Judge.Accepts(firstQuality))*second, k.Judge.Quality(firstQuality, secondQuality)
 }
 
-func (w town) cost(k value.Kind, v value.VersionKey) float64 {
-	for _, version := range w.document.Models[0].Versions {
+func (d deployment) cost(k value.Kind, v value.VersionKey) float64 {
+	for _, version := range d.document.Models[0].Versions {
 		if version.Name == v.Version() {
 			return float64(version.Cost(k.MaxTokens, k.MaxTokens))
 		}
@@ -126,38 +129,39 @@
 	return 0
 }
 
-func (w town) reachable(k value.Kind) bool {
-	return w.truth[k.Name]["llm/large"] >= k.QualityTarget
+func (d deployment) reachable(k value.Kind) bool {
+	return d.trueQuality[k.Name]["llm/large"] >= k.QualityTarget
 }
 
-// cheapest returns the cheapest plan that meets the target by the given qualities, or the best single version.
-func (w town) cheapest(k value.Kind, quality func(value.VersionKey) float64, cascades bool) []value.VersionKey {
+// cheapest returns the cheapest plan that meets the target by the given qualities, or the large
+// version if none does.
+func (d deployment) cheapest(k value.Kind, quality func(value.VersionKey) float64, cascades bool) []value.VersionKey {
 	var plans [][]value.VersionKey
-	for _, a := range w.document.ClientAccounts[0].Versions {
-		plans = append(plans, []value.VersionKey{a})
-		for _, b := range w.document.ClientAccounts[0].Versions {
-			if cascades && a != b {
-				plans = append(plans, []value.VersionKey{a, b})
+	for _, first := range d.document.ClientAccounts[0].Versions {
+		plans = append(plans, []value.VersionKey{first})
+		for _, second := range d.document.ClientAccounts[0].Versions {
+			if cascades && first != second {
+				plans = append(plans, []value.VersionKey{first, second})
 			}
 		}
 	}
 	best := []value.VersionKey{"llm/large"}
-	low, found := 0.0, false
+	lowest, found := 0.0, false
 	for _, p := range plans {
-		micros, _ := w.price(k, p)
+		micros, _ := d.costAndQuality(k, p)
 		q := quality(p[0])
 		if len(p) > 1 {
 			q = k.Judge.Quality(q, quality(p[1]))
 		}
-		if q >= k.QualityTarget && (!found || micros < low) {
-			best, low, found = p, micros, true
+		if q >= k.QualityTarget && (!found || micros < lowest) {
+			best, lowest, found = p, micros, true
 		}
 	}
 	return best
 }
 
-func (w town) stated(v value.VersionKey) float64 {
-	for _, version := range w.document.Models[0].Versions {
+func (d deployment) statedQuality(v value.VersionKey) float64 {
+	for _, version := range d.document.Models[0].Versions {
 		if version.Name == v.Version() {
 			return version.Quality
 		}
@@ -165,50 +169,52 @@
 	return 0
 }
 
-type lateRating struct {
+// delayedRating is a rating with the time at which it arrives.
+type delayedRating struct {
 	rating value.Rating
 	due    time.Time
 }
 
-// sample rates the answer as the rating service would: bad ones more often, and of a cascade's
-// first answers only those that the judge let through.
-func sample(rnd *rand.Rand, w town, k value.Kind, versions []value.VersionKey) (value.Rating, bool) {
-	v, rates := versions[0], [2]float64{badRate, goodRate}
+// sampleRating simulates the rating service, which rates bad answers more often than good ones. Of
+// a cascade's first answers it rates only those that the judge accepted.
+func sampleRating(rnd *rand.Rand, d deployment, k value.Kind, versions []value.VersionKey) (value.Rating, bool) {
+	v, rates := versions[0], [2]float64{badRatingRate, goodRatingRate}
 	if len(versions) > 1 {
-		if rnd.Float64() >= k.Judge.Accepts(w.truth[k.Name][v]) {
+		if rnd.Float64() >= k.Judge.Accepts(d.trueQuality[k.Name][v]) {
 			v = versions[1]
 		} else {
-			good := w.truth[k.Name][v] * k.Judge.AcceptGood / k.Judge.Accepts(w.truth[k.Name][v])
-			return drawn(rnd, k, v, good, [2]float64{badRate, goodRate}, [2]float64{k.Judge.AcceptBad, k.Judge.AcceptGood})
+			good := d.trueQuality[k.Name][v] * k.Judge.AcceptGood / k.Judge.Accepts(d.trueQuality[k.Name][v])
+			return drawRating(rnd, k, v, good, [2]float64{badRatingRate, goodRatingRate}, [2]float64{k.Judge.AcceptBad, k.Judge.AcceptGood})
 		}
 	}
-	return drawn(rnd, k, v, w.truth[k.Name][v], rates, [2]float64{1, 1})
+	return drawRating(rnd, k, v, d.trueQuality[k.Name][v], rates, [2]float64{1, 1})
 }
 
-func drawn(rnd *rand.Rand, k value.Kind, v value.VersionKey, good float64, rates, passed [2]float64) (value.Rating, bool) {
-	side := 0
+func drawRating(rnd *rand.Rand, k value.Kind, v value.VersionKey, good float64, rates, passRates [2]float64) (value.Rating, bool) {
+	index := 0
 	if rnd.Float64() < good {
-		side = 1
+		index = 1
 	}
-	if rnd.Float64() >= rates[side] {
+	if rnd.Float64() >= rates[index] {
 		return value.Rating{}, false
 	}
-	return value.Rating{Kind: k.Name, Version: v, Accepted: side == 1, Rate: rates[side] * passed[side]}, true
+	return value.Rating{Kind: k.Name, Version: v, Accepted: index == 1, Rate: rates[index] * passRates[index]}, true
 }
 
-// play serves the town's requests by the plan query and by the baselines.
-func (w town) play(seed uint64) (own, always, prior, oracle spent) {
+// simulate plans the deployment's requests with query.Choose and, for comparison, always with the
+// best version, by the stated qualities, and with an oracle that knows the true qualities.
+func (d deployment) simulate(seed uint64) (chosen, always, prior, oracle policyResult) {
 	rnd := rand.New(rand.NewPCG(seed, 77))
-	s, _ := cmds.InstallConfig{Accepted: value.Accepted{Document: w.document, Revision: 1}}.Apply(state.New(value.Instance{ID: "a"}), start)
-	var late []lateRating
+	s, _ := cmds.InstallConfig{Accepted: value.Accepted{Document: d.document, Revision: 1}}.Apply(state.New(value.Instance{ID: "a"}), start)
+	var pending []delayedRating
 	pins := make(map[value.SessionID]value.VersionKey)
-	for i := range w.requests {
-		now := start.Add(costSpan / time.Duration(w.requests) * time.Duration(i))
-		s, late = w.hear(s, late, now)
-		k := w.document.Kinds[rnd.IntN(len(w.document.Kinds))]
+	for i := range d.requests {
+		now := start.Add(simulatedTime / time.Duration(d.requests) * time.Duration(i))
+		s, pending = d.deliverRatings(s, pending, now)
+		k := d.document.Kinds[rnd.IntN(len(d.document.Kinds))]
 		r := value.Request{ID: value.RequestID(fmt.Sprint(i)), Account: "all", Kind: k.Name, Deadline: now.Add(time.Minute), InputTokens: k.MaxTokens, MaxTokens: k.MaxTokens}
 		if i%2 == 0 {
-			r.Session = value.SessionID(fmt.Sprint(k.Name, i/2%100, "-", i/(turns*200)))
+			r.Session = value.SessionID(fmt.Sprint(k.Name, i/2%100, "-", i/(turnsPerSession*200)))
 			r.Pinned = pins[r.Session]
 		}
 		a, _ := query.Admit(s, r, now)
@@ -219,69 +225,74 @@
 		if r.Session != "" {
 			pins[r.Session] = p.Last()
 		}
-		own.add(w, k, p.Versions, p.Reason == value.ReasonExplore)
-		always.add(w, k, []value.VersionKey{"llm/large"}, false)
-		prior.add(w, k, w.cheapest(k, w.stated, false), false)
-		oracle.add(w, k, w.cheapest(k, func(v value.VersionKey) float64 { return w.truth[k.Name][v] }, r.Session == ""), false)
-		if rating, ok := sample(rnd, w, k, p.Versions); ok {
+		chosen.add(d, k, p.Versions, p.Reason == value.ReasonExplore)
+		always.add(d, k, []value.VersionKey{"llm/large"}, false)
+		prior.add(d, k, d.cheapest(k, d.statedQuality, false), false)
+		oracle.add(d, k, d.cheapest(k, func(v value.VersionKey) float64 { return d.trueQuality[k.Name][v] }, r.Session == ""), false)
+		if rating, ok := sampleRating(rnd, d, k, p.Versions); ok {
 			rating.At = now
-			late = append(late, lateRating{rating: rating, due: now.Add(ratingDelay)})
+			pending = append(pending, delayedRating{rating: rating, due: now.Add(ratingDelay)})
 		}
 	}
-	return own, always, prior, oracle
+	return chosen, always, prior, oracle
 }
 
-// hear hands over the ratings that have arrived; none do while the rating service is away.
-func (w town) hear(s state.State, late []lateRating, now time.Time) (state.State, []lateRating) {
-	if since := now.Sub(start); since > awayFrom && since < awayUntil {
-		return s, late
+// deliverRatings applies the ratings that are due, except during the rating service's outage.
+func (d deployment) deliverRatings(s state.State, pending []delayedRating, now time.Time) (state.State, []delayedRating) {
+	if since := now.Sub(start); since > outageStart && since < outageEnd {
+		return s, pending
 	}
 	var due []value.Rating
-	for len(late) > 0 && !late[0].due.After(now) {
-		due = append(due, late[0].rating)
-		late = late[1:]
+	for len(pending) > 0 && !pending[0].due.After(now) {
+		due = append(due, pending[0].rating)
+		pending = pending[1:]
 	}
 	if len(due) > 0 {
 		s, _ = cmds.ObserveRatings{Ratings: due}.Apply(s, now)
 	}
-	return s, late
+	return s, pending
 }
 
-// BenchmarkMeasureCost reports what answers cost at the quality target, against always the best
-// version, the cheapest by its stated quality, and an oracle that knows the true qualities.
+// BenchmarkMeasureCost reports the cost of answers that meet the quality target, relative to always
+// using the best version, to the cheapest version by stated quality, and to an oracle that knows
+// the true qualities.
 func BenchmarkMeasureCost(b *testing.B) {
-	towns := map[string]func(seed uint64) town{
-		"vadodara": func(seed uint64) town { return townOf("vadodara", 40000, []float64{0.8, 0.85, 0.95}, seed) },
-		"portvagt": func(seed uint64) town { return townOf("portvagt", 80000, []float64{0.8, 0.9, 0.95, 0.7}, seed) },
+	deployments := map[string]func(seed uint64) deployment{
+		"vadodara": func(seed uint64) deployment {
+			return newDeployment("vadodara", 40000, []float64{0.8, 0.85, 0.95}, seed)
+		},
+		"portvagt": func(seed uint64) deployment {
+			return newDeployment("portvagt", 80000, []float64{0.8, 0.9, 0.95, 0.7}, seed)
+		},
 	}
 	for _, name := range []string{"vadodara", "portvagt"} {
 		b.Run(name, func(b *testing.B) {
 			for range b.N {
-				var late, lateIdeal float64
-				var micros, best, stated, ideal, below, explored, lost, lostByPrior float64
+				var secondDay, secondDayOracle float64
+				var micros, alwaysBest, priorOnly, oracleMicros, below, explored, deficit, priorDeficit float64
 				for seed := range uint64(costSeeds) {
-					w := towns[name](seed)
-					own, always, prior, oracle := w.play(seed)
-					micros += own.micros
-					best += always.micros
-					stated += prior.micros
-					ideal += oracle.micros
-					late += own.settled
-					lateIdeal += oracle.settled
-					below += float64(own.below) / float64(own.total) / costSeeds
-					explored += float64(own.explored) / float64(own.total) / costSeeds
-					lost = max(lost, own.deficit(w))
-					lostByPrior = max(lostByPrior, prior.deficit(w))
+					d := deployments[name](seed)
+					chosen, always, prior, oracle := d.simulate(seed)
+					micros += chosen.micros
+					alwaysBest += always.micros
+					priorOnly += prior.micros
+					oracleMicros += oracle.micros
+					secondDay += chosen.secondHalfMicros
+					secondDayOracle += oracle.secondHalfMicros
+					below += float64(chosen.belowTarget) / float64(chosen.total) / costSeeds
+					explored += float64(chosen.exploredBelowTarget) / float64(chosen.total) / costSeeds
+					deficit = max(deficit, chosen.deficit(d))
+					priorDeficit = max(priorDeficit, prior.deficit(d))
 				}
 				b.ReportMetric(0, "ns/op")
-				b.ReportMetric(micros/ideal, "cost/oracle")
-				b.ReportMetric(late/lateIdeal, "second-day-cost/oracle")
-				b.ReportMetric(micros/best, "cost/always-best")
-				b.ReportMetric(micros/stated, "cost/prior-only")
+				b.ReportMetric(micros/oracleMicros, "cost/oracle")
+				b.ReportMetric(secondDay/secondDayOracle, "second-day-cost/oracle")
+				b.ReportMetric(micros/alwaysBest, "cost/always-best")
+				b.ReportMetric(micros/priorOnly, "cost/prior-only")
 				b.ReportMetric(below, "share-below-target")
 				b.ReportMetric(explored, "share-below-target-explored")
-				b.ReportMetric(lost, "worst-deficit")
-				b.ReportMetric(lostByPrior, "worst-deficit-prior-only")
+				b.ReportMetric(deficit, "worst-deficit")
+				b.ReportMetric(priorDeficit, "worst-deficit-prior-only")
 			}
 		})
 	}
--- a/core/query/duty.go
+++ b/core/query/duty.go
@@ -9,14 +9,17 @@
 )
 
 const (
-	// dutyCandidates is how many instances contend for a duty, which bounds the calls of the key-value service.
+	// dutyCandidates is how many instances contend for a duty's lease, which bounds the calls to
+	// the key-value service.
 	dutyCandidates = 3
-	// DutyRotation is how long the candidates stay the same: should none of them reach the
-	// service, others try next.
+	// DutyRotation is how long the candidates stay the same. If none of them can reach the
+	// key-value service, other instances become candidates after this time.
 	DutyRotation = 5 * time.Minute
 )
 
 // MayServe reports whether the instance is one of the few that contend for the duty at present.
+//
+// A duty is a singleton task of the fleet, run by the instance that holds its lease.
 func MayServe(s state.State, duty string, now time.Time) bool {
 	if s.Leaving {
 		return false
--- a/core/query/eject.go
+++ b/core/query/eject.go
@@ -10,32 +10,43 @@
 	"endivehitch/core/value"
 )
 
+// Rules of outlier ejection.
 const (
+	// failuresToEject is the number of consecutive failures after which a server is ejected.
 	failuresToEject = 5
-	slowFactor      = 3.0
-	samplesToEject  = 3
-	peersCompared   = 24
-	firstEjection   = 10 * time.Second
-	longestEjection = 5 * time.Minute
+	// slowFactor is how many times the peers' median time to first token counts as slow.
+	slowFactor = 3.0
+	// minSamplesToEject is the sample weight needed before a server's first ejection for slowness.
+	minSamplesToEject = 3
+	// maxPeersSampled bounds the peers that a server is compared with.
+	maxPeersSampled = 24
+	// The duration of an ejection starts at baseEjection and doubles up to maxEjection.
+	baseEjection = 10 * time.Second
+	maxEjection  = 5 * time.Minute
 )
 
-// Eject returns until when the server should get no new work; it is zero where the server should stay in.
+// Eject returns when the ejection that the server is due for ends, or zero if it is not to be
+// ejected.
+//
+// Consecutive failures or a long time to first token cause an ejection. Each further one without a
+// recovery in between lasts twice as long as the last, up to a limit.
 func Eject(s state.State, b value.BackendServer, loads Loads, rnd policy.Rand, now time.Time) time.Time {
 	l := loads(b.ID)
 	if l.Ejected.After(now) || !isOutlier(s, b, l, loads, rnd) || !mayEject(s, b.Pool, loads, now) {
 		return time.Time{}
 	}
-	return now.Add(min(longestEjection, firstEjection<<min(l.Ejections, 6)))
+	return now.Add(min(maxEjection, baseEjection<<min(l.Ejections, 6)))
 }
 
-// IsSlow reports whether the observed time to the first piece is far above that of the server's peers.
+// IsSlow reports whether the server's mean time to first token is more than slowFactor times the
+// median of its peers.
 func IsSlow(s state.State, b value.BackendServer, loads Loads, rnd policy.Rand) bool {
 	l := loads(b.ID)
-	normal := typicalFirst(s.Members(b.Pool), b.ID, loads, rnd)
-	return normal > 0 && float64(l.FirstToken.Mean) > slowFactor*float64(normal)
+	typical := medianFirstToken(s.Members(b.Pool), b.ID, loads, rnd)
+	return typical > 0 && float64(l.FirstToken.Mean) > slowFactor*float64(typical)
 }
 
-// HasRecovered reports whether a server that was ejected answers normally again.
+// HasRecovered reports whether an ejection has ended and the server answers normally again.
 func HasRecovered(s state.State, b value.BackendServer, loads Loads, rnd policy.Rand, now time.Time) bool {
 	l := loads(b.ID)
 	return l.Ejections > 0 && !l.Ejected.After(now) && l.Failures == 0 && !IsSlow(s, b, loads, rnd)
@@ -45,34 +56,36 @@
 	if l.Failures >= failuresToEject {
 		return true
 	}
-	if l.Ejections == 0 && l.FirstToken.Weight < samplesToEject {
+	if l.Ejections == 0 && l.FirstToken.Weight < minSamplesToEject {
 		return false
 	}
 	return IsSlow(s, b, loads, rnd)
 }
 
-// typicalFirst is the median of a few peers, so that its cost doesn't grow with the pool.
-func typicalFirst(members []value.BackendServer, self value.ServerID, loads Loads, rnd policy.Rand) time.Duration {
+// medianFirstToken returns the median time to first token of a bounded number of peers, so that its
+// cost does not grow with the pool; zero means that none is known.
+func medianFirstToken(members []value.BackendServer, self value.ServerID, loads Loads, rnd policy.Rand) time.Duration {
 	if len(members) == 0 {
 		return 0
 	}
-	var seen []time.Duration
+	var samples []time.Duration
 	start := rnd.IntN(len(members))
-	for i := range min(peersCompared, len(members)) {
+	for i := range min(maxPeersSampled, len(members)) {
 		b := members[(start+i)%len(members)]
-		first := loads(b.ID).FirstToken
-		if b.ID != self && first.Weight > 0 {
-			seen = append(seen, first.Mean)
+		firstToken := loads(b.ID).FirstToken
+		if b.ID != self && firstToken.Weight > 0 {
+			samples = append(samples, firstToken.Mean)
 		}
 	}
-	if len(seen) == 0 {
+	if len(samples) == 0 {
 		return 0
 	}
-	slices.SortFunc(seen, cmp.Compare)
-	return seen[len(seen)/2]
+	slices.SortFunc(samples, cmp.Compare)
+	return samples[len(samples)/2]
 }
 
-// mayEject keeps the pool's least share of healthy servers in.
+// mayEject reports whether the pool keeps its minimum share of healthy servers if one more is
+// ejected.
 func mayEject(s state.State, p value.PoolName, loads Loads, now time.Time) bool {
 	pool, _ := s.Pool(p)
 	members := s.Members(p)
--- a/core/query/explain.go
+++ b/core/query/explain.go
@@ -9,18 +9,19 @@
 	"endivehitch/core/value"
 )
 
-// Explanation says in plain words what became of a request.
+// Explanation describes for an operator how a request was handled.
 type Explanation struct {
 	Request value.RequestID
-	// Lines tells the decisions in order, with what else was considered.
+	// Lines describes the decisions in order, each plan with the versions that were not chosen.
 	Lines []string
-	// CostMicros is the charge in micro-units of currency; zero where there was none.
+	// CostMicros is the charge in micro-units of currency; zero if there was none.
 	CostMicros int64
 	// Billed is set once the request was charged.
 	Billed bool
 }
 
-// Explain tells the request's decisions, the first one first; the error is value.ChangeRefused where there are none.
+// Explain describes the request's decisions, which are given in the order of time; without any the
+// error is a value.ChangeRefused.
 func Explain(s state.State, id value.RequestID, decisions []value.Decision) (Explanation, error) {
 	if len(decisions) == 0 {
 		return Explanation{}, value.ChangeRefused{
@@ -28,26 +29,26 @@
 			Detail: fmt.Sprintf("instance %s keeps no decision about request %s: it may have been served elsewhere or too long ago", s.Self.ID, id),
 		}
 	}
-	x := Explanation{Request: id}
+	explanation := Explanation{Request: id}
 	first := decisions[0]
-	x.Lines = append(x.Lines, fmt.Sprintf("Client account %s asked for %s.", first.Account, first.Kind))
+	explanation.Lines = append(explanation.Lines, fmt.Sprintf("Client account %s asked for %s.", first.Account, first.Kind))
 	for _, d := range decisions {
-		after := d.At.Sub(first.At).Round(time.Microsecond)
-		x.Lines = append(x.Lines, fmt.Sprintf("%v: %s", after, tell(d)))
+		elapsed := d.At.Sub(first.At).Round(time.Microsecond)
+		explanation.Lines = append(explanation.Lines, fmt.Sprintf("%v: %s", elapsed, describe(d)))
 		if d.Step == value.StepPlan {
-			x.Lines = append(x.Lines, others(s, d)...)
+			explanation.Lines = append(explanation.Lines, alternatives(s, d)...)
 		}
 		if d.Step == value.StepBill {
-			x.CostMicros += d.CostMicros
-			x.Billed = true
+			explanation.CostMicros += d.CostMicros
+			explanation.Billed = true
 		}
 	}
-	return x, nil
+	return explanation, nil
 }
 
-func tell(d value.Decision) string {
+func describe(d value.Decision) string {
 	var b strings.Builder
-	b.WriteString(otherwise(stepWords, d.Step, ""))
+	b.WriteString(textOf(stepTexts, d.Step, ""))
 	switch {
 	case d.Server != "" && d.Version != "":
 		fmt.Fprintf(&b, ": version %s at backend server %s", d.Version, d.Server)
@@ -59,16 +60,17 @@
 	if d.Candidates > 1 {
 		fmt.Fprintf(&b, ", out of %d", d.Candidates)
 	}
-	fmt.Fprintf(&b, ", because %s", otherwise(reasonWords, d.Reason, "of this: "))
+	fmt.Fprintf(&b, ", because %s", textOf(reasonTexts, d.Reason, "of this: "))
 	if d.Detail != "" {
 		fmt.Fprintf(&b, " (%s)", d.Detail)
 	}
-	b.WriteString(price(d))
+	b.WriteString(describeCost(d))
 	return b.String() + "."
 }
 
-// price tells an expected cost from a charge.
-func price(d value.Decision) string {
+// describeCost states the decision's cost as a charge, as spending so far or as an estimate, by its
+// step.
+func describeCost(d value.Decision) string {
 	if d.CostMicros == 0 {
 		return ""
 	}
@@ -81,8 +83,9 @@
 	return fmt.Sprintf("; it was expected to cost %d micro-units at most", d.CostMicros)
 }
 
-// others says why the account's other versions of the model were not chosen, by what is known now.
-func others(s state.State, d value.Decision) []string {
+// alternatives says for each other version of the model that the account may use why it was not
+// chosen. It judges by the present state, which may differ from that at the time of the decision.
+func alternatives(s state.State, d value.Decision) []string {
 	account, _ := s.Account(d.Account)
 	kind, _ := s.Kind(d.Kind)
 	menu, _ := s.Menu(d.Kind)
@@ -91,31 +94,31 @@
 		if key == d.Version || key.Model() != kind.Model {
 			continue
 		}
-		lines = append(lines, fmt.Sprintf("    also considered: %s, %s", key, whyNot(menu, key, d, kind)))
+		lines = append(lines, fmt.Sprintf("    also considered: %s, %s", key, reasonNotChosen(menu, key, d, kind)))
 	}
 	return lines
 }
 
-// compared is the prompt's and the answer's length in tokens at which prices are compared for a reader.
-const compared = 1000
+// comparedTokens is the length in tokens, of prompt and answer each, at which prices are compared.
+const comparedTokens = 1000
 
-func whyNot(m state.Menu, key value.VersionKey, d value.Decision, k value.Kind) string {
-	i := m.Find(key)
+func reasonNotChosen(menu state.Menu, key value.VersionKey, d value.Decision, kind value.Kind) string {
+	i := menu.Find(key)
 	if i < 0 {
 		return "which is withdrawn"
 	}
-	o := &m.Offers[i]
+	o := &menu.Offers[i]
 	lower := o.Bound(d.At).Lower
 	switch {
 	case o.Held:
 		return "which gets new sessions through its roll-out only"
-	case lower < k.QualityTarget:
-		return fmt.Sprintf("whose quality is certain to be %.3g only, below the target %.3g", lower, k.QualityTarget)
+	case lower < kind.QualityTarget:
+		return fmt.Sprintf("whose quality is certain to be %.3g only, below the target %.3g", lower, kind.QualityTarget)
 	}
-	if j := m.Find(d.Version); j >= 0 {
-		mine, other := m.Offers[j].Version.Cost(compared, compared), o.Version.Cost(compared, compared)
-		if other > mine {
-			return fmt.Sprintf("which costs %.1f times as much", float64(other)/float64(max(mine, 1)))
+	if j := menu.Find(d.Version); j >= 0 {
+		chosenCost, otherCost := menu.Offers[j].Version.Cost(comparedTokens, comparedTokens), o.Version.Cost(comparedTokens, comparedTokens)
+		if otherCost > chosenCost {
+			return fmt.Sprintf("which costs %.1f times as much", float64(otherCost)/float64(max(chosenCost, 1)))
 		}
 	}
 	return "which would have served as well by what is known now"
--- a/core/query/explain_test.go
+++ b/core/query/explain_test.go
@@ -15,7 +15,7 @@
 	"endivehitch/core/value"
 )
 
-func TestExplainTellsWhatWasConsideredAndWhatItCost(t *testing.T) {
+func TestExplainListsAlternativesAndCost(t *testing.T) {
 	document := value.Document{
 		ClientAccounts: []value.ClientAccount{{Name: "ward", Versions: []value.VersionKey{"m/s", "m/l", "m/x", "m/h", "m/w"}}},
 		Models: []value.Model{{Name: "m", Versions: []value.Version{
@@ -54,17 +54,17 @@
 	assert.ErrorType(t, err, value.ChangeRefused{})
 }
 
-func TestEveryReasonHasPlainWords(t *testing.T) {
-	for _, name := range constants(t, "decision.go", "refusal.go") {
+func TestEveryReasonHasAnExplanation(t *testing.T) {
+	for _, name := range reasonConstants(t, "decision.go", "refusal.go") {
 		d := value.Decision{Request: "q", Step: value.StepPlan, Reason: value.Reason(name)}
 		x, err := query.Explain(state.New(value.Instance{}), "q", []value.Decision{d})
 		assert.NilError(t, err)
-		assert.Assert(t, !strings.Contains(x.Lines[1], "because of this"), "no words for %s", name)
+		assert.Assert(t, !strings.Contains(x.Lines[1], "because of this"), "no text for reason %s", name)
 	}
 }
 
-// constants returns the texts of the constants that the files of core/value declare.
-func constants(t *testing.T, files ...string) []string {
+// reasonConstants returns the values of the Reason constants that the files of core/value declare.
+func reasonConstants(t *testing.T, files ...string) []string {
 	t.Helper()
 	var texts []string
 	for _, file := range files {
--- a/core/query/explore.go
+++ b/core/query/explore.go
@@ -7,72 +7,77 @@
 )
 
 const (
-	// exploreFloor and exploreCap bound the share of idempotent sessions, in ten thousand, that may go
-	// to a cheaper version whose bounds leave open whether it meets the target.
-	exploreFloor = 200
-	exploreCap   = 5000
-	exploreWhole = 10000
-	wholeShare   = 100
+	// minExploreShare and maxExploreShare bound the share of sessions, in basis points, that may go
+	// to a cheaper version whose quality bounds lie on both sides of the target.
+	minExploreShare = 200
+	maxExploreShare = 5000
+	// basisPoints and fullPercent are the whole, in basis points and in percent.
+	basisPoints = 10000
+	fullPercent = 100
 )
 
-// orExplore sends a bounded share of sessions to the least rated of the cheaper versions, so that it
-// gets ratings.
+// considerExploration sends a bounded share of sessions to the cheaper version with the fewest
+// ratings, so that it gets more of them.
 //
-// Beyond a small floor the share is what the plan's own quality makes up for: the lower bound of the
-// kind's answers taken together still meets the target.
-func (c *chooser) orExplore(p Plan) Plan {
+// Only idempotent kinds are explored, and only while ratings arrive. The share is at least
+// minExploreShare. It is larger if the plan's quality exceeds the target, but only so far that the
+// lower bound of the quality of all answers taken together still meets the target.
+func (c *chooser) considerExploration(p Plan) Plan {
 	if !c.kind.Idempotent || !c.menu.Rated(c.now) {
 		return p
 	}
-	draw := c.draw("explore") % exploreWhole
-	if draw >= exploreCap {
+	draw := c.sessionHash("explore") % basisPoints
+	if draw >= maxExploreShare {
 		return p
 	}
-	found := c.unproven(p)
-	if found < 0 || draw >= c.share(p.Quality, c.lower(found)) {
+	candidate := c.explorationCandidate(p)
+	if candidate < 0 || draw >= c.explorationShare(p.Quality, c.lowerBound(candidate)) {
 		return p
 	}
-	return c.alone(found, value.ReasonExplore)
+	return c.singleVersion(candidate, value.ReasonExplore)
 }
 
-// unproven returns the least rated of the cheaper versions that may meet the target, or -1.
-func (c *chooser) unproven(p Plan) int {
-	found := -1
-	var weight float64
+// explorationCandidate returns the index of the cheaper version with the fewest ratings of those
+// that may meet the target but are not known to, or -1.
+func (c *chooser) explorationCandidate(p Plan) int {
+	candidate := -1
+	var lowestWeight float64
 	for i := range c.menu.Offers {
 		if c.cost(i) >= p.CostMicros {
 			continue
 		}
-		b := c.bound(i)
+		b := c.qualityBound(i)
 		if b.Upper < c.kind.QualityTarget || b.Lower >= c.kind.QualityTarget {
 			continue
 		}
-		if (found < 0 || b.Weight < weight) && c.eligible(i) {
-			found, weight = i, b.Weight
+		if (candidate < 0 || b.Weight < lowestWeight) && c.eligible(i) {
+			candidate, lowestWeight = i, b.Weight
 		}
 	}
-	return found
+	return candidate
 }
 
-// share returns the share of sessions to explore, in ten thousand.
-func (c *chooser) share(plan, explored float64) uint64 {
-	spare := plan - c.kind.QualityTarget
-	if spare <= 0 || plan <= explored {
-		return exploreFloor
+// explorationShare returns the share of sessions to explore with, in basis points, given the lower
+// bounds of quality of the plan and of the version to explore.
+func (c *chooser) explorationShare(planQuality, exploredQuality float64) uint64 {
+	surplus := planQuality - c.kind.QualityTarget
+	if surplus <= 0 || planQuality <= exploredQuality {
+		return minExploreShare
 	}
-	return uint64(min(max(spare/(plan-explored)*exploreWhole, exploreFloor), exploreCap))
+	return uint64(min(max(surplus/(planQuality-exploredQuality)*basisPoints, minExploreShare), maxExploreShare))
 }
 
-// draw returns a number that is the same for each request of a session, at every instance.
-func (c *chooser) draw(purpose string) uint64 {
-	who := string(c.request.Session)
-	if who == "" {
-		who = string(c.request.ID)
+// sessionHash returns a number that is the same for all requests of a session at every instance,
+// and independent between purposes; a request without a session is hashed by its own identifier.
+func (c *chooser) sessionHash(purpose string) uint64 {
+	id := string(c.request.Session)
+	if id == "" {
+		id = string(c.request.ID)
 	}
-	var d xxhash.Digest
-	d.Reset()
-	_, _ = d.WriteString(purpose)
-	_, _ = d.WriteString("\x00")
-	_, _ = d.WriteString(who)
-	return d.Sum64()
+	var digest xxhash.Digest
+	digest.Reset()
+	_, _ = digest.WriteString(purpose)
+	_, _ = digest.WriteString("\x00")
+	_, _ = digest.WriteString(id)
+	return digest.Sum64()
 }
--- a/core/query/fanout.go
+++ b/core/query/fanout.go
@@ -7,19 +7,22 @@
 )
 
 const (
-	// readersSubject is what the members of a failure domain are ranked for.
-	readersSubject = "configuration readers"
-	// readerSpares is how many suspected instances are passed over for each reader.
-	readerSpares = 3
+	// readerRankingKey is the key by which rendezvous hashing ranks a failure domain's instances.
+	readerRankingKey = "configuration readers"
+	// sparesPerReader is how many further instances per reader are considered, in case some are not
+	// live.
+	sparesPerReader = 3
 )
 
-// Reads reports whether the instance is one of its failure domain's few that
-// watch the key-value service; every instance works it out from its own snapshot, without a write.
+// Reads reports whether the instance is one of the few in its failure domain that watch the
+// key-value service for configuration; every instance computes this from its own snapshot, without
+// a write.
 //
-// A suspected instance is passed over, as its place must not stay empty until it is gone.
+// Instances that are not live are skipped, so that a suspected reader is replaced before it is
+// removed.
 func Reads(s state.State, t fleet.Timing) bool {
 	readers := 0
-	for _, id := range s.Domain(s.Self.FailureDomain).Top(readersSubject, t.Readers*(1+readerSpares)) {
+	for _, id := range s.Domain(s.Self.FailureDomain).Top(readerRankingKey, t.Readers*(1+sparesPerReader)) {
 		if i, ok := s.Instance(id); !ok || i.State != value.InstanceLive {
 			continue
 		}
--- a/core/query/flush.go
+++ b/core/query/flush.go
@@ -7,15 +7,17 @@
 )
 
 const (
-	// leastFlush is the time between two flushes of bills in a small fleet.
-	leastFlush = 5 * time.Second
-	// flushShare is the flushes a second that all instances together may make at the key-value service.
-	flushShare = 100
+	// minFlushInterval is the time between an instance's flushes of bills in a small fleet.
+	minFlushInterval = 5 * time.Second
+	// maxFleetFlushRate is how many flushes per second all instances together may make at the
+	// key-value service.
+	maxFleetFlushRate = 100
 )
 
-// FlushEvery returns the time between two flushes of an instance's bills, which grows with the fleet
-// so that all flushes together keep to their share of the key-value service's writes.
+// FlushEvery returns the time between an instance's flushes of bills; it grows with the fleet, so
+// that the flushes of all instances stay within their part of the key-value service's write
+// capacity.
 func FlushEvery(s state.State) time.Duration {
-	byShare := time.Duration(s.LiveInstances()) * time.Second / flushShare
-	return max(leastFlush, byShare)
+	byRate := time.Duration(s.LiveInstances()) * time.Second / maxFleetFlushRate
+	return max(minFlushInterval, byRate)
 }
--- a/core/query/flush_test.go
+++ b/core/query/flush_test.go
@@ -12,7 +12,7 @@
 	"endivehitch/core/value"
 )
 
-func TestFlushesKeepToTheirShareInALargeFleet(t *testing.T) {
+func TestFlushRateOfALargeFleetStaysBounded(t *testing.T) {
 	s := state.New(value.Instance{ID: "self", State: value.InstanceLive})
 	assert.Equal(t, query.FlushEvery(s), 5*time.Second)
 	for i := range 2300 {
@@ -20,14 +20,14 @@
 		s = s.WithInstance(value.Instance{ID: id, FailureDomain: "a", State: value.InstanceLive})
 	}
 	flushes := float64(s.LiveInstances()) / query.FlushEvery(s).Seconds()
-	assert.Assert(t, flushes <= 100, "%f flushes a second", flushes)
+	assert.Assert(t, flushes <= 100, "%f flushes per second", flushes)
 }
 
-func TestHoldersWriteTheBillsOfAnInstanceThatNeverFinishedLeaving(t *testing.T) {
-	began := time.Unix(1_000_000, 0)
-	leaving := value.Instance{ID: "b", FailureDomain: "a", State: value.InstanceLeaving, Since: began}
+func TestBillsOfAnInstanceStuckInLeavingAreTakenOver(t *testing.T) {
+	leavingSince := time.Unix(1_000_000, 0)
+	leaving := value.Instance{ID: "b", FailureDomain: "a", State: value.InstanceLeaving, Since: leavingSince}
 	s := state.New(value.Instance{ID: "self", State: value.InstanceLive}).WithInstance(leaving)
-	assert.Assert(t, !query.Departed(s, "b", began.Add(10*time.Second)), "it may still write them itself")
-	assert.Assert(t, query.Departed(s, "b", began.Add(time.Minute)))
-	assert.Assert(t, !query.Gone(s, "b"), "its claims are still its own")
+	assert.Assert(t, !query.Departed(s, "b", leavingSince.Add(10*time.Second)), "the instance may still flush its own bills")
+	assert.Assert(t, query.Departed(s, "b", leavingSince.Add(time.Minute)))
+	assert.Assert(t, !query.Gone(s, "b"), "an instance that is leaving still owns its claims")
 }
--- a/core/query/hedge.go
+++ b/core/query/hedge.go
@@ -9,37 +9,42 @@
 )
 
 const (
+	// budgetBurst is how many hedges, or retries, the budget allows at once.
 	budgetBurst = 10
-	// hedgeQuantile is the share of first pieces that arrive before a hedge is started.
+	// hedgeQuantile is the quantile of the time to first token that the hedge delay is based on.
 	hedgeQuantile = 0.95
-	// hedgeMargin keeps runs that are merely in the slower part of the normal ones from spending the budget.
-	hedgeMargin  = 1.25
+	// hedgeMargin lengthens the delay, so that attempts at the slow end of the normal range do not
+	// spend the hedge budget.
+	hedgeMargin = 1.25
+	// quantileStep is the largest relative change of the estimate by one sample.
 	quantileStep = 0.05
-	quantileSeen = 20
-	leastHedge   = 2 * time.Millisecond
+	// quantileMinSamples is how many samples are needed before requests of a class are hedged.
+	quantileMinSamples = 20
+	minHedgeDelay      = 2 * time.Millisecond
 )
 
-// FirstQuantile is how the time to a first piece is followed for hedging.
-var firstQuantile = policy.QuantileConfig{Of: hedgeQuantile, Step: quantileStep, MinSeen: quantileSeen}
+// firstTokenQuantile configures the estimate of the time to first token for hedging.
+var firstTokenQuantile = policy.QuantileConfig{Of: hedgeQuantile, Step: quantileStep, MinSeen: quantileMinSamples}
 
-// HedgeAfter returns how long to wait for a first piece before a second run is started; zero means never.
+// HedgeAfter returns how long to wait for the first token before a hedged attempt starts; zero
+// means that the request is not hedged.
 func HedgeAfter(s state.State, k value.Kind, h History) time.Duration {
 	if !k.Idempotent || s.Config.Document.Limits.HedgePercent <= 0 {
 		return 0
 	}
-	first := h.First.Value(firstQuantile)
-	if first == 0 {
+	p95 := h.First.Value(firstTokenQuantile)
+	if p95 == 0 {
 		return 0
 	}
-	return max(time.Duration(hedgeMargin*float64(first)), leastHedge)
+	return max(time.Duration(hedgeMargin*float64(p95)), minHedgeDelay)
 }
 
-// HedgeBudget returns the bounds of hedged runs.
+// HedgeBudget returns the limits on hedged attempts.
 func HedgeBudget(s state.State) policy.BudgetConfig {
 	return policy.BudgetConfig{Percent: s.Config.Document.Limits.HedgePercent, Burst: budgetBurst}
 }
 
-// RetryBudget returns the bounds of retries.
+// RetryBudget returns the limits on retries.
 func RetryBudget(s state.State) policy.BudgetConfig {
 	return policy.BudgetConfig{Percent: s.Config.Document.Limits.RetryPercent, Burst: budgetBurst}
 }
--- a/core/query/holders.go
+++ b/core/query/holders.go
@@ -9,37 +9,38 @@
 )
 
 const (
-	// billHolders is how many other instances hold copies of an instance's bills.
-	billHolders = 2
-	// holderDraws bounds the slots that are looked at for holders.
-	holderDraws = 32
+	// billReplicas is how many other instances store copies of an instance's bills.
+	billReplicas = 2
+	// maxReplicaDraws bounds the hash slots whose owners are considered.
+	maxReplicaDraws = 32
 )
 
-// Holders returns the instances that hold copies of this one's bills: live ones, in other failure
-// domains where there are any, the same ones while the fleet stays the same.
+// Holders returns the instances that store copies of this one's bills: live ones, preferably in
+// other failure domains. They stay the same as long as the fleet does.
 //
-// They are drawn among the owners of slots, so that a call costs the same in a fleet of any size.
+// They are the owners of hash slots derived from the instance's identifier, so that the cost of a
+// call does not depend on the size of the fleet.
 func Holders(s state.State) []value.Instance {
-	var away, near []value.Instance
-	for draw := range holderDraws {
+	var remote, local []value.Instance
+	for draw := range maxReplicaDraws {
 		i, ok := Owner(s, Slot(string(s.Self.ID)+"/"+strconv.Itoa(draw)))
 		if !ok || i.ID == s.Self.ID || i.State != value.InstanceLive {
 			continue
 		}
 		if i.FailureDomain == s.Self.FailureDomain {
-			near = addOnce(near, i)
+			local = appendUnique(local, i)
 			continue
 		}
-		away = addOnce(away, i)
-		if len(away) == billHolders {
-			return away
+		remote = appendUnique(remote, i)
+		if len(remote) == billReplicas {
+			return remote
 		}
 	}
-	chosen := append(away, near...)
-	return chosen[:min(len(chosen), billHolders)]
+	chosen := append(remote, local...)
+	return chosen[:min(len(chosen), billReplicas)]
 }
 
-func addOnce(list []value.Instance, i value.Instance) []value.Instance {
+func appendUnique(list []value.Instance, i value.Instance) []value.Instance {
 	for _, have := range list {
 		if have.ID == i.ID {
 			return list
@@ -48,22 +49,23 @@
 	return append(list, i)
 }
 
-// leavingTime is how long an instance that says that it leaves may take to write its own bills.
-const leavingTime = 40 * time.Second
+// departureGrace is how long a leaving instance has to flush its own bills.
+const departureGrace = 40 * time.Second
 
-// Departed reports whether holders are to write what they hold of the instance's bills: it has left
-// for good, or it has been leaving for longer than that takes.
+// Departed reports whether the holders should write their copies of the instance's bills to the
+// store, because the instance has departed or has been leaving for departureGrace.
 //
-// It may be true of an instance that still lives, since two writers of one chain meet at the store.
+// This is safe even if the instance still runs: the segments of its chain are created by
+// compare-and-swap in the store, so that the instance and the holders may write them concurrently.
 func Departed(s state.State, id value.InstanceID, now time.Time) bool {
 	i, ok := s.Instance(id)
 	if !ok {
 		return false
 	}
-	return i.State == value.InstanceGone || i.State == value.InstanceLeaving && now.Sub(i.Since) >= leavingTime
+	return i.State == value.InstanceGone || i.State == value.InstanceLeaving && now.Sub(i.Since) >= departureGrace
 }
 
-// Gone reports whether the instance has left for good, as far as this one knows.
+// Gone reports whether this instance knows that the other one has departed.
 func Gone(s state.State, id value.InstanceID) bool {
 	i, ok := s.Instance(id)
 	return ok && i.State == value.InstanceGone
--- a/core/query/length.go
+++ b/core/query/length.go
@@ -8,10 +8,11 @@
 	"endivehitch/core/value"
 )
 
-// Class groups requests that are expected to run about equally long.
+// Class groups requests whose attempts are expected to take about the same time.
 type Class struct {
 	Kind value.KindName
-	// Prompt and Answer are the binary orders of magnitude of the prompt's and the answer's bounds.
+	// Prompt and Answer are the bit lengths of the prompt's size and of the answer's limit in
+	// tokens.
 	Prompt int
 	Answer int
 }
@@ -25,65 +26,67 @@
 	}
 }
 
-// History is what was seen of earlier runs of a class.
+// History holds the timings observed in earlier attempts of a class.
 type History struct {
-	// Run is the time that a whole run took.
+	// Run is the mean duration of a completed attempt.
 	Run policy.Smooth
-	// First follows the time to the first piece.
+	// First estimates the hedgeQuantile of the time to first token.
 	First policy.Quantile
 }
 
 var (
-	historySmooth = policy.SmoothConfig{HalfLife: time.Minute, MaxWeight: 32}
-	typicalRun    = policy.QuantileConfig{Of: 0.5, Step: 0.05, MinSeen: 20}
+	historySmoothing = policy.SmoothConfig{HalfLife: time.Minute, MaxWeight: 32}
+	medianAttempt    = policy.QuantileConfig{Of: 0.5, Step: 0.05, MinSeen: 20}
 )
 
-// FirstSmooth is how the time to a server's first piece is averaged.
+// FirstSmooth configures the average of a backend server's time to first token.
 var FirstSmooth = policy.SmoothConfig{HalfLife: estimateHalfLife, MaxWeight: 4}
 
-// WithRun returns a history that has seen a whole run.
-func (h History) WithRun(took time.Duration, at time.Time) History {
-	h.Run = h.Run.With(historySmooth, took, at)
+// WithRun returns a history that includes a completed attempt of the given duration.
+func (h History) WithRun(duration time.Duration, at time.Time) History {
+	h.Run = h.Run.With(historySmoothing, duration, at)
 	return h
 }
 
-// WithFirst returns a history that has seen a first piece.
-func (h History) WithFirst(after time.Duration) History {
-	h.First = h.First.With(firstQuantile, after)
+// WithFirst returns a history that includes the given time to first token.
+func (h History) WithFirst(elapsed time.Duration) History {
+	h.First = h.First.With(firstTokenQuantile, elapsed)
 	return h
 }
 
-// Typical follows the run time of the median request of an instance.
+// Typical estimates the median duration of an instance's completed attempts of all classes.
 type Typical struct {
-	run policy.Quantile
+	duration policy.Quantile
 }
 
-// WithRun returns a value that has seen a whole run.
-func (t Typical) WithRun(took time.Duration) Typical {
-	t.run = t.run.With(typicalRun, took)
+// WithRun returns an estimate that includes a completed attempt of the given duration.
+func (t Typical) WithRun(duration time.Duration) Typical {
+	t.duration = t.duration.With(medianAttempt, duration)
 	return t
 }
 
+// longFactor is how many times the median duration makes an attempt long.
 const longFactor = 8.0
 
-// Length is what is expected of a run's duration.
+// Length is the estimate of an attempt's duration.
 type Length struct {
-	// Run is the expected duration; zero means that it isn't known.
+	// Run is the expected duration; zero means that it is not known.
 	Run time.Duration
-	// Cost is the duration in units of a typical run, at least a small share of one.
+	// Cost is the duration as a multiple of the median one, at least minCost; it is 1 if either is
+	// not known.
 	Cost float64
-	// Long is set when the run lasts much longer than a typical one.
+	// Long is set if the duration is at least longFactor times the median one.
 	Long bool
 }
 
-const leastCost = 0.1
+const minCost = 0.1
 
-// Expect estimates a run's length from the history of its class.
+// Expect estimates an attempt's duration from the history of its class.
 func Expect(h History, t Typical) Length {
-	typical := t.run.Value(typicalRun)
+	typical := t.duration.Value(medianAttempt)
 	if h.Run.Weight == 0 || typical == 0 {
 		return Length{Run: h.Run.Mean, Cost: 1}
 	}
 	cost := float64(h.Run.Mean) / float64(typical)
-	return Length{Run: h.Run.Mean, Cost: max(cost, leastCost), Long: cost >= longFactor}
+	return Length{Run: h.Run.Mean, Cost: max(cost, minCost), Long: cost >= longFactor}
 }
--- a/core/query/members.go
+++ b/core/query/members.go
@@ -14,15 +14,15 @@
 	"endivehitch/core/value"
 )
 
-// View returns the instances that this one probes and pushes to.
+// View returns the instances that this one probes and pushes configurations to.
 //
-// It rotates, so that every instance is probed by others in the long run, and
-// stays the same in between, so that a node keeps few connections.
+// The view changes once per rotation, so that every instance is probed by others in the long run,
+// and stays the same in between, so that an instance needs few connections.
 func View(s state.State, t fleet.Timing, now time.Time) []value.Instance {
 	self := string(s.Self.ID)
-	// Each instance rotates at another moment.
-	shift := time.Duration(xxhash.Sum64String(self) % uint64(t.Rotation))
-	epoch := now.Add(shift).UnixNano() / int64(t.Rotation)
+	// The offset keeps the instances from changing their views all at once.
+	offset := time.Duration(xxhash.Sum64String(self) % uint64(t.Rotation))
+	epoch := now.Add(offset).UnixNano() / int64(t.Rotation)
 	ids := s.Owners().Top(self+"/"+strconv.FormatInt(epoch, 10), t.View+1)
 	view := make([]value.Instance, 0, len(ids))
 	for _, id := range ids {
@@ -33,13 +33,13 @@
 	return view[:min(len(view), t.View)]
 }
 
-// ProbeTarget returns the instance to probe next, and false where there is none.
+// ProbeTarget returns the instance to probe next, and false if there is none.
 //
-// Now and then it is one that is gone but still listed, which mends the fleet
-// after its parts were cut from one another.
+// On average one probe in t.Reconnect goes to an instance that counts as departed but is still on
+// the platform's list. This is how the parts of a partitioned fleet find each other again.
 func ProbeTarget(s state.State, t fleet.Timing, rnd policy.Rand, now time.Time) (value.Instance, bool) {
-	if lost := lostButListed(s); len(lost) > 0 && rnd.IntN(t.Reconnect) == 0 {
-		return lost[rnd.IntN(len(lost))], true
+	if departed := departedButListed(s); len(departed) > 0 && rnd.IntN(t.Reconnect) == 0 {
+		return departed[rnd.IntN(len(departed))], true
 	}
 	view := View(s, t, now)
 	if len(view) == 0 {
@@ -48,58 +48,60 @@
 	return view[rnd.IntN(len(view))], true
 }
 
-func lostButListed(s state.State) []value.Instance {
-	var lost []value.Instance
+func departedButListed(s state.State) []value.Instance {
+	var departed []value.Instance
 	for id := range s.Unsettled().All() {
 		if i, ok := s.Instance(id); ok && i.Listed && i.State == value.InstanceGone {
-			lost = append(lost, i)
+			departed = append(departed, i)
 		}
 	}
-	return lost
+	return departed
 }
 
-// Helpers returns the instances to ask for an indirect probe of the target.
+// Helpers returns random instances of the view to ask for an indirect probe of the target.
 func Helpers(s state.State, t fleet.Timing, target value.InstanceID, rnd policy.Rand, now time.Time) []value.Instance {
 	view := slices.DeleteFunc(View(s, t, now), func(i value.Instance) bool { return i.ID == target })
-	return some(view, t.Helpers, rnd)
+	return pickRandom(view, t.Helpers, rnd)
 }
 
-// PushTargets returns the instances to tell at once of a new configuration.
+// PushTargets returns random instances of the view to send a new configuration to at once.
 func PushTargets(s state.State, t fleet.Timing, rnd policy.Rand, now time.Time) []value.Instance {
-	return some(View(s, t, now), t.Fanout, rnd)
+	return pickRandom(View(s, t, now), t.Fanout, rnd)
 }
 
-// News returns what a message to the instance tells of others, the least passed on first.
+// News returns the membership updates for a gossip message to the instance, those that have the
+// most transmissions left first.
 //
-// Where the instance itself is held to be other than live it comes first, so that it can refute.
+// If the receiver itself is not considered live, its own entry comes first, so that it can refute
+// that.
 func News(s state.State, t fleet.Timing, to value.InstanceID) []value.Instance {
-	type item struct {
-		id   value.InstanceID
-		left int
+	type pendingUpdate struct {
+		id        value.InstanceID
+		remaining int
 	}
-	var items []item
-	for id, left := range s.Rumours().All() {
+	var pending []pendingUpdate
+	for id, remaining := range s.Rumours().All() {
 		if id != s.Self.ID && id != to {
-			items = append(items, item{id: id, left: left})
+			pending = append(pending, pendingUpdate{id: id, remaining: remaining})
 		}
 	}
-	slices.SortFunc(items, func(a, b item) int {
-		return cmp.Or(cmp.Compare(b.left, a.left), cmp.Compare(a.id, b.id))
+	slices.SortFunc(pending, func(a, b pendingUpdate) int {
+		return cmp.Or(cmp.Compare(b.remaining, a.remaining), cmp.Compare(a.id, b.id))
 	})
-	news := make([]value.Instance, 0, t.Batch)
+	updates := make([]value.Instance, 0, t.Batch)
 	if i, ok := s.Instance(to); ok && i.State != value.InstanceLive {
-		news = append(news, i)
+		updates = append(updates, i)
 	}
-	for _, it := range items[:min(len(items), t.Batch)] {
-		if i, ok := s.Instance(it.id); ok {
-			news = append(news, i)
+	for _, next := range pending[:min(len(pending), t.Batch)] {
+		if i, ok := s.Instance(next.id); ok {
+			updates = append(updates, i)
 		}
 	}
-	return news
+	return updates
 }
 
-// some returns n of the list in random order.
-func some[T any](list []T, n int, rnd policy.Rand) []T {
+// pickRandom returns n random elements of the list, which it reorders.
+func pickRandom[T any](list []T, n int, rnd policy.Rand) []T {
 	n = min(n, len(list))
 	for i := range n {
 		j := i + rnd.IntN(len(list)-i)
--- a/core/query/owner.go
+++ b/core/query/owner.go
@@ -5,12 +5,12 @@
 	"endivehitch/core/value"
 )
 
-// Slot returns the slot that the key belongs to.
+// Slot returns the hash slot of the key.
 func Slot(key string) int {
 	return state.SlotOf(key)
 }
 
-// Owner returns the instance that owns the slot, and false while no instance can.
+// Owner returns the instance that owns the hash slot, and false while none is eligible.
 func Owner(s state.State, slot int) (value.Instance, bool) {
 	id, ok := s.Owners().Owner(slot)
 	if !ok {
@@ -19,7 +19,7 @@
 	return s.Instance(id)
 }
 
-// OwnedSlots returns the slots that the instance itself owns, in order.
+// OwnedSlots returns the hash slots that this instance owns, in ascending order.
 func OwnedSlots(s state.State) []int {
 	var slots []int
 	for slot := range state.Slots {
--- a/core/query/owner_test.go
+++ b/core/query/owner_test.go
@@ -10,17 +10,17 @@
 	"endivehitch/core/value"
 )
 
-func live(id value.InstanceID) value.Instance {
+func liveInstance(id value.InstanceID) value.Instance {
 	return value.Instance{ID: id, FailureDomain: "guj-a", State: value.InstanceLive}
 }
 
 func TestSlotsMoveWhenAnInstanceLeavesButNotWhenItIsSuspected(t *testing.T) {
-	s := state.New(live("a")).WithInstance(live("b"))
-	mine := len(query.OwnedSlots(s))
-	assert.Assert(t, mine > 0 && mine < state.Slots)
-	suspected := s.WithInstance(live("b").WithState(value.InstanceSuspected))
-	assert.Equal(t, len(query.OwnedSlots(suspected)), mine)
-	gone := s.WithInstance(live("b").WithState(value.InstanceGone))
+	s := state.New(liveInstance("a")).WithInstance(liveInstance("b"))
+	owned := len(query.OwnedSlots(s))
+	assert.Assert(t, owned > 0 && owned < state.Slots)
+	suspected := s.WithInstance(liveInstance("b").WithState(value.InstanceSuspected))
+	assert.Equal(t, len(query.OwnedSlots(suspected)), owned)
+	gone := s.WithInstance(liveInstance("b").WithState(value.InstanceGone))
 	assert.Equal(t, len(query.OwnedSlots(gone)), state.Slots)
 	leaving := s.WithLeaving()
 	assert.Equal(t, len(query.OwnedSlots(leaving)), 0)
@@ -29,7 +29,7 @@
 	assert.Equal(t, owner.ID, value.InstanceID("b"))
 }
 
-func TestNoOwnerWithoutInstances(t *testing.T) {
-	_, ok := query.Owner(state.New(live("a")).WithLeaving(), 0)
+func TestSlotHasNoOwnerWhenTheOnlyInstanceIsLeaving(t *testing.T) {
+	_, ok := query.Owner(state.New(liveInstance("a")).WithLeaving(), 0)
 	assert.Assert(t, !ok)
 }
--- a/core/query/pace.go
+++ b/core/query/pace.go
@@ -6,37 +6,39 @@
 	"endivehitch/core/policy"
 )
 
-// Pace is how fast this instance's runs of one target get done; the zero value has seen none.
+// Pace measures the throughput of this instance's attempts at one target; the zero value has no
+// samples.
 type Pace struct {
-	running int
-	run     policy.Smooth
+	inFlight int
+	duration policy.Smooth
 }
 
-// WithStart returns a pace with one more run under way.
+// WithStart returns a pace with one more attempt in flight.
 func (p Pace) WithStart() Pace {
-	p.running++
+	p.inFlight++
 	return p
 }
 
-// WithEnd returns a pace with one run less under way.
+// WithEnd returns a pace with one attempt less in flight.
 func (p Pace) WithEnd() Pace {
-	p.running--
+	p.inFlight--
 	return p
 }
 
-// WithRun returns a pace that has seen how long a whole run took.
-func (p Pace) WithRun(took time.Duration, at time.Time) Pace {
-	p.run = p.run.With(historySmooth, took, at)
+// WithRun returns a pace that includes a completed attempt of the given duration.
+func (p Pace) WithRun(duration time.Duration, at time.Time) Pace {
+	p.duration = p.duration.With(historySmoothing, duration, at)
 	return p
 }
 
-// PerSecond returns how many runs get done a second while all places are taken; zero means that it isn't known.
+// PerSecond returns how many attempts complete per second while all capacity is in use; zero means
+// that it is not known.
 //
-// It follows from the runs under way and their mean duration. The rate of earlier runs wouldn't do:
-// it tells what was asked for, not what the servers can do.
+// It is the number of attempts in flight divided by their mean duration. The rate of earlier
+// completions would not do, because it shows the demand and not what the servers can handle.
 func (p Pace) PerSecond() float64 {
-	if p.running <= 0 || p.run.Mean <= 0 {
+	if p.inFlight <= 0 || p.duration.Mean <= 0 {
 		return 0
 	}
-	return float64(p.running) / p.run.Mean.Seconds()
+	return float64(p.inFlight) / p.duration.Mean.Seconds()
 }
--- a/core/query/place.go
+++ b/core/query/place.go
@@ -9,34 +9,34 @@
 	"endivehitch/core/value"
 )
 
-// The reasons for placements, the most pressing first.
+// The reasons for placements, loads first by urgency, then unloads.
 const (
-	ReasonNoCarrier  value.Reason = "NoServerCarriesVersion"
-	ReasonOneDomain  value.Reason = "TooFewFailureDomains"
-	ReasonDemand     value.Reason = "DemandExceedsCarriers"
-	ReasonWithdrawn  value.Reason = "VersionWithdrawn"
-	ReasonMakingRoom value.Reason = "RoomForAnotherVersion"
+	ReasonNoCarrier             value.Reason = "NoServerCarriesVersion"
+	ReasonTooFewDomains         value.Reason = "TooFewFailureDomains"
+	ReasonDemandExceedsCarriers value.Reason = "DemandExceedsCarriers"
+	ReasonWithdrawn             value.Reason = "VersionWithdrawn"
+	ReasonFreesCapacity         value.Reason = "RoomForAnotherVersion"
 )
 
-// PlaceRule sets up placement.
+// PlaceRule configures the placement of versions on backend servers.
 type PlaceRule struct {
-	// VersionsPerServer is how many versions one server holds.
+	// VersionsPerServer is how many versions one server can carry.
 	VersionsPerServer int
-	// Domains is in how many failure domains each version is kept, where the pool has so many.
+	// Domains is in how many failure domains each version is to be loaded, if the pool has as many.
 	Domains int
 }
 
-// Wants is what placement has to meet at the moment.
+// Wants is the demand that placement has to meet at present.
 type Wants struct {
-	// Demand is each version's work, in servers that it would keep busy.
+	// Demand is each version's work as the number of servers that it would keep busy.
 	Demand map[value.VersionKey]float64
 	// Sessions counts the sessions that are pinned to each version.
 	Sessions map[value.VersionKey]int
-	// Loads is how many loads the weight store would serve now.
+	// Loads is how many loads the weight store allows now.
 	Loads int
 }
 
-// Placement is an order for a backend server, in no engine's terms.
+// Placement is an order to load or unload a version, independent of the server's engine.
 type Placement struct {
 	Server  value.BackendServer
 	Version value.VersionKey
@@ -45,12 +45,14 @@
 	Reason value.Reason
 }
 
-// Place returns which orders bring the backend servers closest to what is wanted, the most useful first.
+// Place returns the orders that bring the backend servers closer to what is wanted: first the
+// unloads of withdrawn versions, then loads by urgency, with the unloads that free capacity for
+// them.
 //
-// The orders are to be carried out in turn, as a load that needs room follows the unload that
-// makes it; after a failure Place is to be asked anew.
+// The orders have to be carried out in sequence, because a load may depend on the unload before it
+// that frees the capacity. After a failed order the rest is void and Place has to be called again.
 func Place(s state.State, r PlaceRule, w Wants) []Placement {
-	p := &placing{
+	p := &planner{
 		state:    s,
 		rule:     r,
 		wants:    w,
@@ -59,53 +61,54 @@
 		domains:  make(map[value.PoolName]int),
 	}
 	for _, pool := range s.Config.Document.Pools {
-		p.domains[pool.Name] = domainsOf(s.Members(pool.Name))
+		p.domains[pool.Name] = countDomains(s.Members(pool.Name))
 	}
 	orders := p.unloadWithdrawn()
 	return append(orders, p.load()...)
 }
 
-// placing is one placement under way.
-type placing struct {
+// planner computes the orders of one call of Place.
+type planner struct {
 	state state.State
 	rule  PlaceRule
 	wants Wants
-	// carried and carriers hold what the orders so far change.
+	// carried and carriers hold the entries that the orders so far have changed from the state.
 	carried  map[value.ServerID][]value.VersionKey
 	carriers map[value.VersionKey][]value.BackendServer
 	// domains counts each pool's failure domains.
 	domains map[value.PoolName]int
 }
 
-// versionsOf returns what the server carries once the orders so far are carried out.
-func (p *placing) versionsOf(b value.BackendServer) []value.VersionKey {
+// plannedVersions returns the versions on the server once the orders so far are carried out.
+func (p *planner) plannedVersions(b value.BackendServer) []value.VersionKey {
 	if changed, ok := p.carried[b.ID]; ok {
 		return changed
 	}
 	return b.Versions
 }
 
-// carriersOf returns the servers that carry the version once the orders so far are carried out.
-func (p *placing) carriersOf(k value.VersionKey) []value.BackendServer {
+// plannedCarriers returns the servers that carry the version once the orders so far are carried
+// out.
+func (p *planner) plannedCarriers(k value.VersionKey) []value.BackendServer {
 	if changed, ok := p.carriers[k]; ok {
 		return changed
 	}
 	return p.state.Carriers(k)
 }
 
-// enoughDomains returns in how many failure domains a version of the pool is to be kept.
-func (p *placing) enoughDomains(pool value.PoolName) int {
+// requiredDomains returns in how many failure domains a version of the pool is to be loaded.
+func (p *planner) requiredDomains(pool value.PoolName) int {
 	return min(p.rule.Domains, p.domains[pool])
 }
 
-func (p *placing) unloadWithdrawn() []Placement {
+func (p *planner) unloadWithdrawn() []Placement {
 	var orders []Placement
 	for _, b := range p.state.Servers().All() {
 		if b.State != value.ServerLive {
 			continue
 		}
 		for _, k := range b.Versions {
-			if !p.state.Withdrawn(k) || p.isLastForSessions(k) {
+			if !p.state.Withdrawn(k) || p.isLastCarrierForSessions(k) {
 				continue
 			}
 			orders = append(orders, p.unload(b, k, ReasonWithdrawn))
@@ -114,47 +117,48 @@
 	return orders
 }
 
-// load spends what the weight store allows on the most pressing needs.
-func (p *placing) load() []Placement {
+// load uses the loads that the weight store allows for the most urgent needs.
+func (p *planner) load() []Placement {
 	var orders []Placement
-	for left := p.wants.Loads; left > 0; {
-		n, ok := p.mostPressing()
+	for remaining := p.wants.Loads; remaining > 0; {
+		n, ok := p.mostUrgent()
 		if !ok {
 			break
 		}
-		order := p.meet(n)
+		order := p.orderFor(n)
 		orders = append(orders, order)
 		if order.Carry {
-			left--
+			remaining--
 		}
 	}
 	return orders
 }
 
-// need is a version that lacks carriers, with the server that is best placed to be the next.
+// need is a version that lacks carriers, with the server that should load it.
 type need struct {
 	version value.VersionKey
 	pool    value.PoolName
 	reason  value.Reason
-	// shortage is the version's work for each server that carries it.
+	// shortage is the version's demand for each server that carries it.
 	shortage float64
 	server   value.BackendServer
-	// evict is the version that must go first, or empty.
+	// evict is the version to unload first to free capacity, or empty.
 	evict value.VersionKey
 }
 
-// mostPressing returns the most pressing need for which there is a server.
-func (p *placing) mostPressing() (need, bool) {
+// mostUrgent returns the most urgent need for which there is a server.
+func (p *planner) mostUrgent() (need, bool) {
 	for _, n := range p.needs() {
-		if placed, ok := p.withServer(n); ok {
-			return placed, true
+		if assigned, ok := p.assignServer(n); ok {
+			return assigned, true
 		}
 	}
 	return need{}, false
 }
 
-// needs returns the versions that lack carriers, the most pressing first and as yet without servers.
-func (p *placing) needs() []need {
+// needs returns the versions that lack carriers, the most urgent first; no servers are assigned
+// yet.
+func (p *planner) needs() []need {
 	var needs []need
 	for _, m := range p.state.Config.Document.Models {
 		for _, v := range m.Versions {
@@ -167,26 +171,26 @@
 	return needs
 }
 
-func (p *placing) needOf(k value.VersionKey, v value.Version) (need, bool) {
+func (p *planner) needOf(k value.VersionKey, v value.Version) (need, bool) {
 	if p.state.Withdrawn(k) {
 		return need{}, false
 	}
-	carriers := p.carriersOf(k)
+	carriers := p.plannedCarriers(k)
 	n := need{version: k, pool: v.Pool, shortage: p.wants.Demand[k] / float64(max(1, len(carriers)))}
 	switch {
 	case len(carriers) == 0:
 		n.reason = ReasonNoCarrier
-	case domainsOf(carriers) < p.enoughDomains(v.Pool):
-		n.reason = ReasonOneDomain
+	case countDomains(carriers) < p.requiredDomains(v.Pool):
+		n.reason = ReasonTooFewDomains
 	case float64(len(carriers)) < math.Ceil(p.wants.Demand[k]):
-		n.reason = ReasonDemand
+		n.reason = ReasonDemandExceedsCarriers
 	default:
 		return need{}, false
 	}
 	return n, true
 }
 
-var urgency = map[value.Reason]int{ReasonNoCarrier: 0, ReasonOneDomain: 1, ReasonDemand: 2}
+var urgency = map[value.Reason]int{ReasonNoCarrier: 0, ReasonTooFewDomains: 1, ReasonDemandExceedsCarriers: 2}
 
 func compareNeeds(a, b need) int {
 	return cmp.Or(
@@ -196,36 +200,38 @@
 	)
 }
 
-// withServer picks a server in the failure domain with the fewest carriers, then the emptiest one.
-func (p *placing) withServer(n need) (need, bool) {
-	inDomain := make(map[value.FailureDomain]int)
-	for _, b := range p.carriersOf(n.version) {
-		inDomain[b.FailureDomain]++
+// assignServer picks a server in the failure domain with the fewest carriers, and there the server
+// with the fewest versions.
+func (p *planner) assignServer(n need) (need, bool) {
+	carriersByDomain := make(map[value.FailureDomain]int)
+	for _, b := range p.plannedCarriers(n.version) {
+		carriersByDomain[b.FailureDomain]++
 	}
 	found := false
 	for _, b := range p.state.Members(n.pool) {
-		evict, ok := p.roomFor(b, n)
-		if !ok || n.reason == ReasonOneDomain && inDomain[b.FailureDomain] > 0 {
+		evict, ok := p.evictionFor(b, n)
+		if !ok || n.reason == ReasonTooFewDomains && carriersByDomain[b.FailureDomain] > 0 {
 			continue
 		}
-		if !found || p.compareServers(b, n.server, inDomain) < 0 {
+		if !found || p.compareServers(b, n.server, carriersByDomain) < 0 {
 			n.server, n.evict, found = b, evict, true
 		}
 	}
 	return n, found
 }
 
-func (p *placing) compareServers(a, b value.BackendServer, inDomain map[value.FailureDomain]int) int {
+func (p *planner) compareServers(a, b value.BackendServer, carriersByDomain map[value.FailureDomain]int) int {
 	return cmp.Or(
-		cmp.Compare(inDomain[a.FailureDomain], inDomain[b.FailureDomain]),
-		cmp.Compare(len(p.versionsOf(a)), len(p.versionsOf(b))),
+		cmp.Compare(carriersByDomain[a.FailureDomain], carriersByDomain[b.FailureDomain]),
+		cmp.Compare(len(p.plannedVersions(a)), len(p.plannedVersions(b))),
 		cmp.Compare(a.ID, b.ID),
 	)
 }
 
-// roomFor reports whether the server can take the version, and what it must give up for that.
-func (p *placing) roomFor(b value.BackendServer, n need) (value.VersionKey, bool) {
-	carried := p.versionsOf(b)
+// evictionFor reports whether the server can take the version, and returns the version that has to
+// be unloaded first, if any.
+func (p *planner) evictionFor(b value.BackendServer, n need) (value.VersionKey, bool) {
+	carried := p.plannedVersions(b)
 	if slices.Contains(carried, n.version) {
 		return "", false
 	}
@@ -233,50 +239,51 @@
 		return "", true
 	}
 	for _, k := range carried {
-		if p.spare(b, k) {
+		if p.canEvict(b, k) {
 			return k, true
 		}
 	}
 	return "", false
 }
 
-// spare reports whether a version may leave the server without a need of its own arising.
-func (p *placing) spare(b value.BackendServer, k value.VersionKey) bool {
-	if p.isLastForSessions(k) {
+// canEvict reports whether the version can be unloaded from the server without lacking carriers
+// itself.
+func (p *planner) canEvict(b value.BackendServer, k value.VersionKey) bool {
+	if p.isLastCarrierForSessions(k) {
 		return false
 	}
-	rest := withoutServer(p.carriersOf(k), b.ID)
-	if len(rest) == 0 || domainsOf(rest) < p.enoughDomains(b.Pool) {
+	remaining := withoutServer(p.plannedCarriers(k), b.ID)
+	if len(remaining) == 0 || countDomains(remaining) < p.requiredDomains(b.Pool) {
 		return false
 	}
-	return float64(len(rest)) >= math.Ceil(p.wants.Demand[k])
+	return float64(len(remaining)) >= math.Ceil(p.wants.Demand[k])
 }
 
-func (p *placing) meet(n need) Placement {
+func (p *planner) orderFor(n need) Placement {
 	if n.evict != "" {
-		return p.unload(n.server, n.evict, ReasonMakingRoom)
+		return p.unload(n.server, n.evict, ReasonFreesCapacity)
 	}
-	p.carried[n.server.ID] = append(slices.Clone(p.versionsOf(n.server)), n.version)
-	p.carriers[n.version] = append(slices.Clone(p.carriersOf(n.version)), n.server)
+	p.carried[n.server.ID] = append(slices.Clone(p.plannedVersions(n.server)), n.version)
+	p.carriers[n.version] = append(slices.Clone(p.plannedCarriers(n.version)), n.server)
 	return Placement{Server: n.server, Version: n.version, Carry: true, Reason: n.reason}
 }
 
-func (p *placing) unload(b value.BackendServer, k value.VersionKey, why value.Reason) Placement {
-	p.carried[b.ID] = slices.DeleteFunc(slices.Clone(p.versionsOf(b)), func(have value.VersionKey) bool { return have == k })
-	p.carriers[k] = withoutServer(p.carriersOf(k), b.ID)
-	return Placement{Server: b, Version: k, Reason: why}
+func (p *planner) unload(b value.BackendServer, k value.VersionKey, reason value.Reason) Placement {
+	p.carried[b.ID] = slices.DeleteFunc(slices.Clone(p.plannedVersions(b)), func(have value.VersionKey) bool { return have == k })
+	p.carriers[k] = withoutServer(p.plannedCarriers(k), b.ID)
+	return Placement{Server: b, Version: k, Reason: reason}
 }
 
-// isLastForSessions reports whether sessions would lose their only server.
-func (p *placing) isLastForSessions(k value.VersionKey) bool {
-	return p.wants.Sessions[k] > 0 && len(p.carriersOf(k)) <= 1
+// isLastCarrierForSessions reports whether the version has pinned sessions and at most one carrier.
+func (p *planner) isLastCarrierForSessions(k value.VersionKey) bool {
+	return p.wants.Sessions[k] > 0 && len(p.plannedCarriers(k)) <= 1
 }
 
 func withoutServer(list []value.BackendServer, id value.ServerID) []value.BackendServer {
 	return slices.DeleteFunc(slices.Clone(list), func(b value.BackendServer) bool { return b.ID == id })
 }
 
-func domainsOf(list []value.BackendServer) int {
+func countDomains(list []value.BackendServer) int {
 	domains := make(map[value.FailureDomain]struct{})
 	for _, b := range list {
 		domains[b.FailureDomain] = struct{}{}
--- a/core/query/place_test.go
+++ b/core/query/place_test.go
@@ -14,7 +14,7 @@
 	"endivehitch/core/value"
 )
 
-// The property tests draw the same values each run.
+// A fixed seed makes the property tests draw the same values in each run.
 func init() {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
@@ -23,13 +23,14 @@
 
 var placeRule = query.PlaceRule{VersionsPerServer: 2, Domains: 2}
 
-// fleetOf returns a state with one pool of servers in three failure domains, and versions m/v0, m/v1 and so on.
-func fleetOf(servers, versions int, withdrawn ...int) state.State {
+// poolState returns a state with one pool of servers in three failure domains, and versions m/v0,
+// m/v1 and so on.
+func poolState(servers, versions int, withdrawn ...int) state.State {
 	m := value.Model{Name: "m"}
 	for i := range versions {
 		m.Versions = append(m.Versions, value.Version{Name: fmt.Sprintf("v%d", i), Pool: "p", Withdrawn: slices.Contains(withdrawn, i)})
 	}
-	s := state.New(live("a")).WithConfig(value.Accepted{Revision: 1, Document: value.Document{
+	s := state.New(liveInstance("a")).WithConfig(value.Accepted{Revision: 1, Document: value.Document{
 		Models: []value.Model{m}, Pools: []value.Pool{{Name: "p"}},
 	}})
 	for i := range servers {
@@ -41,13 +42,13 @@
 	return s
 }
 
-func carrying(s state.State, id value.ServerID, versions ...value.VersionKey) state.State {
+func withVersions(s state.State, id value.ServerID, versions ...value.VersionKey) state.State {
 	b, _ := s.Server(id)
 	return s.WithServer(b.WithVersions(versions...))
 }
 
-// carryOut returns the state after the orders.
-func carryOut(s state.State, orders []query.Placement) state.State {
+// applyOrders returns the state after the orders have been carried out.
+func applyOrders(s state.State, orders []query.Placement) state.State {
 	for _, o := range orders {
 		b, _ := s.Server(o.Server.ID)
 		versions := slices.DeleteFunc(slices.Clone(b.Versions), func(k value.VersionKey) bool { return k == o.Version })
@@ -59,7 +60,7 @@
 	return s
 }
 
-func domains(s state.State, k value.VersionKey) int {
+func countDomains(s state.State, k value.VersionKey) int {
 	seen := make(map[value.FailureDomain]bool)
 	for _, b := range s.Carriers(k) {
 		seen[b.FailureDomain] = true
@@ -67,8 +68,8 @@
 	return len(seen)
 }
 
-func TestScarceLoadsGoToWhatHelpsMost(t *testing.T) {
-	s := carrying(fleetOf(6, 3), "s0", "m/v1")
+func TestLimitedLoadsGoToTheMostUrgentNeeds(t *testing.T) {
+	s := withVersions(poolState(6, 3), "s0", "m/v1")
 	w := query.Wants{Demand: map[value.VersionKey]float64{"m/v1": 3, "m/v2": 1}, Loads: 3}
 	orders := query.Place(s, placeRule, w)
 	assert.Equal(t, len(orders), 3)
@@ -76,38 +77,38 @@
 	assert.Equal(t, orders[0].Reason, query.ReasonNoCarrier)
 	assert.Equal(t, orders[1].Version, value.VersionKey("m/v0"))
 	assert.Equal(t, orders[2].Version, value.VersionKey("m/v1"))
-	assert.Equal(t, orders[2].Reason, query.ReasonOneDomain)
+	assert.Equal(t, orders[2].Reason, query.ReasonTooFewDomains)
 	assert.Assert(t, orders[2].Server.FailureDomain != "d0")
 }
 
-func TestRoomIsMadeOnlyBySpareVersions(t *testing.T) {
-	s := fleetOf(3, 3)
+func TestOnlyVersionsWithEnoughOtherServersAreEvicted(t *testing.T) {
+	s := poolState(3, 3)
 	for _, id := range []value.ServerID{"s0", "s1", "s2"} {
-		s = carrying(s, id, "m/v0", "m/v1")
+		s = withVersions(s, id, "m/v0", "m/v1")
 	}
 	w := query.Wants{Demand: map[value.VersionKey]float64{"m/v0": 3, "m/v1": 0.5}, Loads: 5}
 	orders := query.Place(s, placeRule, w)
 	assert.Equal(t, len(orders), 2)
 	assert.Equal(t, orders[0].Version, value.VersionKey("m/v1"))
-	assert.Equal(t, orders[0].Reason, query.ReasonMakingRoom)
+	assert.Equal(t, orders[0].Reason, query.ReasonFreesCapacity)
 	assert.Equal(t, orders[1].Version, value.VersionKey("m/v2"))
 	assert.Equal(t, orders[1].Server.ID, orders[0].Server.ID)
 }
 
-func TestWithdrawnVersionGoesExceptTheLastServerOfItsSessions(t *testing.T) {
-	s := fleetOf(3, 1, 0)
+func TestWithdrawnVersionIsUnloadedExceptFromTheLastServerOfItsSessions(t *testing.T) {
+	s := poolState(3, 1, 0)
 	for _, id := range []value.ServerID{"s0", "s1", "s2"} {
-		s = carrying(s, id, "m/v0")
+		s = withVersions(s, id, "m/v0")
 	}
 	pinned := query.Wants{Sessions: map[value.VersionKey]int{"m/v0": 1}, Demand: map[value.VersionKey]float64{"m/v0": 9}, Loads: 9}
 	orders := query.Place(s, placeRule, pinned)
 	assert.Equal(t, len(orders), 2)
 	assert.Equal(t, len(query.Place(s, placeRule, query.Wants{})), 3)
-	assert.Equal(t, len(query.Place(carryOut(s, orders), placeRule, pinned)), 0)
+	assert.Equal(t, len(query.Place(applyOrders(s, orders), placeRule, pinned)), 0)
 }
 
 func TestVersionWithdrawnByCommandIsUnloadedAndNotLoadedAgain(t *testing.T) {
-	s := carrying(fleetOf(3, 2), "s0", "m/v0").WithWithdrawal(value.Withdrawal{Version: "m/v0"})
+	s := withVersions(poolState(3, 2), "s0", "m/v0").WithWithdrawal(value.Withdrawal{Version: "m/v0"})
 	orders := query.Place(s, placeRule, query.Wants{Demand: map[value.VersionKey]float64{"m/v0": 3}, Loads: 9})
 	assert.Equal(t, orders[0].Reason, query.ReasonWithdrawn)
 	for _, o := range orders {
@@ -115,10 +116,10 @@
 	}
 }
 
-func TestPlacementConvergesAndNeverBreaksItsRules(t *testing.T) {
+func TestPlacementConvergesAndKeepsItsRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		servers, versions := rapid.IntRange(4, 12).Draw(t, "servers"), rapid.IntRange(1, 4).Draw(t, "versions")
-		s := fleetOf(servers, versions, rapid.IntRange(0, 5).Draw(t, "withdrawn"))
+		s := poolState(servers, versions, rapid.IntRange(0, 5).Draw(t, "withdrawn"))
 		w := query.Wants{
 			Demand: make(map[value.VersionKey]float64), Sessions: make(map[value.VersionKey]int),
 			Loads: rapid.IntRange(1, 4).Draw(t, "loads"),
@@ -130,43 +131,43 @@
 			for j := range rapid.IntRange(0, servers).Draw(t, "carriers") {
 				id := value.ServerID(fmt.Sprintf("s%d", j))
 				if b, _ := s.Server(id); len(b.Versions) < placeRule.VersionsPerServer {
-					s = carrying(s, id, append(slices.Clone(b.Versions), k)...)
+					s = withVersions(s, id, append(slices.Clone(b.Versions), k)...)
 				}
 			}
 		}
 		for rounds := 0; ; rounds++ {
-			assert.Assert(t, rounds < 100, "placement does not come to rest")
+			assert.Assert(t, rounds < 100, "placement does not converge")
 			orders := query.Place(s, placeRule, w)
 			if len(orders) == 0 {
 				break
 			}
-			s = checked(t, s, orders, w)
+			s = applyChecked(t, s, orders, w)
 		}
 		for i := range versions {
 			k := value.VersionKey(fmt.Sprintf("m/v%d", i))
 			if v, _ := s.Version(k); !v.Withdrawn {
-				assert.Assert(t, domains(s, k) >= 1)
+				assert.Assert(t, countDomains(s, k) >= 1)
 			}
 		}
 	})
 }
 
-// checked carries the orders out one by one and holds each against the rules.
-func checked(t *rapid.T, s state.State, orders []query.Placement, w query.Wants) state.State {
+// applyChecked carries out the orders one by one and checks the placement rules after each.
+func applyChecked(t *rapid.T, s state.State, orders []query.Placement, w query.Wants) state.State {
 	loads := 0
 	for _, o := range orders {
-		had := len(s.Carriers(o.Version))
-		s = carryOut(s, []query.Placement{o})
+		carriersBefore := len(s.Carriers(o.Version))
+		s = applyOrders(s, []query.Placement{o})
 		v, _ := s.Version(o.Version)
 		b, _ := s.Server(o.Server.ID)
 		assert.Assert(t, len(b.Versions) <= placeRule.VersionsPerServer)
 		if o.Carry {
 			loads++
-			assert.Assert(t, !v.Withdrawn, "loads a withdrawn version")
+			assert.Assert(t, !v.Withdrawn, "a withdrawn version was loaded")
 			continue
 		}
-		assert.Assert(t, had > 1 || w.Sessions[o.Version] == 0, "takes the last server of sessions")
-		assert.Assert(t, v.Withdrawn || domains(s, o.Version) >= placeRule.Domains, "too few failure domains")
+		assert.Assert(t, carriersBefore > 1 || w.Sessions[o.Version] == 0, "a version with sessions lost its last server")
+		assert.Assert(t, v.Withdrawn || countDomains(s, o.Version) >= placeRule.Domains, "an unload left the version in too few failure domains")
 	}
 	assert.Assert(t, loads <= w.Loads)
 	return s
@@ -175,7 +176,7 @@
 func BenchmarkMeasurePlace(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 10000} {
 		b.Run(fmt.Sprintf("Servers%d", n), func(b *testing.B) {
-			s := fleetOf(n, 38)
+			s := poolState(n, 38)
 			w := query.Wants{Demand: map[value.VersionKey]float64{"m/v1": float64(n) / 2}, Loads: 10}
 			for b.Loop() {
 				query.Place(s, placeRule, w)
@@ -184,9 +185,9 @@
 	}
 }
 
-func TestNoLoadIsSpentThatBringsNoFurtherFailureDomain(t *testing.T) {
-	s := carrying(fleetOf(4, 3), "s0", "m/v0")
-	s = carrying(s, "s1", "m/v1", "m/v2")
-	s = carrying(s, "s2", "m/v1", "m/v2")
+func TestNoLoadWithoutCapacityInAnotherFailureDomain(t *testing.T) {
+	s := withVersions(poolState(4, 3), "s0", "m/v0")
+	s = withVersions(s, "s1", "m/v1", "m/v2")
+	s = withVersions(s, "s2", "m/v1", "m/v2")
 	assert.Equal(t, len(query.Place(s, placeRule, query.Wants{Loads: 3})), 0)
 }
--- a/core/query/plan.go
+++ b/core/query/plan.go
@@ -8,7 +8,7 @@
 	"endivehitch/core/value"
 )
 
-// Plan is the versions to try, in order, and why.
+// Plan holds the versions to try, in order, and the reason for the choice.
 type Plan struct {
 	// Versions has one entry, or two for a cascade; it must not be changed.
 	Versions   []value.VersionKey
@@ -20,12 +20,13 @@
 	Quality float64
 }
 
-// Cascade reports whether the first answer is to be judged before the caller sees it.
+// Cascade reports whether the judge has to accept the first version's answer before the caller gets
+// it.
 func (p Plan) Cascade() bool {
 	return len(p.Versions) > 1
 }
 
-// Last returns the version that answers where no judge can be asked.
+// Last returns the version that answers if no verdict of the judge can be had.
 func (p Plan) Last() value.VersionKey {
 	return p.Versions[len(p.Versions)-1]
 }
@@ -33,19 +34,21 @@
 // Choose returns the cheapest allowed version, or cascade of versions, whose lower bound of quality
 // meets the kind's target; the error is a value.Refusal.
 //
-// Where none is known to meet it, the version with the best lower bound is chosen.
+// If no version is known to meet the target, it returns the one with the best lower bound. A
+// session that is pinned to an allowed version stays on it.
 func Choose(s state.State, a Admitted, r value.Request, now time.Time) (Plan, error) {
 	c := chooser{state: &s, kind: a.Kind, request: r, now: now}
 	c.menu, _ = s.Menu(a.Kind.Name)
 	c.granted = s.Granted(a.Account.Name, a.Kind.Name)
-	if p, ok := c.pinned(); ok {
+	if p, ok := c.pinnedPlan(); ok {
 		return p, nil
 	}
-	c.serving = true
+	c.requireCarrier = true
 	p, ok := c.choose()
 	if !ok {
-		// No backend server carries any of them: the plan stands and routing states the refusal.
-		c.serving = false
+		// No live backend server carries an allowed version: plan without servers and let Route
+		// refuse.
+		c.requireCarrier = false
 		p, ok = c.choose()
 	}
 	if !ok {
@@ -54,7 +57,7 @@
 	return p, nil
 }
 
-// chooser is one choice under way.
+// chooser holds the inputs of one call of Choose.
 type chooser struct {
 	state   *state.State
 	menu    state.Menu
@@ -62,12 +65,13 @@
 	kind    value.Kind
 	request value.Request
 	now     time.Time
-	// serving asks for versions that a live backend server carries.
-	serving bool
+	// requireCarrier restricts the choice to versions that a live backend server carries.
+	requireCarrier bool
 }
 
-// pinned keeps the session's version until that is withdrawn.
-func (c *chooser) pinned() (Plan, bool) {
+// pinnedPlan returns the version that the session is pinned to, unless it is withdrawn or not
+// allowed.
+func (c *chooser) pinnedPlan() (Plan, bool) {
 	if c.request.Pinned == "" {
 		return Plan{}, false
 	}
@@ -75,20 +79,20 @@
 	if i < 0 || !c.allowed(i) {
 		return Plan{}, false
 	}
-	return c.alone(i, value.ReasonPinned), true
+	return c.singleVersion(i, value.ReasonPinned), true
 }
 
 func (c *chooser) choose() (Plan, bool) {
 	p, ok := c.cheapest()
 	if !ok {
-		p, ok = c.best()
+		p, ok = c.bestLowerBound()
 	}
 	if !ok {
 		return Plan{}, false
 	}
-	p = c.orCascade(p)
-	p = c.orExplore(p)
-	p = c.staged(p)
+	p = c.considerCascade(p)
+	p = c.considerExploration(p)
+	p = c.applyStage(p)
 	p.Candidates = len(c.menu.Offers)
 	if c.request.Pinned != "" && c.state.Withdrawn(c.request.Pinned) {
 		p.Reason = value.ReasonVersionRetired
@@ -96,46 +100,47 @@
 	return p, true
 }
 
-// cheapest returns the cheapest version whose bound meets the target.
+// cheapest returns the cheapest version whose lower bound of quality meets the target.
 func (c *chooser) cheapest() (Plan, bool) {
 	found := -1
-	var low int64
+	var lowest int64
 	for i := range c.menu.Offers {
-		// Offers come in the order of their usual cost, so that the dearer checks are rarely needed.
-		if cost := c.cost(i); found < 0 || cost < low {
-			if c.lower(i) >= c.kind.QualityTarget && c.eligible(i) {
-				found, low = i, cost
+		// Offers are sorted by their usual cost, so that the more expensive checks are rarely
+		// reached.
+		if cost := c.cost(i); found < 0 || cost < lowest {
+			if c.lowerBound(i) >= c.kind.QualityTarget && c.eligible(i) {
+				found, lowest = i, cost
 			}
 		}
 	}
 	if found < 0 {
 		return Plan{}, false
 	}
-	return c.alone(found, value.ReasonCheapest), true
+	return c.singleVersion(found, value.ReasonCheapest), true
 }
 
-// best returns the version with the best bound.
-func (c *chooser) best() (Plan, bool) {
+// bestLowerBound returns the version with the best lower bound of quality.
+func (c *chooser) bestLowerBound() (Plan, bool) {
 	found := -1
-	var high float64
+	var highest float64
 	for i := range c.menu.Offers {
-		if lower := c.lower(i); (found < 0 || lower > high) && c.eligible(i) {
-			found, high = i, lower
+		if lower := c.lowerBound(i); (found < 0 || lower > highest) && c.eligible(i) {
+			found, highest = i, lower
 		}
 	}
 	if found < 0 {
 		return Plan{}, false
 	}
-	return c.alone(found, value.ReasonBestEffort), true
+	return c.singleVersion(found, value.ReasonBestEffort), true
 }
 
-func (c *chooser) alone(i int, why value.Reason) Plan {
+func (c *chooser) singleVersion(i int, reason value.Reason) Plan {
 	return Plan{
 		Versions:   c.menu.Offers[i].Alone,
-		Reason:     why,
+		Reason:     reason,
 		Candidates: len(c.menu.Offers),
 		CostMicros: c.cost(i),
-		Quality:    c.lower(i),
+		Quality:    c.lowerBound(i),
 	}
 }
 
@@ -143,22 +148,24 @@
 	return i < len(c.granted) && c.granted[i]
 }
 
-// eligible reports whether new work may go to the version by its own estimate.
+// eligible reports whether the version may be chosen for its own estimate: it can take the request,
+// and no roll-out holds it back or has replaced it.
 func (c *chooser) eligible(i int) bool {
 	o := &c.menu.Offers[i]
-	if o.Held || !c.takes(i) {
+	if o.Held || !c.canTake(i) {
 		return false
 	}
-	// Once its roll-out is done, the new version stands for the old one.
-	done := o.Next.Percent >= wholeShare && !c.menu.Offers[o.Next.Offer].Held
-	return !done || !c.takes(o.Next.Offer)
+	// Once the roll-out is done, the new version takes the old one's place, if it can take the
+	// request.
+	replaced := o.Next.Percent >= fullPercent && !c.menu.Offers[o.Next.Offer].Held
+	return !replaced || !c.canTake(o.Next.Offer)
 }
 
-func (c *chooser) lower(i int) float64 {
-	return c.bound(i).Lower
+func (c *chooser) lowerBound(i int) float64 {
+	return c.qualityBound(i).Lower
 }
 
-func (c *chooser) bound(i int) policy.Bound {
+func (c *chooser) qualityBound(i int) policy.Bound {
 	return c.menu.Offers[i].Bound(c.now)
 }
 
--- a/core/query/plan_measure_test.go
+++ b/core/query/plan_measure_test.go
@@ -13,14 +13,15 @@
 )
 
 const (
-	planRounds    = 1000
-	planBatches   = 41
-	planVersions  = 38
-	versionsOfOne = 8
+	planRounds   = 1000
+	planBatches  = 41
+	manyVersions = 38
+	fewVersions  = 8
 )
 
-// crowd returns a state with the servers and a model of so many versions.
-func crowd(versions, servers int) state.State {
+// planState returns a state with a model of the given number of versions, which the servers carry
+// in turn.
+func planState(versions, servers int) state.State {
 	d := value.Document{ClientAccounts: []value.ClientAccount{{Name: "ward-12", Kinds: []value.KindName{"spelling"}}}}
 	m := value.Model{Name: "llm"}
 	for i := range versions {
@@ -43,26 +44,27 @@
 	return s
 }
 
-// BenchmarkMeasurePlan reports what one plan costs by the backend servers known to the instance, and
-// its ratio to that with ten.
+// BenchmarkMeasurePlan reports the time of one plan for different numbers of known backend servers,
+// and its ratio to the time with ten servers.
 func BenchmarkMeasurePlan(b *testing.B) {
-	for _, versions := range []int{versionsOfOne, planVersions} {
+	for _, versions := range []int{fewVersions, manyVersions} {
 		for _, age := range []time.Duration{0, 24 * time.Hour} {
-			few := 0.0
+			baseline := 0.0
 			for _, servers := range []int{10, 100, 1000, 10000} {
 				b.Run(fmt.Sprintf("versions=%d/age=%v/servers=%d", versions, age, servers), func(b *testing.B) {
-					nanos := measurePlan(b, rated(crowd(versions, servers), "spelling", "llm/v7", 90, 10, start), start.Add(age))
-					if few == 0 {
-						few = nanos
+					nanos := measurePlan(b, withRatings(planState(versions, servers), "spelling", "llm/v7", 90, 10, start), start.Add(age))
+					if baseline == 0 {
+						baseline = nanos
 					}
-					b.ReportMetric(nanos/few, "of-10-servers")
+					b.ReportMetric(nanos/baseline, "of-10-servers")
 				})
 			}
 		}
 	}
 }
 
-// measurePlan returns the median over batches, which a busy machine disturbs least.
+// measurePlan returns the time of one plan in nanoseconds, as the median over batches, which other
+// load on the machine disturbs least.
 func measurePlan(b *testing.B, s state.State, now time.Time) float64 {
 	r := request("spelling", 1)
 	r.Deadline = now.Add(time.Minute)
@@ -70,19 +72,19 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	one := func() {
+	planOnce := func() {
 		if _, err := query.Choose(s, a, r, now); err != nil {
 			b.Fatal(err)
 		}
 	}
-	allocs := testing.AllocsPerRun(100, one)
-	// What the set-up left behind is collected before the clock starts.
+	allocs := testing.AllocsPerRun(100, planOnce)
+	// Collect the garbage of the set-up, so that it does not count in the measurement.
 	runtime.GC()
 	var nanos []float64
 	for range planBatches * b.N {
 		began := time.Now()
 		for range planRounds {
-			one()
+			planOnce()
 		}
 		nanos = append(nanos, float64(time.Since(began).Nanoseconds())/planRounds)
 	}
--- a/core/query/plan_test.go
+++ b/core/query/plan_test.go
@@ -66,13 +66,13 @@
 	return p
 }
 
-// tally counts the plans of many requests by their last version.
-func tally(t *testing.T, s state.State, kind value.KindName, session bool) map[value.VersionKey]int {
+// countLastVersions plans 2000 requests and counts the plans by their last version.
+func countLastVersions(t *testing.T, s state.State, kind value.KindName, withSession bool) map[value.VersionKey]int {
 	t.Helper()
 	got := make(map[value.VersionKey]int)
 	for i := range 2000 {
 		r := request(kind, i)
-		if session {
+		if withSession {
 			r.Session = value.SessionID(fmt.Sprint("s", i))
 		}
 		got[choose(t, s, r, start).Last()]++
@@ -80,27 +80,28 @@
 	return got
 }
 
-func rated(s state.State, kind value.KindName, v value.VersionKey, good, bad int, at time.Time) state.State {
-	n := good + bad
+// withRatings adds ratings, with the rejected ones spread evenly among them.
+func withRatings(s state.State, kind value.KindName, v value.VersionKey, accepted, rejected int, at time.Time) state.State {
+	n := accepted + rejected
 	for i := range n {
-		spoilt := (i+1)*bad/n > i*bad/n
-		s = s.WithRating(value.Rating{Kind: kind, Version: v, Accepted: !spoilt, At: at})
+		isRejected := (i+1)*rejected/n > i*rejected/n
+		s = s.WithRating(value.Rating{Kind: kind, Version: v, Accepted: !isRejected, At: at})
 	}
 	return s.WithMenu(kind)
 }
 
-func TestCheapestWhoseBoundMeetsTarget(t *testing.T) {
+func TestChoosesCheapestVersionWhoseLowerBoundMeetsTarget(t *testing.T) {
 	s := installed(document())
 	p := choose(t, s, request("spelling", 1), start)
 	assert.Equal(t, p.Reason, value.ReasonCheapest)
 	assert.DeepEqual(t, p.Versions, []value.VersionKey{small})
 
-	s = rated(s, "spelling", small, 65, 35, start)
+	s = withRatings(s, "spelling", small, 65, 35, start)
 	p = choose(t, s, request("spelling", 1), start)
 	assert.DeepEqual(t, p.Versions, []value.VersionKey{large})
 }
 
-func TestBestBoundWhereNoneMeetsTarget(t *testing.T) {
+func TestChoosesBestLowerBoundWhenNoVersionMeetsTarget(t *testing.T) {
 	d := document()
 	d.Kinds[0] = d.Kinds[0].WithQualityTarget(0.999)
 	p := choose(t, installed(d), request("spelling", 1), start)
@@ -108,50 +109,50 @@
 	assert.DeepEqual(t, p.Versions, []value.VersionKey{large})
 }
 
-func TestSilenceOfRatingsTurnsToTheDearer(t *testing.T) {
-	s := rated(installed(document()), "spelling", small, 40, 10, start)
+func TestMissingRatingsMoveRequestsToTheDearerVersion(t *testing.T) {
+	s := withRatings(installed(document()), "spelling", small, 40, 10, start)
 	assert.Equal(t, choose(t, s, request("spelling", 1), start).Last(), small)
 	assert.Equal(t, choose(t, s, request("spelling", 1), start.Add(48*time.Hour)).Last(), large)
 }
 
-func TestCascadeOnlyWhereItIsSafe(t *testing.T) {
+func TestCascadeNeedsTimeAnIdempotentKindAndNoSession(t *testing.T) {
 	s := installed(document())
 	p := choose(t, s, request("draft", 1), start)
 	assert.Equal(t, p.Reason, value.ReasonCascade)
 	assert.DeepEqual(t, p.Versions, []value.VersionKey{small, large})
 	assert.Assert(t, p.CostMicros < 4000 && p.CostMicros > 400, "%d", p.CostMicros)
 
-	hurried := request("draft", 1).WithDeadline(start.Add(6 * time.Second))
-	assert.DeepEqual(t, choose(t, s, hurried, start).Versions, []value.VersionKey{large})
+	shortDeadline := request("draft", 1).WithDeadline(start.Add(6 * time.Second))
+	assert.DeepEqual(t, choose(t, s, shortDeadline, start).Versions, []value.VersionKey{large})
 
-	kept := request("draft", 1)
-	kept.Session = "s"
-	assert.Assert(t, !choose(t, s, kept, start).Cascade(), "a session would change its version")
-	assert.Assert(t, !choose(t, s, request("reorder", 1), start).Cascade(), "the kind is not idempotent")
+	inSession := request("draft", 1)
+	inSession.Session = "s"
+	assert.Assert(t, !choose(t, s, inSession, start).Cascade(), "a cascade would change the version of a session")
+	assert.Assert(t, !choose(t, s, request("reorder", 1), start).Cascade(), "a kind that is not idempotent must not use a cascade")
 }
 
-func TestExplorationIsBounded(t *testing.T) {
-	s := rated(installed(document()), "spelling", small, 71, 29, start)
-	got := tally(t, s, "spelling", true)
-	assert.Assert(t, got[small] > 0, "a version in doubt gets no ratings")
-	assert.Assert(t, got[small] < 2000*54/100, "more than half: %v", got)
+func TestExplorationShareIsBounded(t *testing.T) {
+	s := withRatings(installed(document()), "spelling", small, 71, 29, start)
+	got := countLastVersions(t, s, "spelling", true)
+	assert.Assert(t, got[small] > 0, "a version that may meet the target is not explored")
+	assert.Assert(t, got[small] < 2000*54/100, "explored with more than half of the sessions: %v", got)
 
 	d := document()
 	d.Kinds[0] = d.Kinds[0].WithQualityTarget(0.955)
 	d.Models[0].Versions[0].QualityWeight = 1
-	got = tally(t, installed(d), "spelling", true)
-	assert.Assert(t, got[small] > 0 && got[small] < 100, "without spare quality only the floor: %v", got)
+	got = countLastVersions(t, installed(d), "spelling", true)
+	assert.Assert(t, got[small] > 0 && got[small] < 100, "without surplus quality only the minimum share is explored: %v", got)
 
-	hopeless := rated(s, "spelling", small, 0, 300, start)
-	assert.Equal(t, tally(t, hopeless, "spelling", true)[small], 0)
+	belowTarget := withRatings(s, "spelling", small, 0, 300, start)
+	assert.Equal(t, countLastVersions(t, belowTarget, "spelling", true)[small], 0)
 }
 
-func TestVersionWithoutServersGivesWay(t *testing.T) {
+func TestVersionWithoutServersIsNotChosen(t *testing.T) {
 	s := installed(document()).WithServer(value.BackendServer{ID: "l1", State: value.ServerLive, Versions: []value.VersionKey{large}})
 	assert.Equal(t, choose(t, s, request("spelling", 1), start).Last(), large)
 }
 
-func TestAccountsSeeOnlyTheirVersions(t *testing.T) {
+func TestAccountsGetOnlyTheirAllowedVersions(t *testing.T) {
 	d := document()
 	d.ClientAccounts[0] = d.ClientAccounts[0].WithVersions(large)
 	assert.Equal(t, choose(t, installed(d), request("spelling", 1), start).Last(), large)
--- a/core/query/promote.go
+++ b/core/query/promote.go
@@ -6,9 +6,10 @@
 	"endivehitch/core/value"
 )
 
-// Promote returns the digest to be moved from trial to production, or a value.ChangeRefused.
+// Promote returns the digest of the document to copy from trial to production, or a
+// value.ChangeRefused.
 //
-// An empty digest asks for the one that stands in trial.
+// An empty digest asks for the document in force in trial.
 func Promote(trial, production value.Standing, digest string) (string, error) {
 	if trial.Revision == 0 {
 		return "", value.ChangeRefused{Reason: value.ReasonNothingKept, Detail: "no document was accepted in trial"}
--- a/core/query/queue.go
+++ b/core/query/queue.go
@@ -9,21 +9,22 @@
 	"endivehitch/core/value"
 )
 
-// Lane is where inside its client account's part of the queue a request waits.
+// Lane identifies one of the queues of a client account; each has its own weight in fair queueing.
 type Lane struct {
 	Priority value.Priority
 	Version  value.VersionKey
 	Service  value.ServiceName
-	// Long requests wait apart, so that short ones pass them.
+	// Long separates long requests, so that short ones can overtake them.
 	Long bool
 }
 
-// Serves reports whether requests of the lane want the target.
+// Serves reports whether the requests in the lane wait for the target.
 func (l Lane) Serves(t Target) bool {
 	return l.Version == t.Version && l.Service == t.Service && l.Long == t.Long
 }
 
-// The weights of priorities inside a client account: a lower one is served more rarely, never not at all.
+// The weights of the priorities inside a client account: requests of a lower priority are served
+// less often but never starve.
 const (
 	statusWeight      = 16
 	interactiveWeight = 4
@@ -40,11 +41,11 @@
 	return draftWeight
 }
 
-// Entry returns the place of a request in the queue, with the item that stands for it there.
+// Entry returns the queue entry of a request, with the item that represents it there.
 func Entry[V any](a Admitted, t Target, l Length, item V) policy.Entry[value.AccountName, Lane, V] {
 	return policy.Entry[value.AccountName, Lane, V]{
 		Group:       a.Account.Name,
-		GroupWeight: weight(a.Account),
+		GroupWeight: accountWeight(a.Account),
 		Lane:        Lane{Priority: a.Kind.Priority, Version: t.Version, Service: t.Service, Long: t.Long},
 		LaneWeight:  laneWeight(a.Kind.Priority),
 		Cost:        l.Cost,
@@ -52,82 +53,87 @@
 	}
 }
 
-func weight(a value.ClientAccount) float64 {
+func accountWeight(a value.ClientAccount) float64 {
 	return float64(max(1, a.Share))
 }
 
-// Line is what the decision to let a request wait needs to know of the queue.
-type Line struct {
-	// Waiting counts the account's waiting requests.
+// QueueState is the state of the queue as Wait needs it for one request.
+type QueueState struct {
+	// Waiting counts the client account's waiting requests.
 	Waiting int
-	// Ahead counts those that are served before the new one.
+	// Ahead counts those of them that have the same or a higher priority.
 	Ahead int
-	// Competing is the sum of the weights of the client accounts that wait, the request's own left out.
-	Competing float64
-	// PerSecond is how many runs the target gets done a second; zero means that it isn't known.
+	// CompetingWeight is the sum of the weights of the other client accounts with waiting requests.
+	CompetingWeight float64
+	// PerSecond is the target's throughput in attempts per second; zero means that it is not known.
 	PerSecond float64
 }
 
-// LineOf reads what the decision needs from the queue.
-func LineOf[V any](s state.State, q policy.Fair[value.AccountName, Lane, V], a Admitted, perSecond float64) Line {
+// LineOf returns the state of the queue for a request with the given throughput of its target.
+func LineOf[V any](s state.State, q policy.Fair[value.AccountName, Lane, V], a Admitted, perSecond float64) QueueState {
 	rank := a.Kind.Priority.Rank()
-	line := Line{
+	queue := QueueState{
 		Waiting:   q.GroupLen(a.Account.Name),
 		Ahead:     q.Count(a.Account.Name, func(l Lane) bool { return l.Priority.Rank() <= rank }),
 		PerSecond: perSecond,
 	}
 	for _, g := range q.Groups() {
 		if other, ok := s.Account(g); ok && g != a.Account.Name {
-			line.Competing += weight(other)
+			queue.CompetingWeight += accountWeight(other)
 		}
 	}
-	return line
+	return queue
 }
 
-// Wait decides whether the request may wait for capacity; the error is a value.Refusal with NotRun set.
+// Wait decides whether the request may wait for capacity; the error is a value.Refusal with NotRun
+// set.
 //
-// A client account has the part of the queue that its share is of all shares, so that no account's
-// demand takes the places of another; the servers themselves are always used in full.
-func Wait(s state.State, a Admitted, r value.Request, l Length, line Line, now time.Time) error {
-	expected := line.wait(weight(a.Account))
-	if line.Waiting >= places(s, a.Account) {
-		return busy(value.ReasonQueueFull, "queue of the client account is full", expected)
+// Each client account has a part of the queue in proportion to its share, so that one account's
+// demand cannot fill the part of another. The servers' capacity is not divided: it is always used
+// in full.
+func Wait(s state.State, a Admitted, r value.Request, l Length, queue QueueState, now time.Time) error {
+	estimate := queue.expectedWait(accountWeight(a.Account))
+	if queue.Waiting >= queueLimit(s, a.Account) {
+		return refuseWithRetryAfter(value.ReasonQueueFull, "queue of the client account is full", estimate)
 	}
-	if left := r.Deadline.Sub(now); expected+l.Run > left {
-		detail := fmt.Sprintf("expected wait of %s and run of %s pass the deadline in %s", expected, l.Run, left)
-		return busy(value.ReasonOverloaded, detail, expected+l.Run-left)
+	if remaining := r.Deadline.Sub(now); estimate+l.Run > remaining {
+		detail := fmt.Sprintf("expected wait of %s and run of %s pass the deadline in %s", estimate, l.Run, remaining)
+		return refuseWithRetryAfter(value.ReasonOverloaded, detail, estimate+l.Run-remaining)
 	}
 	return nil
 }
 
-// StillUseful reports whether a request that has waited can still be answered in time; the error is a value.Refusal.
+// StillUseful checks whether a request that has waited can still be answered before its deadline;
+// the error is a value.Refusal.
 func StillUseful(r value.Request, l Length, now time.Time) error {
-	if left := r.Deadline.Sub(now); l.Run > left {
-		return busy(value.ReasonOverloaded, "deadline is too near for a run", l.Run)
+	if remaining := r.Deadline.Sub(now); l.Run > remaining {
+		return refuseWithRetryAfter(value.ReasonOverloaded, "deadline is too near for a run", l.Run)
 	}
 	return nil
 }
 
-func (l Line) wait(own float64) time.Duration {
-	if l.PerSecond <= 0 {
+// expectedWait returns the time until a new request is served; zero means that it is not known.
+func (q QueueState) expectedWait(ownWeight float64) time.Duration {
+	if q.PerSecond <= 0 {
 		return 0
 	}
-	part := own / (own + l.Competing)
-	return time.Duration(float64(l.Ahead+1) / (l.PerSecond * part) * float64(time.Second))
+	share := ownWeight / (ownWeight + q.CompetingWeight)
+	return time.Duration(float64(q.Ahead+1) / (q.PerSecond * share) * float64(time.Second))
 }
 
-func places(s state.State, a value.ClientAccount) int {
+// queueLimit returns how many requests of the client account may wait.
+func queueLimit(s state.State, a value.ClientAccount) int {
 	length := s.Config.Document.Limits.QueueLength
 	if length <= 0 {
 		return 0
 	}
-	return max(1, int(float64(length)*weight(a)/max(1, s.TotalShares())))
+	return max(1, int(float64(length)*accountWeight(a)/max(1, s.TotalShares())))
 }
 
-const leastRetryAfter = time.Second
+const minRetryAfter = time.Second
 
-func busy(why value.Reason, detail string, after time.Duration) value.Refusal {
-	r := refuse(why, detail)
-	r.RetryAfter = max(after, leastRetryAfter)
+func refuseWithRetryAfter(reason value.Reason, detail string, retryAfter time.Duration) value.Refusal {
+	r := refuse(reason, detail)
+	r.RetryAfter = max(retryAfter, minRetryAfter)
 	return r
 }
--- a/core/query/report.go
+++ b/core/query/report.go
@@ -7,19 +7,19 @@
 	"endivehitch/core/value"
 )
 
-// Status is an instance's view of the fleet.
+// Status is the fleet and the configuration as one instance knows them.
 type Status struct {
 	Self     value.InstanceID
 	Digest   string
 	Revision int64
-	// Newest is the newest configuration revision that the instance has heard of.
+	// Newest is the newest configuration revision that the instance knows of.
 	Newest   int64
 	Fleet    []Standing
 	RollOuts []value.Progress
 }
 
-// Report returns which instance has which configuration, and for how long it has lagged, by what the
-// instances of the fleet say of themselves.
+// Report returns the status of the fleet: which configuration each of the given instances has in
+// force and for how long it has lagged, as the instances themselves report it.
 func Report(s state.State, fleet []value.Instance, now time.Time) Status {
 	status := Status{
 		Self:     s.Self.ID,
@@ -28,7 +28,7 @@
 		Newest:   s.Newest,
 	}
 	for _, i := range fleet {
-		status.Fleet = append(status.Fleet, standing(s, i, now))
+		status.Fleet = append(status.Fleet, standingOf(s, i, now))
 	}
 	for _, r := range s.Config.Document.RollOuts {
 		status.RollOuts = append(status.RollOuts, s.Position(r))
--- a/core/query/report_test.go
+++ b/core/query/report_test.go
@@ -12,7 +12,7 @@
 	"endivehitch/core/value"
 )
 
-func TestReportTellsHowLongAnInstanceHasLagged(t *testing.T) {
+func TestReportStatesHowLongEachInstanceHasLagged(t *testing.T) {
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	accepted := value.Accepted{Document: value.Document{RollOuts: []value.RollOut{{Name: "r"}}}, Revision: 9}
 	s, _ := cmds.InstallConfig{Accepted: accepted}.Apply(state.New(value.Instance{ID: "a"}), start)
--- a/core/query/retry.go
+++ b/core/query/retry.go
@@ -6,17 +6,17 @@
 	"endivehitch/core/value"
 )
 
-// Failed is what is known of a run that failed.
+// Failed describes a failed attempt.
 type Failed struct {
-	// Sent is false when nothing reached the backend server.
+	// Sent is false if nothing of the request reached the backend server.
 	Sent bool
-	// Begun is true once part of the answer has gone to the caller.
+	// Begun is true if part of the answer has been sent to the caller.
 	Begun bool
-	// Attempts counts the runs so far, the failed one included.
+	// Attempts counts the attempts so far, including the failed one.
 	Attempts int
 }
 
-// Retry reports whether the request may be run again after a failure.
+// Retry reports whether the request may be retried after the failure.
 func Retry(k value.Kind, r value.Request, f Failed, now time.Time) bool {
 	if f.Begun {
 		return false
@@ -30,13 +30,14 @@
 	return r.Deadline.After(now)
 }
 
-// RetryCosts reports whether a retry after the failure takes from the retry budget: what never
-// reached a backend server has put no load on one.
+// RetryCosts reports whether a retry after the failure counts against the retry budget. An attempt
+// that never reached a backend server does not, because it put no load on one.
 func RetryCosts(f Failed) bool {
 	return f.Sent
 }
 
-// RanBefore reports whether a refusal for the reason speaks of an earlier run under the same key.
-func RanBefore(why value.Reason) bool {
-	return why == value.ReasonStillRunning || why == value.ReasonOutcomeUnknown
+// RanBefore reports whether the reason of a refusal means that an earlier request with the same
+// idempotency key was or may have been run.
+func RanBefore(reason value.Reason) bool {
+	return reason == value.ReasonStillRunning || reason == value.ReasonOutcomeUnknown
 }
--- a/core/query/route.go
+++ b/core/query/route.go
@@ -9,22 +9,22 @@
 	"endivehitch/core/value"
 )
 
-// Loads looks up what the instance has observed of a backend server.
+// Loads returns the load of a backend server as this instance has observed it.
 type Loads func(value.ServerID) value.Load
 
-// Target says what is to be routed: a version of a model, or a plain service.
+// Target is what a request needs a backend server for: a version of a model, or a plain service.
 type Target struct {
 	Version value.VersionKey
 	Service value.ServiceName
-	// Tried lists the servers that this request has already used.
+	// Tried lists the servers already used for this request, which are not chosen again.
 	Tried []value.ServerID
-	// Long is set when the run is expected to last much longer than most.
+	// Long is set if the attempt is expected to take much longer than most.
 	Long bool
-	// Prefix identifies the prompt's leading part; zero means none.
+	// Prefix is the hash of the prompt's prefix; zero means none.
 	Prefix uint64
 }
 
-// Choice is the backend server chosen and among how many.
+// Choice is the backend server chosen, the number of candidates and the reason.
 type Choice struct {
 	Server     value.BackendServer
 	Candidates int
@@ -32,27 +32,28 @@
 }
 
 // Route picks a backend server for the target; the error is a value.Refusal, whose reason is
-// Overloaded where the servers that could take the target have no room at present.
+// Overloaded if the servers that could take the target have no capacity at present.
 func Route(s state.State, t Target, loads Loads, rnd policy.Rand, now time.Time) (Choice, error) {
 	if Retired(s, t) {
 		return Choice{}, refuse(value.ReasonVersionRetired, "version "+string(t.Version)+" is withdrawn")
 	}
 	servers := Servers(s, t)
 	r := router{state: s, target: t, loads: loads, now: now}
-	pick := policy.Sample[value.BackendServer]{Tries: sampleTries, Score: r.score}
-	b, ok := pick.Pick(servers, rnd)
+	sampler := policy.Sample[value.BackendServer]{Tries: sampleSize, Score: r.score}
+	b, ok := sampler.Pick(servers, rnd)
 	if ok {
-		return r.near(b, servers), nil
+		return r.preferPrefix(b, servers), nil
 	}
-	if r.crowded {
+	if r.saturated {
 		return Choice{}, refuse(value.ReasonOverloaded, "backend servers have no room")
 	}
-	// Nothing but ejected servers is left, and a slow answer is better than none.
-	r.lenient = true
-	if b, ok = pick.Pick(servers, rnd); ok {
+	// All other servers are excluded, so ejected ones are tried too: a slow answer is better than
+	// none.
+	r.includeEjected = true
+	if b, ok = sampler.Pick(servers, rnd); ok {
 		return Choice{Server: b, Candidates: len(servers), Reason: value.ReasonLeastLoaded}, nil
 	}
-	if r.crowded {
+	if r.saturated {
 		return Choice{}, refuse(value.ReasonOverloaded, "backend servers have no room")
 	}
 	return Choice{}, refuse(value.ReasonNoServer, "no backend server can take the request")
@@ -63,23 +64,27 @@
 	return t.Version != "" && s.Withdrawn(t.Version)
 }
 
-// Two samples remove most of the imbalance of a random choice; more make
-// instances with the same view herd on the same server.
-const sampleTries = 2
+// sampleSize is how many random servers are compared. Two remove most of the imbalance of a random
+// choice; with more, instances with the same view would herd on the same server.
+const sampleSize = 2
 
 const (
+	// estimateHalfLife is the age at which an observed time to first token counts half.
 	estimateHalfLife = 10 * time.Second
-	// reportLife is the age at which a report counts no more.
-	reportLife = 2 * time.Second
-	// farFactor is the preference for servers in the instance's own failure domain. As a factor of
-	// a score that grows with load, it can't overload that domain.
-	farFactor = 1.15
-	// leastEstimate stands for a server that nothing is known of, so that it is tried soon.
-	leastEstimate = time.Millisecond
-	// affinityBound is how much worse than a sampled server the one that has the prefix may be.
+	// reportMaxAge is the age at which a server's load report is ignored.
+	reportMaxAge = 2 * time.Second
+	// otherDomainFactor is the penalty on the score of servers in other failure domains. As a
+	// factor on a score that grows with load, it cannot overload the instance's own domain.
+	otherDomainFactor = 1.15
+	// minEstimate is the time to first token assumed for a server without observations; it is
+	// small, so that the server is tried soon.
+	minEstimate = time.Millisecond
+	// affinityBound is how many times the sampled server's score a server with the prefix may have.
 	affinityBound = 2.0
+	// affinityTries is how many servers are considered as those that have the prefix cached.
 	affinityTries = 3
-	leastStart    = 0.1
+	// minWarmUp is the least share of normal work that a server gets during its warm-up period.
+	minWarmUp = 0.1
 )
 
 // Servers returns the live backend servers that carry the target; the slice must not be changed.
@@ -94,16 +99,16 @@
 	return s.Members(service.Pool)
 }
 
-// Takes reports whether the one server can take the target now.
+// Takes reports whether the given server can take the target now.
 func Takes(s state.State, t Target, b value.BackendServer, loads Loads, now time.Time) (Choice, bool) {
-	if b.State != value.ServerLive || !serves(s, t, b) {
+	if b.State != value.ServerLive || !servesTarget(s, t, b) {
 		return Choice{}, false
 	}
 	r := router{state: s, target: t, loads: loads, now: now}
 	return Choice{Server: b, Candidates: 1, Reason: value.ReasonPlaceFreed}, r.score(b) < policy.Never
 }
 
-func serves(s state.State, t Target, b value.BackendServer) bool {
+func servesTarget(s state.State, t Target, b value.BackendServer) bool {
 	if t.Version != "" {
 		return b.Carries(t.Version)
 	}
@@ -111,19 +116,20 @@
 	return ok && service.Pool == b.Pool
 }
 
-// router is the scoring of one decision.
+// router scores the servers in one routing decision; lower scores are better.
 type router struct {
 	state  state.State
 	target Target
 	loads  Loads
 	now    time.Time
-	// pool is that of the server scored last; most targets have one pool only.
+	// pool and limits are cached from the server scored last, because most targets have only one
+	// pool.
 	pool   value.Pool
 	limits policy.LimiterConfig
-	// crowded is set once a server was passed over for want of room.
-	crowded bool
-	// lenient scoring takes ejected servers too.
-	lenient bool
+	// saturated is set once a server was skipped because it has no capacity.
+	saturated bool
+	// includeEjected allows ejected servers.
+	includeEjected bool
 }
 
 func (r *router) score(b value.BackendServer) float64 {
@@ -131,37 +137,40 @@
 		return policy.Never
 	}
 	l := r.loads(b.ID)
-	if l.Ejected.After(r.now) && !r.lenient {
+	if l.Ejected.After(r.now) && !r.includeEjected {
 		return policy.Never
 	}
 	if b.Pool != r.pool.Name {
 		r.pool, _ = r.state.Pool(b.Pool)
-		r.limits = limitsOf(r.state, r.pool)
+		r.limits = limiterConfig(r.state, r.pool)
 	}
-	if r.pool.MaxInFlight > 0 && !hasRoom(r.limits, l, r.target.Long) {
-		r.crowded = true
+	if r.pool.MaxInFlight > 0 && !hasCapacity(r.limits, l, r.target.Long) {
+		r.saturated = true
 		return policy.Never
 	}
 	cost := expectedWait(l, r.now)
 	if b.FailureDomain != r.state.Self.FailureDomain {
-		cost *= farFactor
+		cost *= otherDomainFactor
 	}
-	return cost / r.warmth(b, l)
+	return cost / r.warmUp(b, l)
 }
 
-// expectedWait weighs own observation before the server's report, which comes late.
+// expectedWait estimates a new request's time to first token, in nanoseconds, from the observed
+// time to first token and the queue length. The queue length in the server's own report counts less
+// the older it is, because reports arrive late.
 func expectedWait(l value.Load, now time.Time) float64 {
-	estimate := max(l.FirstToken.Aged(estimateHalfLife, now), l.OldestWait(now), leastEstimate)
+	estimate := max(l.FirstToken.Aged(estimateHalfLife, now), l.OldestWait(now), minEstimate)
 	queue := float64(l.InFlight + 1)
 	if l.ReportedQueue > 0 {
 		age := now.Sub(l.Reported)
-		queue += float64(l.ReportedQueue) * max(0, 1-float64(age)/float64(reportLife))
+		queue += float64(l.ReportedQueue) * max(0, 1-float64(age)/float64(reportMaxAge))
 	}
 	return float64(estimate) * queue
 }
 
-// warmth grows from little to 1 while a server is new or back from ejection.
-func (r *router) warmth(b value.BackendServer, l value.Load) float64 {
+// warmUp returns the server's share of normal work, which grows from minWarmUp to 1 during the
+// pool's warm-up period after the server became live or its ejection ended.
+func (r *router) warmUp(b value.BackendServer, l value.Load) float64 {
 	since := b.Since
 	if l.Ejected.After(since) {
 		since = l.Ejected
@@ -170,22 +179,22 @@
 	if r.pool.SlowStart <= 0 || age >= r.pool.SlowStart {
 		return 1
 	}
-	return max(leastStart, float64(age)/float64(r.pool.SlowStart))
+	return max(minWarmUp, float64(age)/float64(r.pool.SlowStart))
 }
 
-// near prefers the server that is likely to have the prompt's prefix cached, unless its load
-// makes it much worse than the sampled one.
-func (r *router) near(b value.BackendServer, servers []value.BackendServer) Choice {
+// preferPrefix returns a server that is likely to have the prompt's prefix cached, unless its score
+// is much worse than that of the sampled server b; then it returns b.
+func (r *router) preferPrefix(b value.BackendServer, servers []value.BackendServer) Choice {
 	c := Choice{Server: b, Candidates: len(servers), Reason: value.ReasonLeastLoaded}
 	if r.target.Prefix == 0 {
 		return c
 	}
-	bound := affinityBound * r.score(b)
-	first := state.Position(servers, r.target.Prefix)
+	maxScore := affinityBound * r.score(b)
+	start := state.Position(servers, r.target.Prefix)
 	for i := range min(affinityTries, len(servers)) {
-		home := servers[(first+i)%len(servers)]
-		if r.score(home) <= bound {
-			c.Server = home
+		candidate := servers[(start+i)%len(servers)]
+		if r.score(candidate) <= maxScore {
+			c.Server = candidate
 			c.Reason = value.ReasonPrefix
 			return c
 		}
--- a/core/query/settle.go
+++ b/core/query/settle.go
@@ -2,48 +2,49 @@
 
 import "endivehitch/core/value"
 
-// Outcome says what became of a change.
+// Outcome is the outcome of a change to the configuration.
 type Outcome string
 
 // The outcomes of a change.
 const (
-	// OutcomeApplied says that the change stands.
+	// OutcomeApplied means that the change led to the record in force.
 	OutcomeApplied Outcome = "Applied"
-	// OutcomeOvertaken says that the change took effect and a later one stands in its place.
+	// OutcomeOvertaken means that the change took effect and a later one has replaced it.
 	OutcomeOvertaken Outcome = "Overtaken"
-	// OutcomeOpen says that the change has not taken effect and still can.
+	// OutcomeOpen means that the change has not taken effect and still can.
 	OutcomeOpen Outcome = "Open"
-	// OutcomeConflict says that another change replaced the revision that this one expected.
+	// OutcomeConflict means that another change replaced the revision that this one expected.
 	OutcomeConflict Outcome = "Conflict"
-	// OutcomeBehind says that what stands is older than the revision that the change expects.
+	// OutcomeBehind means that the record is older than the revision that the change expects.
 	OutcomeBehind Outcome = "Behind"
-	// OutcomeForgotten says that the trail no longer reaches back to the revision that the change expects.
+	// OutcomeForgotten means that the change history no longer reaches back to the revision that
+	// the change expects.
 	OutcomeForgotten Outcome = "Forgotten"
 )
 
-// Settle tells from what stands what became of a change.
+// Settle returns the outcome of a change, given the current record.
 //
-// At most one change replaces a revision, so the one that replaced the expected
-// revision decides: it is this change, or this change never takes effect. The
-// answer holds even if what stands was read from an older state.
-func Settle(present value.Standing, mine value.Change) Outcome {
-	if present.Revision < mine.Expect {
+// At most one change can replace a revision. If the change that replaced the expected revision is
+// another one, this change never takes effect. The outcome is also valid for a record that was read
+// from an older state.
+func Settle(current value.Standing, change value.Change) Outcome {
+	if current.Revision < change.Expect {
 		return OutcomeBehind
 	}
-	if present.Revision == mine.Expect {
+	if current.Revision == change.Expect {
 		return OutcomeOpen
 	}
-	if present.Change.ID == mine.ID {
+	if current.Change.ID == change.ID {
 		return OutcomeApplied
 	}
-	if present.Change.Expect == mine.Expect {
+	if current.Change.Expect == change.Expect {
 		return OutcomeConflict
 	}
-	for _, c := range present.Trail {
-		if c.ID == mine.ID {
+	for _, c := range current.Trail {
+		if c.ID == change.ID {
 			return OutcomeOvertaken
 		}
-		if c.Expect == mine.Expect {
+		if c.Expect == change.Expect {
 			return OutcomeConflict
 		}
 	}
--- a/core/query/settle_test.go
+++ b/core/query/settle_test.go
@@ -10,9 +10,9 @@
 	"endivehitch/core/value"
 )
 
-func TestSettleTellsALostAnswerFromAConflict(t *testing.T) {
+func TestSettleDistinguishesALostResponseFromAConflict(t *testing.T) {
 	mine := value.Change{ID: "mine", Expect: 7, Digest: "d1"}
-	rival := value.Change{ID: "rival", Expect: 7, Digest: "d1"}
+	other := value.Change{ID: "rival", Expect: 7, Digest: "d1"}
 	later := value.Change{ID: "later", Expect: 8}
 	cases := []struct {
 		name    string
@@ -20,22 +20,22 @@
 		want    query.Outcome
 	}{
 		{"applied", value.Standing{Revision: 8, Change: mine}, query.OutcomeApplied},
-		{"applied and followed", value.Standing{Revision: 9, Change: later, Trail: []value.Change{mine}}, query.OutcomeOvertaken},
-		{"not yet", value.Standing{Revision: 7, Change: value.Change{ID: "before", Expect: 5}}, query.OutcomeOpen},
-		{"same bytes by another", value.Standing{Revision: 8, Change: rival}, query.OutcomeConflict},
-		{"another, followed", value.Standing{Revision: 9, Change: later, Trail: []value.Change{rival}}, query.OutcomeConflict},
-		{"read from an older state", value.Standing{Revision: 5}, query.OutcomeBehind},
-		{"trail too short", value.Standing{Revision: 9, Change: later}, query.OutcomeForgotten},
+		{"applied and replaced by a later change", value.Standing{Revision: 9, Change: later, Trail: []value.Change{mine}}, query.OutcomeOvertaken},
+		{"not applied yet", value.Standing{Revision: 7, Change: value.Change{ID: "before", Expect: 5}}, query.OutcomeOpen},
+		{"another change with the same digest applied", value.Standing{Revision: 8, Change: other}, query.OutcomeConflict},
+		{"another change applied and replaced by a later one", value.Standing{Revision: 9, Change: later, Trail: []value.Change{other}}, query.OutcomeConflict},
+		{"record read from an older state", value.Standing{Revision: 5}, query.OutcomeBehind},
+		{"change history too short", value.Standing{Revision: 9, Change: later}, query.OutcomeForgotten},
 	}
 	for _, c := range cases {
 		assert.Equal(t, query.Settle(c.present, mine), c.want, c.name)
 	}
 }
 
-func TestPromoteMovesOnlyWhatStandsInTrial(t *testing.T) {
+func TestPromoteAcceptsOnlyTheDigestInForceInTrial(t *testing.T) {
 	trial := value.Standing{Revision: 5, Change: value.Change{ID: "t", Digest: "d2"}}
-	old := value.Standing{Revision: 3, Change: value.Change{ID: "p", Digest: "d1"}}
-	digest, err := query.Promote(trial, old, "")
+	current := value.Standing{Revision: 3, Change: value.Change{ID: "p", Digest: "d1"}}
+	digest, err := query.Promote(trial, current, "")
 	assert.NilError(t, err)
 	assert.Equal(t, digest, "d2")
 	refused := func(trial, production value.Standing, digest string) value.Reason {
@@ -44,7 +44,7 @@
 		assert.Assert(t, errors.As(err, &r), "%v", err)
 		return r.Reason
 	}
-	assert.Equal(t, refused(trial, old, "d1"), value.ReasonNotInTrial)
-	assert.Equal(t, refused(value.Standing{}, old, "d2"), value.ReasonNothingKept)
+	assert.Equal(t, refused(trial, current, "d1"), value.ReasonNotInTrial)
+	assert.Equal(t, refused(value.Standing{}, current, "d2"), value.ReasonNothingKept)
 	assert.Equal(t, refused(trial, trial, "d2"), value.ReasonAlreadyInForce)
 }
--- a/core/query/share.go
+++ b/core/query/share.go
@@ -2,7 +2,7 @@
 
 import "endivehitch/core/value"
 
-// ShareKey identifies requests that may use one run.
+// ShareKey identifies requests that may share one attempt (request coalescing).
 type ShareKey struct {
 	Account   value.AccountName
 	Kind      value.KindName
@@ -13,12 +13,13 @@
 	Stream    bool
 }
 
-// Shares reports whether the request may use the run of another one with the same question.
+// Shares reports whether the request may share the attempt of another one with the same question.
 func Shares(k value.Kind, r value.Request) bool {
 	return k.Share && k.Idempotent && r.Question != 0
 }
 
-// ShareKeyOf returns the request's key; a session that keeps another version asks another question.
+// ShareKeyOf returns the request's key; it contains the pinned version, so that sessions on
+// different versions do not share.
 func ShareKeyOf(r value.Request) ShareKey {
 	return ShareKey{
 		Account: r.Account, Kind: r.Kind, Question: r.Question, Pinned: r.Pinned,
--- a/core/query/stage.go
+++ b/core/query/stage.go
@@ -6,17 +6,18 @@
 	"endivehitch/core/value"
 )
 
-// staged replaces a version that a roll-out is replacing, for the stage's share of new sessions.
+// applyStage puts the new version of a roll-out in the old one's place, for the share of new
+// sessions that the roll-out's present stage sets.
 //
-// The share of a session does not depend on the stage, so that a session stays on the new version
+// A session's hash does not depend on the stage, so that a session on the new version stays there
 // when the share grows. A client account that may not use the new version stays on the old one.
-func (c *chooser) staged(p Plan) Plan {
+func (c *chooser) applyStage(p Plan) Plan {
 	for step, k := range p.Versions {
 		next := c.menu.Offers[c.menu.Find(k)].Next
-		if next.Percent == 0 || !c.takes(next.Offer) {
+		if next.Percent == 0 || !c.canTake(next.Offer) {
 			continue
 		}
-		if c.draw(string(next.RollOut))%wholeShare >= uint64(next.Percent) {
+		if c.sessionHash(string(next.RollOut))%fullPercent >= uint64(next.Percent) {
 			continue
 		}
 		p.Versions = slices.Clone(p.Versions)
@@ -24,13 +25,14 @@
 		p.Reason = value.ReasonStage
 		if !p.Cascade() {
 			p.CostMicros = c.cost(next.Offer)
-			p.Quality = c.lower(next.Offer)
+			p.Quality = c.lowerBound(next.Offer)
 		}
 	}
 	return p
 }
 
-// takes reports whether the version may receive new work, leaving aside whether a roll-out holds it.
-func (c *chooser) takes(i int) bool {
-	return c.allowed(i) && (!c.serving || len(c.state.Carriers(c.menu.Offers[i].Key)) > 0)
+// canTake reports whether the account may use the version and a server carries it, where that is
+// required; it ignores whether the version is held back for its roll-out.
+func (c *chooser) canTake(i int) bool {
+	return c.allowed(i) && (!c.requireCarrier || len(c.state.Carriers(c.menu.Offers[i].Key)) > 0)
 }
--- a/core/query/totals.go
+++ b/core/query/totals.go
@@ -15,7 +15,7 @@
 	CostMicros int64
 }
 
-// Totals sums the charges of each client account, by name.
+// Totals returns the sum of the charges of each client account, in the order of names.
 func (a Audit) Totals() []Total {
 	sums := make(map[value.AccountName]Total)
 	for _, b := range a.Charges {
--- a/core/query/totals_test.go
+++ b/core/query/totals_test.go
@@ -10,7 +10,7 @@
 	"endivehitch/core/value"
 )
 
-func TestTotalsChargeABillThatWasKeptTwiceOnce(t *testing.T) {
+func TestTotalsChargeABillStoredTwiceOnlyOnce(t *testing.T) {
 	bill := func(id value.RequestID, account value.AccountName, cost int64) ledger.Entry {
 		return ledger.Entry{Bill: value.Bill{Request: id, Account: account, CostMicros: cost}}
 	}
--- a/core/query/words.go
+++ b/core/query/words.go
@@ -7,8 +7,8 @@
 	"endivehitch/core/value"
 )
 
-// stepWords says in plain words what a decision was about.
-var stepWords = map[value.Step]string{
+// stepTexts describes what a decision was about.
+var stepTexts = map[value.Step]string{
 	value.StepAdmit:    "admission",
 	value.StepQueue:    "the queue",
 	value.StepPlan:     "the choice of version",
@@ -22,8 +22,8 @@
 	value.StepEject:    "the ejection of a backend server",
 }
 
-// reasonWords says in plain words why a decision fell as it did.
-var reasonWords = map[value.Reason]string{
+// reasonTexts describes why a decision was made, as the end of a sentence after "because".
+var reasonTexts = map[value.Reason]string{
 	value.ReasonCheapest:       "it is the cheapest that is known to meet the quality target",
 	value.ReasonBestEffort:     "no allowed version is known to meet the quality target, and it is the best there is",
 	value.ReasonPinned:         "the session keeps its version",
@@ -72,16 +72,16 @@
 	value.ReasonNoConfiguration: "no document is in force yet",
 }
 
-// otherwise returns the words of the table, or those of the name itself.
-func otherwise[K ~string](table map[K]string, name K, prefix string) string {
+// textOf returns the name's text in the table, or else the prefix and the words of the name itself.
+func textOf[K ~string](table map[K]string, name K, prefix string) string {
 	if text, ok := table[name]; ok {
 		return text
 	}
-	return prefix + words(string(name))
+	return prefix + splitPascalCase(string(name))
 }
 
-// words turns a name in Pascal case into words.
-func words(name string) string {
+// splitPascalCase turns a name in Pascal case into lower-case words.
+func splitPascalCase(name string) string {
 	var b strings.Builder
 	for i, r := range name {
 		if unicode.IsUpper(r) && i > 0 {
