--- a/core/relay/age.go
+++ b/core/relay/age.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// OrderAge is what one instance tells another of how old a roll-out's order is.
+// OrderAge is the age of a roll-out's order as one instance reports it to another.
 type OrderAge struct {
 	Service ServiceName
-	// Revision is the order's own revision.
+	// Revision is the store revision of the order.
 	Revision int64
-	// Age is the time since the order was given, by the steady clock of the instance that tells.
+	// Age is the time since the order was given, by the monotonic clock of the reporting instance.
 	Age time.Duration
 }
 
-// OrderAges returns the ages of the orders whose start the instance knows.
+// OrderAges returns the ages of the orders whose age is known rather than estimated.
 func (s State) OrderAges(now time.Time) []OrderAge {
 	var known []OrderAge
 	for _, p := range s.rollOuts {
@@ -25,8 +25,8 @@
 	return known
 }
 
-// AgeUnknown reports whether there is an open roll-out whose order was given while the instance
-// was not there to see it.
+// AgeUnknown reports whether the age of some unfinished roll-out's order is only estimated, since
+// the instance was not running, or not connected to the store, when the order was given.
 func (s State) AgeUnknown() bool {
 	for _, p := range s.rollOuts {
 		if p.Order.Target != "" && !p.AgeKnown && !p.Phase().Final() {
@@ -36,14 +36,13 @@
 	return false
 }
 
-// WithOrderAges returns a state in which orders that the instance did not see being given are as old
-// as others tell.
-func (s State) WithOrderAges(told []OrderAge, at time.Time) State {
+// WithOrderAges returns a state in which orders of unknown age have the ages reported by others.
+func (s State) WithOrderAges(reported []OrderAge, at time.Time) State {
 	plans := make(map[ServiceName]Plan, len(s.rollOuts))
 	for n, p := range s.rollOuts {
-		for _, t := range told {
-			if t.Service == n && t.Revision == p.Order.Revision && !p.AgeKnown {
-				p = p.withSeen(at.Add(-t.Age), true)
+		for _, age := range reported {
+			if age.Service == n && age.Revision == p.Order.Revision && !p.AgeKnown {
+				p = p.withOrderTime(at.Add(-age.Age), true)
 			}
 		}
 		plans[n] = p
@@ -52,25 +51,26 @@
 	return s
 }
 
-func (p Plan) withSeen(at time.Time, known bool) Plan {
+func (p Plan) withOrderTime(at time.Time, known bool) Plan {
 	p.Seen, p.AgeKnown = at, known
 	return p
 }
 
-// presumed returns when the order was given as far as the start of the target's servers tells, which
-// are started for it: the median, as single servers may have started anew since. It rests on the time
-// of day, so what other instances tell goes first.
-func (p Plan) presumed(servers []Server, at time.Time) time.Time {
-	var born []time.Time
-	for _, v := range servers {
-		if v.Release == p.Order.Target && !v.Born.IsZero() {
-			born = append(born, v.Born)
+// estimatedOrderTime estimates when the order was given by the median start time of the servers
+// that run its target release: they were started for the order, and single ones may have restarted
+// since. The estimate depends on the wall clocks of several machines, so ages reported by other
+// instances replace it.
+func (p Plan) estimatedOrderTime(servers []Server, at time.Time) time.Time {
+	var startTimes []time.Time
+	for _, server := range servers {
+		if server.Release == p.Order.Target && !server.Born.IsZero() {
+			startTimes = append(startTimes, server.Born)
 		}
 	}
-	if len(born) == 0 {
+	if len(startTimes) == 0 {
 		return at
 	}
-	slices.SortFunc(born, time.Time.Compare)
-	age := at.Sub(born[len(born)/2])
+	slices.SortFunc(startTimes, time.Time.Compare)
+	age := at.Sub(startTimes[len(startTimes)/2])
 	return at.Add(-max(0, min(age, p.Order.Within)))
 }
--- a/core/relay/age_test.go
+++ b/core/relay/age_test.go
@@ -9,68 +9,68 @@
 	"endivehitch/core/relay"
 )
 
-const within = 20 * time.Second
+const rollOutTime = 20 * time.Second
 
-func order(revision int64) relay.Change {
+func orderAt(revision int64) relay.Change {
 	return relay.Change{Key: "order", Revision: revision, Entry: relay.Entry{
-		RollOut: &relay.RollOut{Service: "engine", Target: "v2", Within: within},
+		RollOut: &relay.RollOut{Service: "engine", Target: "v2", Within: rollOutTime},
 	}}
 }
 
-func started(id relay.ServerID, revision int64, r relay.Release, at time.Time) relay.Change {
-	c := server(id, revision)
-	c.Entry.Server.Release, c.Entry.Server.Born = r, at
-	return c
+func startedServer(id relay.ServerID, revision int64, release relay.Release, startTime time.Time) relay.Change {
+	change := serverAdded(id, revision)
+	change.Entry.Server.Release, change.Entry.Server.Born = release, startTime
+	return change
 }
 
-func seen(t *testing.T, s relay.State) relay.Plan {
+func engineRollOut(t *testing.T, state relay.State) relay.Plan {
 	t.Helper()
-	p, ok := s.Plan("engine")
+	rollOut, ok := state.Plan("engine")
 	assert.Assert(t, ok)
-	return p
+	return rollOut
 }
 
-func TestAnInstanceThatSawAnOrderTellsItsAge(t *testing.T) {
-	s := relay.New(relay.Member{}).WithFeed(whole(5, config(1, 5)), start, grace)
-	s = s.WithFeed(after(5, 6, order(6)), start, grace)
-	assert.Assert(t, !s.AgeUnknown())
-	s = s.WithFeed(after(6, 7, server("a", 7)), start.Add(3*time.Second), grace)
-	assert.DeepEqual(t, s.OrderAges(start.Add(4*time.Second)),
+func TestOrderAgesReportsOrderObservedWhenGiven(t *testing.T) {
+	state := relay.New(relay.Member{}).WithFeed(fullFeed(5, config(1, 5)), start, grace)
+	state = state.WithFeed(feedAfter(5, 6, orderAt(6)), start, grace)
+	assert.Assert(t, !state.AgeUnknown())
+	state = state.WithFeed(feedAfter(6, 7, serverAdded("a", 7)), start.Add(3*time.Second), grace)
+	assert.DeepEqual(t, state.OrderAges(start.Add(4*time.Second)),
 		[]relay.OrderAge{{Service: "engine", Revision: 6, Age: 4 * time.Second}})
 }
 
-func TestARestartedInstanceCountsFromTheOrder(t *testing.T) {
-	restarted := relay.New(relay.Member{}).WithFeed(whole(7, order(6)), start, grace)
+func TestRestartedInstanceTakesOrderAgeFromPeers(t *testing.T) {
+	restarted := relay.New(relay.Member{}).WithFeed(fullFeed(7, orderAt(6)), start, grace)
 	assert.Assert(t, restarted.AgeUnknown())
-	assert.Equal(t, len(restarted.OrderAges(start)), 0, "it must not pass on what it doesn't know")
-	told := []relay.OrderAge{{Service: "engine", Revision: 6, Age: 9 * time.Second}}
-	s := restarted.WithOrderAges(told, start.Add(time.Second))
-	assert.Equal(t, seen(t, s).Seen, start.Add(-8*time.Second))
-	assert.Assert(t, !s.AgeUnknown())
-	s = s.WithOrderAges([]relay.OrderAge{{Service: "engine", Revision: 6, Age: time.Second}}, start)
-	assert.Equal(t, seen(t, s).Seen, start.Add(-8*time.Second), "what is known stays")
-	old := []relay.OrderAge{{Service: "engine", Revision: 3, Age: 90 * time.Second}}
-	assert.Assert(t, restarted.WithOrderAges(old, start).AgeUnknown(), "an earlier order's age doesn't count")
+	assert.Equal(t, len(restarted.OrderAges(start)), 0, "an estimated age must not be reported")
+	reported := []relay.OrderAge{{Service: "engine", Revision: 6, Age: 9 * time.Second}}
+	state := restarted.WithOrderAges(reported, start.Add(time.Second))
+	assert.Equal(t, engineRollOut(t, state).Seen, start.Add(-8*time.Second))
+	assert.Assert(t, !state.AgeUnknown())
+	state = state.WithOrderAges([]relay.OrderAge{{Service: "engine", Revision: 6, Age: time.Second}}, start)
+	assert.Equal(t, engineRollOut(t, state).Seen, start.Add(-8*time.Second), "a known age is not replaced")
+	earlierOrder := []relay.OrderAge{{Service: "engine", Revision: 3, Age: 90 * time.Second}}
+	assert.Assert(t, restarted.WithOrderAges(earlierOrder, start).AgeUnknown(), "an earlier order's age doesn't count")
 }
 
-func TestAfterTheLossOfAllTheServersStartTellsTheAge(t *testing.T) {
-	s := relay.New(relay.Member{}).WithFeed(whole(9, order(6),
-		started("a", 1, "v1", start.Add(-time.Hour)),
-		started("b", 7, "v2", start.Add(-6*time.Second)),
-		started("c", 8, "v2", start.Add(-5*time.Second)),
-		started("d", 9, "v2", start.Add(-time.Second))), start, grace)
-	assert.Equal(t, seen(t, s).Seen, start.Add(-5*time.Second))
-	ancient := relay.New(relay.Member{}).WithFeed(whole(9, order(6), started("b", 7, "v2", start.Add(-time.Hour))), start, grace)
-	assert.Equal(t, seen(t, ancient).Seen, start.Add(-within))
-	none := relay.New(relay.Member{}).WithFeed(whole(9, order(6)), start, grace)
-	assert.Equal(t, seen(t, none).Seen, start)
+func TestOrderAgeIsEstimatedFromServerStartsWithoutPeers(t *testing.T) {
+	state := relay.New(relay.Member{}).WithFeed(fullFeed(9, orderAt(6),
+		startedServer("a", 1, "v1", start.Add(-time.Hour)),
+		startedServer("b", 7, "v2", start.Add(-6*time.Second)),
+		startedServer("c", 8, "v2", start.Add(-5*time.Second)),
+		startedServer("d", 9, "v2", start.Add(-time.Second))), start, grace)
+	assert.Equal(t, engineRollOut(t, state).Seen, start.Add(-5*time.Second))
+	longRunning := relay.New(relay.Member{}).WithFeed(fullFeed(9, orderAt(6), startedServer("b", 7, "v2", start.Add(-time.Hour))), start, grace)
+	assert.Equal(t, engineRollOut(t, longRunning).Seen, start.Add(-rollOutTime))
+	noServers := relay.New(relay.Member{}).WithFeed(fullFeed(9, orderAt(6)), start, grace)
+	assert.Equal(t, engineRollOut(t, noServers).Seen, start)
 }
 
-func TestAnOrderThatAnOutageHeldUpIsOfUnknownAge(t *testing.T) {
-	s := relay.New(relay.Member{}).WithFeed(whole(5, config(1, 5)), start, grace).WithAway(start)
-	back := start.Add(5 * time.Second)
-	assert.Assert(t, s.WithFeed(after(5, 6, order(6)), back, grace).AgeUnknown())
-	assert.Assert(t, s.WithBack(back).WithFeed(after(5, 6, order(6)), back, grace).AgeUnknown())
-	later := back.Add(time.Second)
-	assert.Assert(t, !s.WithBack(back).WithFeed(after(5, 6, order(6)), later, grace).AgeUnknown())
+func TestOrderReceivedAfterStoreOutageHasUnknownAge(t *testing.T) {
+	state := relay.New(relay.Member{}).WithFeed(fullFeed(5, config(1, 5)), start, grace).WithStoreUnreachable(start)
+	recovered := start.Add(5 * time.Second)
+	assert.Assert(t, state.WithFeed(feedAfter(5, 6, orderAt(6)), recovered, grace).AgeUnknown())
+	assert.Assert(t, state.WithStoreRecovered(recovered).WithFeed(feedAfter(5, 6, orderAt(6)), recovered, grace).AgeUnknown())
+	later := recovered.Add(time.Second)
+	assert.Assert(t, !state.WithStoreRecovered(recovered).WithFeed(feedAfter(5, 6, orderAt(6)), later, grace).AgeUnknown())
 }
--- a/core/relay/change.go
+++ b/core/relay/change.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Entry is one thing that the platform's store keeps; exactly one of its fields is set.
+// Entry is one record of the platform's store; exactly one of its fields is set.
 type Entry struct {
 	Config   *Config
 	Server   *Server
@@ -12,33 +12,34 @@
 	Duty     *Duty
 }
 
-// Change is one change of the store.
+// Change is one change of an entry in the store.
 type Change struct {
-	// Key identifies the entry, within the store.
+	// Key is the entry's key in the store.
 	Key string
 	// Revision orders the changes.
 	Revision int64
-	// Gone is set when the entry was removed or can't be read.
+	// Gone is set when the entry was removed or can't be decoded.
 	Gone  bool
 	Entry Entry
 }
 
-// Feed is what a reader learns: the changes after one revision, or a whole image.
+// Feed is what a reader of the store, or of another instance, receives: the changes after a
+// revision, or a full snapshot of the store.
 type Feed struct {
-	// Whole is set when Changes hold everything there is at Revision.
+	// Whole is set when Changes hold all entries of the store as of Revision.
 	Whole   bool
 	Changes []Change
-	// After is the revision that the changes follow.
+	// After is the revision that the changes follow; it has no meaning in a full snapshot.
 	After    int64
 	Revision int64
-	// TooMuch is set when there is more than the instance that tells is ready to send.
+	// TooMuch is set when there are more changes than the sending instance allows in one answer.
 	TooMuch bool
-	// Away is set when the instance that tells can't reach the store.
+	// Away is set when the sending instance can't reach the store.
 	Away bool
-	// Served is how long ago the store answered the instance that tells, or one that told it; zero
-	// means that this isn't known.
+	// Served is how long ago the store last answered the sending instance or, as reported to it,
+	// another one; zero means unknown.
 	Served time.Duration
-	// Back is how long ago the store came back, for the instance that tells; zero means that it was
-	// never away.
+	// Back is how long ago the sending instance found the store reachable again after an outage;
+	// zero means that there was none.
 	Back time.Duration
 }
--- a/core/relay/cmds/away.go
+++ b/core/relay/cmds/away.go
@@ -17,5 +17,5 @@
 	if !s.Away.IsZero() {
 		return s, nil
 	}
-	return s.WithAway(now), []relay.Effect{relay.Decided{What: "StoreLost", Revision: s.Revision, Detail: c.Cause}}
+	return s.WithStoreUnreachable(now), []relay.Effect{relay.Decided{What: "StoreLost", Revision: s.Revision, Detail: c.Cause}}
 }
--- a/core/relay/cmds/learn.go
+++ b/core/relay/cmds/learn.go
@@ -25,15 +25,15 @@
 		lines = append(lines, relay.Decided{
 			What: "StoreRegained", Revision: s.Revision, Detail: "after " + now.Sub(s.Away).Round(time.Millisecond).String(),
 		})
-		s = s.WithBack(now)
+		s = s.WithStoreRecovered(now)
 	}
 	if c.Direct {
-		s = s.WithServed(now)
+		s = s.WithStoreAnswered(now)
 	} else if c.Feed.Served > 0 {
-		s = s.WithServed(now.Add(-c.Feed.Served))
+		s = s.WithStoreAnswered(now.Add(-c.Feed.Served))
 	}
 	if !c.Direct && c.Feed.Back > 0 {
-		s = s.WithBackSince(now.Add(-c.Feed.Back))
+		s = s.WithReportedRecovery(now.Add(-c.Feed.Back))
 	}
 	next := s.WithFeed(c.Feed, now, c.Grace)
 	return next, append(lines, c.lines(s, next)...)
--- a/core/relay/effect.go
+++ b/core/relay/effect.go
@@ -1,17 +1,17 @@
 package relay
 
-// Effect is work that a command asks of the workers outside the control loop.
+// Effect is work that a command leaves to the workers outside the control loop.
 type Effect interface {
 	effect()
 }
 
-// Decided asks for a log line about a change of what the instance believes.
+// Decided asks for a log line about a change of the control state.
 type Decided struct {
-	// What names the decision, such as ServerLeft.
+	// What names the decision, such as ServerReady.
 	What string
-	// Subject identifies what the decision is about.
+	// Subject identifies the record that the decision is about, or is empty.
 	Subject string
-	// Revision is the store's revision that decided it.
+	// Revision is the store revision that led to the decision.
 	Revision int64
 	Detail   string
 }
--- a/core/relay/gain.go
+++ b/core/relay/gain.go
@@ -1,34 +1,34 @@
 package relay
 
-// Gain is how much surer of its answers one model is than a smaller one is of its own to the same
-// requests, on the scale from 0 to 100; the zero value has seen nothing.
+// Gain estimates how much higher one model's confidence is than a smaller one's for the same
+// requests; confidences are from 0 to 100. The zero value holds no observations.
 type Gain struct {
 	sum    float64
 	weight float64
 }
 
 const (
-	// gainMemory is how many requests a gain stands for at most.
-	gainMemory = 50
-	// presumedGain is taken for a model that hardly answered yet, with the weight of presumedWeight
-	// requests, so that each model is tried.
-	presumedGain   = 15
-	presumedWeight = 3
+	// maxGainWeight bounds the weight of past requests, so that newer ones replace them.
+	maxGainWeight = 50
+	// priorGain is the gain assumed in advance, with the weight of priorWeight requests, so that a
+	// model with few answers is tried.
+	priorGain   = 15
+	priorWeight = 3
 )
 
-// With returns a gain that has also seen a request that the smaller model answered with one
-// confidence and the larger one with another.
+// With returns a gain that includes one more request, with the confidences of the smaller and the
+// larger model's answers to it.
 func (g Gain) With(smaller, larger int) Gain {
-	if g.weight >= gainMemory {
-		kept := (gainMemory - 1) / g.weight
-		g.sum, g.weight = g.sum*kept, g.weight*kept
+	if g.weight >= maxGainWeight {
+		remaining := (maxGainWeight - 1) / g.weight
+		g.sum, g.weight = g.sum*remaining, g.weight*remaining
 	}
 	g.sum += float64(larger - smaller)
 	g.weight++
 	return g
 }
 
-// Value returns the gain, from -100 to 100.
+// Value returns the estimated gain, from -100 to 100.
 func (g Gain) Value() float64 {
-	return (g.sum + presumedGain*presumedWeight) / (g.weight + presumedWeight)
+	return (g.sum + priorGain*priorWeight) / (g.weight + priorWeight)
 }
--- a/core/relay/gain_test.go
+++ b/core/relay/gain_test.go
@@ -8,16 +8,16 @@
 	"endivehitch/core/relay"
 )
 
-func TestAGainFollowsWhatTheModelsSay(t *testing.T) {
-	var g relay.Gain
-	untried := g.Value()
-	assert.Assert(t, untried > 0, "a model that nobody tried is worth a trial")
+func TestGainTracksRecentConfidences(t *testing.T) {
+	var gain relay.Gain
+	untried := gain.Value()
+	assert.Assert(t, untried > 0, "an untried model has a positive gain, so that it is tried")
 	for range 200 {
-		g = g.With(40, 43)
+		gain = gain.With(40, 43)
 	}
-	assert.Assert(t, g.Value() > 2 && g.Value() < 5, "%v", g.Value())
+	assert.Assert(t, gain.Value() > 2 && gain.Value() < 5, "%v", gain.Value())
 	for range 200 {
-		g = g.With(40, 70)
+		gain = gain.With(40, 70)
 	}
-	assert.Assert(t, g.Value() > 25, "an earlier release of the model is forgotten: %v", g.Value())
+	assert.Assert(t, gain.Value() > 25, "recent requests outweigh earlier ones, such as those of a previous release: %v", gain.Value())
 }
--- a/core/relay/load.go
+++ b/core/relay/load.go
@@ -7,93 +7,95 @@
 	"endivehitch/core/policy"
 )
 
-// Report is what a backend server says of its load in an answer.
+// Report is the load that a backend server reports with an answer.
 type Report struct {
 	Running int
 	Waiting int
 	Slots   int
-	// Pace is how long work takes at present, in hundredths of the usual time; 0 means unsaid.
+	// Pace is how long work takes at present, in percent of the usual time; 0 means not reported.
 	Pace int
 }
 
-// Load is what one instance has seen of one backend server.
+// Load is what one instance has observed of one backend server.
 type Load struct {
-	// InFlight counts this instance's own requests at the server.
+	// InFlight counts this instance's own requests in flight at the server.
 	InFlight int
-	// Work is the time that the server is expected to need for those of them without a first byte.
+	// Work is the time that the server is expected to need until the first byte of those requests
+	// that have received none.
 	Work   time.Duration
 	Report Report
 	// Reported is when the report was made.
 	Reported time.Time
-	// Heard is when the server last sent this instance anything.
+	// Heard is when this instance last received anything from the server.
 	Heard time.Time
-	// First is the observed time until an answer's first byte.
+	// First is the smoothed time until an answer's first byte.
 	First policy.Smooth
-	// Bad is the smoothed share of failures as of Judged.
-	Bad    float64
-	Judged time.Time
-	// Failures counts failures in a row.
-	Failures int
-	// Shunned is until when the server gets work only when nothing else is left.
-	Shunned time.Time
-	// Ejections counts how often in a row the server was shunned.
+	// FailureRate is the smoothed share of failures, from 0 to 1, as of FailureRateAt.
+	FailureRate   float64
+	FailureRateAt time.Time
+	// ConsecutiveFailures counts the failures in a row since the last success or ejection.
+	ConsecutiveFailures int
+	// EjectedUntil is when the server's ejection ends; until then it gets requests only when no
+	// other server can take them.
+	EjectedUntil time.Time
+	// Ejections counts the ejections since the last success.
 	Ejections int
 }
 
 const (
-	// badStep is the weight of one more answer in the share of failures.
-	badStep = 0.2
-	// badHalfLife is the age at which a share of failures counts half.
-	badHalfLife = 3 * time.Second
+	// failureRateWeight is the weight of the newest outcome in the failure rate.
+	failureRateWeight = 0.2
+	// failureRateHalfLife is the time in which the failure rate decays to half.
+	failureRateHalfLife = 3 * time.Second
 )
 
-// BadShare returns the share of failures, which fades so that a server is tried again.
-func (l Load) BadShare(now time.Time) float64 {
-	if l.Bad == 0 {
+// DecayedFailureRate returns the failure rate, decayed over time so that a failed server is retried.
+func (l Load) DecayedFailureRate(now time.Time) float64 {
+	if l.FailureRate == 0 {
 		return 0
 	}
-	return l.Bad * math.Exp2(-float64(now.Sub(l.Judged))/float64(badHalfLife))
+	return l.FailureRate * math.Exp2(-float64(now.Sub(l.FailureRateAt))/float64(failureRateHalfLife))
 }
 
-func (l Load) withJudged(bad float64, at time.Time) Load {
-	l.Bad = l.BadShare(at)*(1-badStep) + bad*badStep
-	l.Judged = at
+func (l Load) withOutcome(failure float64, at time.Time) Load {
+	l.FailureRate = l.DecayedFailureRate(at)*(1-failureRateWeight) + failure*failureRateWeight
+	l.FailureRateAt = at
 	return l
 }
 
-// WithStart returns a copy with one more request in flight.
+// WithStart returns a copy with one more request in flight, which is expected to need the work.
 func (l Load) WithStart(work time.Duration) Load {
 	l.InFlight++
 	l.Work += work
 	return l
 }
 
-// WithFirst returns a copy whose run has had its first byte after the time.
-func (l Load) WithFirst(c policy.SmoothConfig, work, after time.Duration, at time.Time) Load {
+// WithFirst returns a copy in which an attempt has received its first byte after the elapsed time.
+func (l Load) WithFirst(config policy.SmoothConfig, work, elapsed time.Duration, at time.Time) Load {
 	l.Work = max(0, l.Work-work)
-	l.First = l.First.With(c, after, at)
+	l.First = l.First.With(config, elapsed, at)
 	return l
 }
 
-// WithoutWork returns a copy whose run ended before its first byte.
+// WithoutWork returns a copy in which an attempt ended before its first byte.
 func (l Load) WithoutWork(work time.Duration) Load {
 	l.Work = max(0, l.Work-work)
 	return l
 }
 
-// WithHeard returns a copy whose server has sent something.
+// WithHeard returns a copy that records that the server has sent something.
 func (l Load) WithHeard(at time.Time) Load {
 	l.Heard = at
 	return l
 }
 
-// WithEnd returns a copy with one request in flight less.
+// WithEnd returns a copy with one request less in flight.
 func (l Load) WithEnd() Load {
 	l.InFlight = max(0, l.InFlight-1)
 	return l
 }
 
-// WithReport returns a copy that holds a newer report.
+// WithReport returns a copy that holds the report, unless it holds a newer one.
 func (l Load) WithReport(r Report, at time.Time) Load {
 	if at.Before(l.Reported) {
 		return l
@@ -102,27 +104,28 @@
 	return l
 }
 
-// WithSuccess returns a copy that has answered well.
+// WithSuccess returns a copy in which the server has answered successfully.
 func (l Load) WithSuccess(at time.Time) Load {
-	l.Failures, l.Ejections = 0, 0
-	return l.withJudged(0, at)
+	l.ConsecutiveFailures, l.Ejections = 0, 0
+	return l.withOutcome(0, at)
 }
 
-// WithBadAnswer returns a copy whose server has answered that it failed.
+// WithBadAnswer returns a copy in which the server has answered with an error; it counts in the
+// failure rate only, not towards ejection.
 func (l Load) WithBadAnswer(at time.Time) Load {
-	return l.withJudged(1, at)
+	return l.withOutcome(1, at)
 }
 
-// WithFailure returns a copy that has failed once more, and is shunned after limit failures in a
-// row, each time for longer, from base up to most.
-func (l Load) WithFailure(limit int, base, most time.Duration, at time.Time) Load {
-	l = l.withJudged(1, at)
-	l.Failures++
-	if l.Failures < limit {
+// WithFailure returns a copy in which the server has failed once more. After limit failures in a row
+// it is ejected, for base at first and twice as long with each further ejection, up to longest.
+func (l Load) WithFailure(limit int, base, longest time.Duration, at time.Time) Load {
+	l = l.withOutcome(1, at)
+	l.ConsecutiveFailures++
+	if l.ConsecutiveFailures < limit {
 		return l
 	}
-	l.Failures = 0
-	l.Shunned = at.Add(min(most, base<<min(l.Ejections, 8)))
+	l.ConsecutiveFailures = 0
+	l.EjectedUntil = at.Add(min(longest, base<<min(l.Ejections, 8)))
 	l.Ejections++
 	return l
 }
--- a/core/relay/query/again.go
+++ b/core/relay/query/again.go
@@ -65,7 +65,7 @@
 	case n.Run == 0 && left < leastLeft:
 		return relay.Refusal{Reason: relay.ReasonTimeout, NotRun: true, RetryAfter: comeBack, Detail: "no server took the request in time"}
 	case n.Run == 0:
-		return relay.Refusal{Reason: relay.ReasonCrowded, NotRun: true, RetryAfter: crowdedAfter, Detail: "no server took the request"}
+		return relay.Refusal{Reason: relay.ReasonSaturated, NotRun: true, RetryAfter: crowdedAfter, Detail: "no server took the request"}
 	case left < leastLeft || e == EndedSlow:
 		return relay.Refusal{Reason: relay.ReasonTimeout, Detail: "the answer did not come in time"}
 	}
--- a/core/relay/query/pick.go
+++ b/core/relay/query/pick.go
@@ -93,7 +93,7 @@
 }
 
 func (p *picker) shunned(id relay.ServerID) bool {
-	return p.loads(id).Shunned.After(p.now)
+	return p.loads(id).EjectedUntil.After(p.now)
 }
 
 // survey looks at all servers once, without what was observed of each.
@@ -219,7 +219,7 @@
 }
 
 func (p *picker) slowness(v relay.Server, l relay.Load) float64 {
-	slow := 1 + badWeight*l.BadShare(p.now)
+	slow := 1 + badWeight*l.DecayedFailureRate(p.now)
 	if p.now.Before(v.ColdUntil) {
 		slow *= coldFactor
 	}
--- a/core/relay/query/pick_test.go
+++ b/core/relay/query/pick_test.go
@@ -28,7 +28,7 @@
 	assert.Assert(t, !ok)
 	shunned := func(id relay.ServerID) relay.Load {
 		if id == "a" {
-			return relay.Load{Shunned: now.Add(time.Second)}
+			return relay.Load{EjectedUntil: now.Add(time.Second)}
 		}
 		return relay.Load{}
 	}
--- a/core/relay/refusal.go
+++ b/core/relay/refusal.go
@@ -5,14 +5,14 @@
 // Reason says why a request was refused or failed.
 type Reason = value.Reason
 
-// The reasons for which a request is refused or fails.
+// The reasons why a request is refused or fails.
 const (
 	ReasonNoConfig   Reason = "NoConfiguration"
 	ReasonNoRoute    Reason = "NoRoute"
 	ReasonNoKey      Reason = "UnknownKey"
 	ReasonLeaving    Reason = "InstanceLeaving"
 	ReasonNoServer   Reason = "NoServer"
-	ReasonCrowded    Reason = "NoRoom"
+	ReasonSaturated  Reason = "NoRoom"
 	ReasonUnknown    Reason = "OutcomeUnknown"
 	ReasonTimeout    Reason = "Timeout"
 	ReasonTooLarge   Reason = "TooLarge"
@@ -20,6 +20,6 @@
 	ReasonCallerLeft Reason = "CallerLeft"
 )
 
-// Refusal is a final answer of the router's own; its NotRun is set when no backend server has run the
-// request or ever will.
+// Refusal is a final answer of the router itself; its NotRun is set when no backend server has run
+// the request or will run it.
 type Refusal = value.Refusal
--- a/core/relay/request.go
+++ b/core/relay/request.go
@@ -20,36 +20,38 @@
 	Path string
 	// Key is the caller's API key, or empty.
 	Key string
-	// Arrived is when the request's head had been read.
+	// Arrived is when the request's head was completely read.
 	Arrived time.Time
-	// Patience is how long the caller waits; zero means that it didn't say.
+	// Patience is how long the caller waits for the answer; zero means that it gave no limit.
 	Patience time.Duration
-	// Model is the model that the caller names.
+	// Model is the model that the caller asks for.
 	Model ModelName
-	// Prompt lists the prompt's parts in order; the last belongs to the request or its session.
+	// Prompt lists the prompt's parts in order; the last is specific to the request or its session.
 	Prompt []Part
-	// Input and Output are the prompt's tokens and the most tokens that may be generated.
+	// Input is the number of tokens of the prompt, and Output the most tokens that may be generated.
 	Input  int
 	Output int
-	// Expected is the caller's estimate of the tokens generated, or zero.
+	// Expected is the caller's estimate of the number of generated tokens, or zero.
 	Expected int
-	// Session names the series of requests that this one belongs to, or is empty.
+	// Session identifies the series of requests that this one belongs to, or is empty.
 	Session string
 }
 
-// Deadline returns when the request is worth nothing any more, under the route's timeout.
-func (q Request) Deadline(r Route) time.Time {
-	most := q.Patience
-	if r.Timeout > 0 && (most == 0 || r.Timeout < most) {
-		most = r.Timeout
+// Deadline returns when the answer is due: after the caller's limit or the route's timeout,
+// whichever is shorter; the zero time means no deadline.
+func (q Request) Deadline(route Route) time.Time {
+	timeout := q.Patience
+	if route.Timeout > 0 && (timeout == 0 || route.Timeout < timeout) {
+		timeout = route.Timeout
 	}
-	if most == 0 {
+	if timeout == 0 {
 		return time.Time{}
 	}
-	return q.Arrived.Add(most)
+	return q.Arrived.Add(timeout)
 }
 
-// Shared returns the deepest part of the prompt that other requests share, which is the last but one.
+// Shared returns the last part of the prompt that other requests may share: the last but one. It
+// reports false when there is none.
 func (q Request) Shared() (Part, bool) {
 	if len(q.Prompt) < 2 {
 		return Part{}, false
--- a/core/relay/route.go
+++ b/core/relay/route.go
@@ -6,13 +6,13 @@
 type (
 	// RouteName names a route.
 	RouteName string
-	// ServiceName names a group of equal backend servers.
+	// ServiceName names a service.
 	ServiceName string
 	// ServerID identifies one backend server.
 	ServerID string
 	// AccountName names a client account.
 	AccountName string
-	// Release names a version of a service's software or weights.
+	// Release names a version of a service's software or model weights.
 	Release string
 	// ModelName names a model.
 	ModelName string
@@ -22,27 +22,27 @@
 	MemberName string
 )
 
-// Repeat says what may be repeated of a route's requests.
+// Repeat is a route's rule for retries of requests that a server may have run.
 type Repeat int
 
-// The ways in which requests may be repeated.
+// The retry rules.
 const (
 	// RepeatNever is for requests that may run at most once.
 	RepeatNever Repeat = iota
-	// RepeatFreely is for requests that may run any number of times.
+	// RepeatFreely is for idempotent requests, which may run any number of times.
 	RepeatFreely
-	// RepeatResumed is for streams that another run may go on with where the first one stopped.
+	// RepeatResumed is for streams that another attempt may continue where the previous one stopped.
 	RepeatResumed
 )
 
-// Target is a service that receives a part of a route's requests.
+// Target is a service that receives a share of a route's requests.
 type Target struct {
 	Service ServiceName
-	// Weight is the part, relative to the weights of the route's other targets.
+	// Weight is the target's share, relative to the weights of the route's other targets.
 	Weight int
 }
 
-// Route says which requests go where, and what is owed to them.
+// Route says which requests go to which services, and within which limits they are answered.
 type Route struct {
 	Name   RouteName
 	Host   string
@@ -52,30 +52,30 @@
 	Stream bool
 	// Timeout bounds the time until the final answer; zero means no bound.
 	Timeout time.Duration
-	// Objective is the time within which an answer, or a stream's first event, is worth most.
+	// Objective is the target latency of an answer, or of a stream's first event.
 	Objective time.Duration
-	// Gap is the longest pause between events that is still in time; zero means no bound.
+	// Gap is the target for the longest pause between events of a stream; zero means none.
 	Gap time.Duration
 	// Rank is the priority, 0 being the most urgent.
 	Rank int
-	// Attempts bounds the backend servers that one request may be sent to.
+	// Attempts bounds the attempts of one request that backend servers may have run.
 	Attempts int
-	// Open routes need no key.
+	// Open is set when requests need no key.
 	Open bool
-	// Models lists the models that may answer, the smallest first; empty means the caller chooses.
+	// Models lists the models that may answer, smallest first; if empty, the caller names the model.
 	Models  []ModelName
 	Targets []Target
 }
 
-// Cascade reports whether the router chooses among models.
+// Cascade reports whether the route is a model cascade, in which the router chooses the model.
 func (r Route) Cascade() bool {
 	return len(r.Models) > 0
 }
 
-// Service is a group of equal backend servers.
+// Service is a group of interchangeable backend servers.
 type Service struct {
 	Name ServiceName
-	// Engine is set for model engines.
+	// Engine is set when the servers are model engines.
 	Engine bool
 }
 
@@ -83,7 +83,7 @@
 type Account struct {
 	Name AccountName
 	Keys []string
-	// Rank goes before the route's rank where HasRank is set.
+	// Rank overrides the route's rank when HasRank is set.
 	Rank    int
 	HasRank bool
 }
@@ -93,7 +93,7 @@
 	// HeaderBytes and BodyBytes bound a request's size.
 	HeaderBytes int
 	BodyBytes   int
-	// HeaderTimeout bounds the time that a caller takes for a request's head.
+	// HeaderTimeout bounds the time that a caller may take to send a request's head.
 	HeaderTimeout time.Duration
 	// Idle is how long a caller's connection may stay idle.
 	Idle time.Duration
--- a/core/relay/server.go
+++ b/core/relay/server.go
@@ -6,29 +6,29 @@
 type Server struct {
 	ID      ServerID
 	Service ServiceName
-	// Address is where it takes connections, as IP:PORT.
+	// Address is where the server accepts connections, as IP:PORT.
 	Address string
 	Domain  FailureDomain
 	Release Release
-	// Slots is how many requests it works on at once.
+	// Slots is how many requests the server processes at once.
 	Slots int
-	// Draining is set once the server is leaving.
+	// Draining is set once the server accepts no new requests because it is shutting down.
 	Draining bool
 	// Born is when this incarnation started.
 	Born time.Time
-	// Cold is how much longer the server was to be slow after its start when its record was read, and
-	// ColdUntil when that is over by this instance's clock.
+	// Cold is how much of the server's warm-up period was left when its record was read, and
+	// ColdUntil when that period ends by this instance's clock.
 	Cold      time.Duration
 	ColdUntil time.Time
 }
 
-// WithColdUntil returns a copy that is slow until the time.
-func (s Server) WithColdUntil(at time.Time) Server {
+// WithWarmUpUntil returns a copy that is warming up until the time.
+func (s Server) WithWarmUpUntil(at time.Time) Server {
 	s.ColdUntil = at
 	return s
 }
 
-// WithDraining returns a copy that is leaving.
+// WithDraining returns a copy that is draining.
 func (s Server) WithDraining() Server {
 	s.Draining = true
 	return s
@@ -40,7 +40,7 @@
 	Domain FailureDomain
 	// Address is where other instances reach it, as IP:PORT.
 	Address string
-	// Incarnation differs between two starts of an instance.
+	// Incarnation differs between any two starts of an instance.
 	Incarnation int64
 }
 
@@ -50,37 +50,37 @@
 	Target  Release
 	// Within is how long the move may take.
 	Within time.Duration
-	// Revision is the order's own revision.
+	// Revision is the store revision of the order.
 	Revision int64
 }
 
-// Duty is the record that one instance looks after a service's roll-out.
+// Duty records which instance runs a service's roll-out: a singleton task of a lease's holder.
 type Duty struct {
 	Service ServiceName
 	Holder  MemberName
 }
 
-// Phase says how far a roll-out has come.
+// Phase is the phase of a roll-out.
 type Phase int
 
 // The phases of a roll-out.
 const (
-	// PhaseNone is the phase of a roll-out that nobody has taken up.
+	// PhaseNone is the phase of a roll-out that no instance has started to run.
 	PhaseNone Phase = iota
-	// PhaseUnderWay is set while the release receives a growing part of the traffic.
+	// PhaseUnderWay is the phase in which the release receives a growing share of the traffic.
 	PhaseUnderWay
-	// PhaseCompleted is set once the release receives all traffic.
+	// PhaseCompleted is the final phase of a release that receives all traffic.
 	PhaseCompleted
-	// PhaseReverted is set once the release has been found bad and receives none.
+	// PhaseReverted is the final phase of a release that was found bad and receives no traffic.
 	PhaseReverted
 )
 
-// Final reports whether the phase never changes again for the same order.
+// Final reports whether the phase can't change any more for the same order.
 func (p Phase) Final() bool {
 	return p == PhaseCompleted || p == PhaseReverted
 }
 
-// Progress is where a roll-out stands.
+// Progress is the stored record of a roll-out's phase.
 type Progress struct {
 	Service ServiceName
 	Target  Release
--- a/core/relay/state.go
+++ b/core/relay/state.go
@@ -10,53 +10,57 @@
 	"endivehitch/core/policy"
 )
 
-// State is all that one instance's control loop knows; traffic reads it as a snapshot.
+// State is the control state of one instance; traffic reads it as an immutable snapshot.
 type State struct {
 	Self Member
-	// Revision is the newest revision of the store that the state includes.
+	// Revision is the newest store revision that the state includes.
 	Revision int64
 	// Config is the configuration in force; its version is 0 before the first one.
 	Config Config
 	// ConfigRevision is the revision of the configuration's entry.
 	ConfigRevision int64
-	// Leaving is set once the instance is shutting down, which it does from LeavingSince until LeavesBy.
+	// Leaving is set while the instance shuts down: from LeavingSince until LeavesBy at the latest.
 	Leaving      bool
 	LeavingSince time.Time
 	LeavesBy     time.Time
-	// Away is since when the store has been out of reach; zero means that it is in reach.
+	// Away is the time since which the store has been unreachable; zero means that it is reachable.
 	Away time.Time
-	// Back is when the store came into reach again; zero means that it was never away for all.
+	// Back is when the store last became reachable again after an outage that may have affected all
+	// instances and servers; zero means that there was none.
 	Back time.Time
-	// Served is when the store last answered this instance, or another as that one tells.
+	// Served is when the store last answered this instance or, as peers report, another one.
 	Served time.Time
 
-	entries  map[string]Change
-	missing  map[string]time.Time
-	recent   policy.List[Change]
-	floor    int64
-	hosts    map[string][]Route
-	services map[ServiceName]Service
-	keys     map[string]Account
-	servers  map[ServiceName][]Server
-	byID     map[ServerID]*Server
-	rollOuts map[ServiceName]Plan
-	duties   map[ServiceName]Duty
-	members  []Member
+	entries map[string]Change
+	// missing holds, by key, the end of the grace period of entries whose removal is in doubt.
+	missing map[string]time.Time
+	// history holds the changes after revision historyStart, for readers that have missed them.
+	history      policy.List[Change]
+	historyStart int64
+	hosts        map[string][]Route
+	services     map[ServiceName]Service
+	keys         map[string]Account
+	servers      map[ServiceName][]Server
+	byID         map[ServerID]*Server
+	rollOuts     map[ServiceName]Plan
+	duties       map[ServiceName]Duty
+	members      []Member
 }
 
-// Plan is a roll-out together with where it stands.
+// Plan is a roll-out's order together with its progress.
 type Plan struct {
 	Order RollOut
-	// Seen is when the order was given, as far as this instance knows.
+	// Seen is when the order was given; it is an estimate unless AgeKnown is set.
 	Seen time.Time
-	// AgeKnown is set when this instance, or one that told it, saw the order being given.
+	// AgeKnown is set when this instance, or a peer that reported it, observed the order being
+	// given.
 	AgeKnown bool
 	Progress Progress
 	// ProgressRevision is the revision of the progress's entry; 0 means that there is none.
 	ProgressRevision int64
 }
 
-// Phase returns the phase of the plan's own order; progress of an earlier order doesn't count.
+// Phase returns the phase of the current order; progress of an earlier order doesn't count.
 func (p Plan) Phase() Phase {
 	if p.Progress.Target != p.Order.Target || p.ProgressRevision < p.Order.Revision {
 		return PhaseNone
@@ -64,12 +68,12 @@
 	return p.Progress.Phase
 }
 
-// New returns the state of an instance that knows nothing yet but itself.
+// New returns the initial state of an instance, which has read nothing from the store.
 func New(self Member) State {
 	return State{Self: self}
 }
 
-// Route returns the route of the host with the longest prefix that begins the path.
+// Route returns the host's route with the longest prefix of the path.
 func (s State) Route(host, path string) (Route, bool) {
 	for _, r := range s.hosts[host] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -91,7 +95,7 @@
 	return v, ok
 }
 
-// Servers returns the service's servers in the order of their identifiers; the slice must not be changed.
+// Servers returns the service's servers, sorted by identifier; the slice must not be changed.
 func (s State) Servers(n ServiceName) []Server {
 	return s.servers[n]
 }
@@ -116,206 +120,208 @@
 	return s.rollOuts
 }
 
-// Duty returns which instance looks after the service's roll-out.
+// Duty returns the record of the instance that runs the service's roll-out.
 func (s State) Duty(n ServiceName) (Duty, bool) {
 	d, ok := s.duties[n]
 	return d, ok
 }
 
-// Members returns the live instances in the order of their names; the slice must not be changed.
+// Members returns the live instances, sorted by name; the slice must not be changed.
 func (s State) Members() []Member {
 	return s.members
 }
 
-// Missing returns how many entries have been lost but still count.
+// Missing returns how many removed entries are still in use because their grace period runs.
 func (s State) Missing() int {
 	return len(s.missing)
 }
 
-// Since returns what a reader that has seen the revision has missed.
+// Since returns the changes after the revision, or a full snapshot if the history starts later.
 func (s State) Since(revision int64) Feed {
-	if revision < s.floor || revision > s.Revision || revision == 0 {
+	if revision < s.historyStart || revision > s.Revision || revision == 0 {
 		return Feed{Whole: true, Changes: slices.Collect(maps.Values(s.entries)), Revision: s.Revision}
 	}
-	var missed []Change
-	for c := range s.recent.From(0) {
+	var changes []Change
+	for c := range s.history.From(0) {
 		if c.Revision > revision {
-			missed = append(missed, c)
+			changes = append(changes, c)
 		}
 	}
-	return Feed{Changes: missed, After: revision, Revision: s.Revision}
+	return Feed{Changes: changes, After: revision, Revision: s.Revision}
 }
 
-// WithLeaving returns a state in which the instance is shutting down from one time to the other.
-func (s State) WithLeaving(since, by time.Time) State {
-	s.Leaving, s.LeavingSince, s.LeavesBy = true, since, by
+// WithLeaving returns a state in which the instance is shutting down, between the two times.
+func (s State) WithLeaving(since, end time.Time) State {
+	s.Leaving, s.LeavingSince, s.LeavesBy = true, since, end
 	return s
 }
 
-// WithAway returns a state in which the store is out of reach since the time.
-func (s State) WithAway(at time.Time) State {
+// WithStoreUnreachable returns a state in which the store is unreachable; an outage keeps its start.
+func (s State) WithStoreUnreachable(at time.Time) State {
 	if s.Away.IsZero() {
 		s.Away = at
 	}
 	return s
 }
 
-// servedLife is how old the store's last answer to another instance may be to tell that the store
-// served on: an outage that is shorter than this ends no entry of a live server.
-const servedLife = 2500 * time.Millisecond
+// storeAnswerLifetime is how recent an answer of the store to any instance must be to show that it
+// kept serving the others. A shorter outage doesn't expire the entry of a live server.
+const storeAnswerLifetime = 2500 * time.Millisecond
 
-// WithBack returns a state in which the store is in reach again. An outage of this instance alone
-// says nothing of the servers' entries.
-func (s State) WithBack(at time.Time) State {
+// WithStoreRecovered returns a state in which the store is reachable again. An outage that affected
+// only this instance leaves Back as it was, since the servers could renew their entries meanwhile.
+func (s State) WithStoreRecovered(at time.Time) State {
 	if s.Away.IsZero() {
 		return s
 	}
-	alone := s.Served.After(s.Away) && at.Sub(s.Served) < servedLife
+	onlyThisInstance := s.Served.After(s.Away) && at.Sub(s.Served) < storeAnswerLifetime
 	s.Away = time.Time{}
-	if !alone {
+	if !onlyThisInstance {
 		s.Back = at
 	}
 	return s
 }
 
-// WithServed returns a state in which the store answered somebody at the time.
-func (s State) WithServed(at time.Time) State {
+// WithStoreAnswered returns a state that records that the store answered some instance at the time.
+func (s State) WithStoreAnswered(at time.Time) State {
 	if at.After(s.Served) {
 		s.Served = at
 	}
 	return s
 }
 
-// WithBackSince returns a state in which the store came back at the time, as another instance tells.
-func (s State) WithBackSince(at time.Time) State {
+// WithReportedRecovery returns a state with a recovery of the store that another instance reported.
+func (s State) WithReportedRecovery(at time.Time) State {
 	if at.After(s.Back) {
 		s.Back = at
 	}
 	return s
 }
 
-// WithFeed returns a state that includes what a reader learned; grace is how long entries of
-// servers that vanished while the store was away still count.
-func (s State) WithFeed(f Feed, at time.Time, grace time.Duration) State {
-	if f.Revision < s.Revision || (f.Revision == s.Revision && s.Revision > 0) {
+// WithFeed returns a state that includes the feed, unless the feed is older or leaves a gap. Servers
+// whose entries vanished in a store outage stay in use for the grace period after it.
+func (s State) WithFeed(feed Feed, at time.Time, grace time.Duration) State {
+	if feed.Revision < s.Revision || (feed.Revision == s.Revision && s.Revision > 0) {
 		return s
 	}
-	if !f.Whole && f.After > s.Revision {
+	if !feed.Whole && feed.After > s.Revision {
 		return s
 	}
-	next := s
-	next.entries = maps.Clone(s.entries)
-	next.missing = maps.Clone(s.missing)
-	if next.entries == nil {
-		next.entries = make(map[string]Change)
-		next.missing = make(map[string]time.Time)
+	updated := s
+	updated.entries = maps.Clone(s.entries)
+	updated.missing = maps.Clone(s.missing)
+	if updated.entries == nil {
+		updated.entries = make(map[string]Change)
+		updated.missing = make(map[string]time.Time)
 	}
-	news := f.Changes
-	if f.Whole {
-		news = s.difference(f)
-		next.floor, next.recent = f.Revision, policy.List[Change]{}
+	changes := feed.Changes
+	if feed.Whole {
+		changes = s.changesFrom(feed)
+		updated.historyStart, updated.history = feed.Revision, policy.List[Change]{}
 	}
-	for _, c := range news {
-		if !f.Whole && c.Revision <= s.Revision {
+	for _, c := range changes {
+		if !feed.Whole && c.Revision <= s.Revision {
 			continue
 		}
-		next = next.withChange(c, at, grace)
+		updated = updated.withChange(c, at, grace)
 	}
-	next.Revision = f.Revision
-	// News that an outage held up tells of orders that were given at some time before.
-	witnessed := !f.Whole && s.Away.IsZero() && !s.Back.Equal(at)
-	return next.indexed().withOrders(s.rollOuts, witnessed, at)
+	updated.Revision = feed.Revision
+	// Changes delayed by an outage may contain orders that were given at any time during it.
+	observed := !feed.Whole && s.Away.IsZero() && !s.Back.Equal(at)
+	return updated.indexed().withOrderTimes(s.rollOuts, observed, at)
 }
 
-// difference turns a whole image into changes, with removals for the entries that it lacks.
-func (s State) difference(f Feed) []Change {
-	have := make(map[string]bool, len(f.Changes))
-	news := make([]Change, 0, len(f.Changes))
-	for _, c := range f.Changes {
-		have[c.Key] = true
-		if was, ok := s.entries[c.Key]; !ok || was.Revision < c.Revision || s.lost(c.Key) {
-			news = append(news, c)
+// changesFrom returns the changes that lead to a full snapshot, with removals for what it lacks.
+func (s State) changesFrom(feed Feed) []Change {
+	present := make(map[string]bool, len(feed.Changes))
+	changes := make([]Change, 0, len(feed.Changes))
+	for _, c := range feed.Changes {
+		present[c.Key] = true
+		if old, ok := s.entries[c.Key]; !ok || old.Revision < c.Revision || s.isMissing(c.Key) {
+			changes = append(changes, c)
 		}
 	}
 	for key := range s.entries {
-		if !have[key] {
-			news = append(news, Change{Key: key, Revision: f.Revision, Gone: true})
+		if !present[key] {
+			changes = append(changes, Change{Key: key, Revision: feed.Revision, Gone: true})
 		}
 	}
-	return news
+	return changes
 }
 
-func (s State) lost(key string) bool {
+func (s State) isMissing(key string) bool {
 	_, ok := s.missing[key]
 	return ok
 }
 
-// keptChanges bounds the changes that are kept for other instances.
-const keptChanges = 1024
+// maxHistory bounds the changes that are stored for readers that have missed them.
+const maxHistory = 1024
 
-func (s State) withChange(c Change, at time.Time, grace time.Duration) State {
-	// The pages of a whole image are read one after the other, so a later change may be known already.
-	if s.entries[c.Key].Revision > c.Revision {
+// withChange applies one change; it writes to the state's entries and missing, which must be copies.
+func (s State) withChange(change Change, at time.Time, grace time.Duration) State {
+	// A full snapshot is read page by page, so a later page may hold a newer revision already.
+	if s.entries[change.Key].Revision > change.Revision {
 		return s
 	}
-	s.recent = s.recent.With(c)
-	if s.recent.Len() > keptChanges {
-		s.floor = s.recent.At(0).Revision
-		s.recent = s.recent.Without(1)
+	s.history = s.history.With(change)
+	if s.history.Len() > maxHistory {
+		s.historyStart = s.history.At(0).Revision
+		s.history = s.history.Without(1)
 	}
-	was, had := s.entries[c.Key]
-	delete(s.missing, c.Key)
-	if !c.Gone {
-		s.entries[c.Key] = c.timed(at)
+	previous, existed := s.entries[change.Key]
+	delete(s.missing, change.Key)
+	if !change.Gone {
+		s.entries[change.Key] = change.withWarmUpEnd(at)
 		return s
 	}
-	if had && s.doubtful(was, at, grace) {
-		s.missing[c.Key] = s.Back.Add(grace)
+	if existed && s.isRemovalInDoubt(previous, at, grace) {
+		s.missing[change.Key] = s.Back.Add(grace)
 		return s
 	}
-	delete(s.entries, c.Key)
+	delete(s.entries, change.Key)
 	return s
 }
 
-// timed returns a change whose server's cold time counts from the time at which it became known.
-func (c Change) timed(at time.Time) Change {
-	if v := c.Entry.Server; v != nil && v.Cold > 0 {
-		warm := v.WithColdUntil(at.Add(v.Cold))
-		c.Entry.Server = &warm
+// withWarmUpEnd sets when the server's warm-up period ends: the rest of it counts from the time.
+func (c Change) withWarmUpEnd(at time.Time) Change {
+	if server := c.Entry.Server; server != nil && server.Cold > 0 {
+		warming := server.WithWarmUpUntil(at.Add(server.Cold))
+		c.Entry.Server = &warming
 	}
 	return c
 }
 
-// doubtful reports whether a removal may be an effect of the store's own trouble: a live server
-// writes its entry again soon after the store is back. While this instance alone can't reach the
-// store, others tell it of removals that the store has served, so those count.
-func (s State) doubtful(was Change, at time.Time, grace time.Duration) bool {
-	if was.Entry.Server == nil || was.Entry.Server.Draining || s.Back.IsZero() {
+// isRemovalInDoubt reports whether a removal may only be a consequence of a store outage: a live
+// server writes its entry again soon after the store has recovered. While this instance can't reach
+// the store, removals reported by other instances count, since the store has served them.
+func (s State) isRemovalInDoubt(removed Change, at time.Time, grace time.Duration) bool {
+	if removed.Entry.Server == nil || removed.Entry.Server.Draining || s.Back.IsZero() {
 		return false
 	}
 	return s.Away.IsZero() && at.Sub(s.Back) < grace
 }
 
-// WithTick returns a state without the entries whose grace has ended.
-func (s State) WithTick(at time.Time) State {
-	var over []string
+// WithoutExpired returns a state without the removed entries whose grace period has ended; none
+// expires while the store is unreachable.
+func (s State) WithoutExpired(at time.Time) State {
+	var expired []string
 	for key, until := range s.missing {
 		if s.Away.IsZero() && at.After(until) {
-			over = append(over, key)
+			expired = append(expired, key)
 		}
 	}
-	if len(over) == 0 {
+	if len(expired) == 0 {
 		return s
 	}
 	s.entries, s.missing = maps.Clone(s.entries), maps.Clone(s.missing)
-	for _, key := range over {
+	for _, key := range expired {
 		delete(s.entries, key)
 		delete(s.missing, key)
 	}
-	return s.indexed().withOrders(s.rollOuts, true, at)
+	return s.indexed().withOrderTimes(s.rollOuts, true, at)
 }
 
-// indexed returns a state whose look-up tables fit its entries.
+// indexed returns a state whose lookup tables are rebuilt from its entries.
 func (s State) indexed() State {
 	s.servers, s.byID = make(map[ServiceName][]Server), make(map[ServerID]*Server, len(s.byID))
 	s.rollOuts, s.members = make(map[ServiceName]Plan), nil
@@ -349,42 +355,42 @@
 	return s
 }
 
-// withOrders returns a state whose orders are as old as was known before; witnessed says that new
-// ones are being given now.
-func (s State) withOrders(was map[ServiceName]Plan, witnessed bool, at time.Time) State {
+// withOrderTimes sets when each order was given: as before if it was known, at the time if it was
+// observed being given, and estimated otherwise.
+func (s State) withOrderTimes(previous map[ServiceName]Plan, observed bool, at time.Time) State {
 	for n, p := range s.rollOuts {
-		old, ok := was[n]
+		known, ok := previous[n]
 		switch {
-		case ok && old.Order.Revision == p.Order.Revision:
-			s.rollOuts[n] = p.withSeen(old.Seen, old.AgeKnown)
-		case witnessed:
-			s.rollOuts[n] = p.withSeen(at, true)
+		case ok && known.Order.Revision == p.Order.Revision:
+			s.rollOuts[n] = p.withOrderTime(known.Seen, known.AgeKnown)
+		case observed:
+			s.rollOuts[n] = p.withOrderTime(at, true)
 		default:
-			s.rollOuts[n] = p.withSeen(p.presumed(s.servers[n], at), false)
+			s.rollOuts[n] = p.withOrderTime(p.estimatedOrderTime(s.servers[n], at), false)
 		}
 	}
 	return s
 }
 
-// withConfig puts a configuration in force unless a newer one is.
-func (s State) withConfig(c Config, revision int64) State {
+// withConfig returns a state with the configuration in force, unless a newer one is.
+func (s State) withConfig(config Config, revision int64) State {
 	if revision <= s.ConfigRevision {
 		return s
 	}
-	s.Config, s.ConfigRevision = c, revision
+	s.Config, s.ConfigRevision = config, revision
 	s.hosts = make(map[string][]Route)
-	s.services = make(map[ServiceName]Service, len(c.Services))
+	s.services = make(map[ServiceName]Service, len(config.Services))
 	s.keys = make(map[string]Account)
-	for _, r := range c.Routes {
+	for _, r := range config.Routes {
 		s.hosts[r.Host] = append(s.hosts[r.Host], r)
 	}
 	for _, list := range s.hosts {
 		slices.SortFunc(list, func(a, b Route) int { return len(b.Prefix) - len(a.Prefix) })
 	}
-	for _, v := range c.Services {
+	for _, v := range config.Services {
 		s.services[v.Name] = v
 	}
-	for _, a := range c.Accounts {
+	for _, a := range config.Accounts {
 		for _, key := range a.Keys {
 			s.keys[key] = a
 		}
--- a/core/relay/state_test.go
+++ b/core/relay/state_test.go
@@ -13,7 +13,7 @@
 
 var start = time.Unix(1000, 0)
 
-func server(id relay.ServerID, revision int64) relay.Change {
+func serverAdded(id relay.ServerID, revision int64) relay.Change {
 	return relay.Change{Key: "s/" + string(id), Revision: revision, Entry: relay.Entry{
 		Server: &relay.Server{ID: id, Service: "engine", Address: "10.0.0.1:1", Release: "v1", Slots: 4},
 	}}
@@ -23,136 +23,136 @@
 	return relay.Change{Key: "config", Revision: revision, Entry: relay.Entry{Config: &relay.Config{Version: version, Routes: routes}}}
 }
 
-func gone(key string, revision int64) relay.Change {
+func removal(key string, revision int64) relay.Change {
 	return relay.Change{Key: key, Revision: revision, Gone: true}
 }
 
-func whole(revision int64, changes ...relay.Change) relay.Feed {
+func fullFeed(revision int64, changes ...relay.Change) relay.Feed {
 	return relay.Feed{Whole: true, Revision: revision, Changes: changes}
 }
 
-func after(at, revision int64, changes ...relay.Change) relay.Feed {
-	return relay.Feed{After: at, Revision: revision, Changes: changes}
+func feedAfter(previous, revision int64, changes ...relay.Change) relay.Feed {
+	return relay.Feed{After: previous, Revision: revision, Changes: changes}
 }
 
-func TestLongestPrefixWins(t *testing.T) {
-	s := relay.New(relay.Member{}).WithFeed(whole(5, config(1, 5,
+func TestRouteWithLongestPrefixMatches(t *testing.T) {
+	state := relay.New(relay.Member{}).WithFeed(fullFeed(5, config(1, 5,
 		relay.Route{Name: "short", Host: "h", Prefix: "/a/"},
 		relay.Route{Name: "long", Host: "h", Prefix: "/a/b/"})), start, grace)
-	r, ok := s.Route("h", "/a/b/c")
+	route, ok := state.Route("h", "/a/b/c")
 	assert.Assert(t, ok)
-	assert.Equal(t, r.Name, relay.RouteName("long"))
-	r, _ = s.Route("h", "/a/c")
-	assert.Equal(t, r.Name, relay.RouteName("short"))
-	_, ok = s.Route("other", "/a/c")
+	assert.Equal(t, route.Name, relay.RouteName("long"))
+	route, _ = state.Route("h", "/a/c")
+	assert.Equal(t, route.Name, relay.RouteName("short"))
+	_, ok = state.Route("other", "/a/c")
 	assert.Assert(t, !ok)
 }
 
-func TestOlderNewsChangesNothing(t *testing.T) {
-	s := relay.New(relay.Member{}).WithFeed(whole(9, config(2, 9)), start, grace)
-	s = s.WithFeed(whole(7, config(1, 7)), start, grace)
-	assert.Equal(t, s.Config.Version, int64(2))
-	s = s.WithFeed(after(20, 21, config(3, 21)), start, grace)
-	assert.Equal(t, s.Config.Version, int64(2), "changes that don't follow what is known leave a gap")
-	s = s.WithFeed(after(8, 12, config(1, 9), server("a", 12)), start, grace)
-	assert.Equal(t, s.Config.Version, int64(2))
-	assert.Equal(t, len(s.Servers("engine")), 1)
-}
-
-func TestAPageReadLaterIsNotTurnedBack(t *testing.T) {
-	// The first page was read at revision 9; the entry comes from a later page.
-	s := relay.New(relay.Member{}).WithFeed(whole(9, config(3, 12)), start, grace)
-	s = s.WithFeed(after(9, 10, config(2, 10)), start, grace)
-	assert.Equal(t, s.Config.Version, int64(3))
-	s = s.WithFeed(after(10, 11, gone("config", 11)), start, grace)
-	s = s.WithFeed(after(11, 12, config(3, 12)), start, grace)
-	assert.Equal(t, s.Config.Version, int64(3))
-}
-
-func TestConfigurationOutlivesItsEntry(t *testing.T) {
-	s := relay.New(relay.Member{}).WithFeed(whole(5, config(1, 5)), start, grace)
-	s = s.WithFeed(after(5, 6, gone("config", 6)), start, grace)
-	assert.Equal(t, s.Config.Version, int64(1))
-}
-
-func TestARemovedServerIsGoneAtOnce(t *testing.T) {
-	s := relay.New(relay.Member{}).WithFeed(whole(5, server("a", 5)), start, grace)
-	s = s.WithFeed(after(5, 6, gone("s/a", 6)), start, grace)
-	assert.Equal(t, len(s.Servers("engine")), 0)
-}
-
-func TestServersThatVanishedWithTheStoreHaveAGrace(t *testing.T) {
-	s := relay.New(relay.Member{}).WithFeed(whole(5, server("a", 5), server("b", 4)), start, grace)
-	s = s.WithAway(start).WithBack(start.Add(4 * time.Second))
-	back := start.Add(4 * time.Second)
-	s = s.WithFeed(whole(8), back.Add(100*time.Millisecond), grace)
-	assert.Equal(t, len(s.Servers("engine")), 2)
-	s = s.WithFeed(after(8, 9, server("b", 9)), back.Add(time.Second), grace)
-	s = s.WithTick(back.Add(grace - time.Millisecond))
-	assert.Equal(t, len(s.Servers("engine")), 2)
-	s = s.WithTick(back.Add(grace + time.Millisecond))
-	assert.Equal(t, len(s.Servers("engine")), 1, "the grace counts from the store's return")
-	assert.Equal(t, s.Servers("engine")[0].ID, relay.ServerID("b"))
-}
-
-func TestTheGraceDoesNotGrowWithALaterRemoval(t *testing.T) {
-	s := relay.New(relay.Member{}).WithFeed(whole(5, server("a", 5)), start, grace)
-	s = s.WithAway(start).WithBack(start)
-	s = s.WithFeed(after(5, 6, gone("s/a", 6)), start.Add(1900*time.Millisecond), grace)
-	s = s.WithTick(start.Add(grace + time.Millisecond))
-	assert.Equal(t, len(s.Servers("engine")), 0)
-}
-
-func TestOthersTellOfRemovalsThatTheStoreServed(t *testing.T) {
-	s := relay.New(relay.Member{}).WithFeed(whole(5, server("a", 5)), start, grace)
-	s = s.WithAway(start)
-	s = s.WithFeed(after(5, 6, gone("s/a", 6)), start.Add(time.Second), grace)
-	assert.Equal(t, len(s.Servers("engine")), 0)
-}
-
-func TestADrainingServerHasNoGrace(t *testing.T) {
-	leaving := server("a", 6)
-	d := leaving.Entry.Server.WithDraining()
-	leaving.Entry.Server = &d
-	s := relay.New(relay.Member{}).WithFeed(whole(6, leaving), start, grace)
-	s = s.WithAway(start).WithBack(start)
-	s = s.WithFeed(after(6, 7, gone("s/a", 7)), start, grace)
-	assert.Equal(t, len(s.Servers("engine")), 0)
-}
-
-func TestSinceTellsWhatAReaderMissed(t *testing.T) {
-	s := relay.New(relay.Member{}).WithFeed(whole(5, config(1, 5)), start, grace)
-	s = s.WithFeed(after(5, 6, server("a", 6)), start, grace)
-	s = s.WithFeed(after(6, 7, server("b", 7)), start, grace)
-	f := s.Since(6)
-	assert.Assert(t, !f.Whole)
-	assert.Equal(t, len(f.Changes), 1)
-	assert.Equal(t, f.Revision, int64(7))
-	assert.Assert(t, s.Since(4).Whole, "history before the image isn't known")
-	assert.Assert(t, s.Since(0).Whole)
-	other := relay.New(relay.Member{}).WithFeed(s.Since(0), start, grace)
+func TestOlderOrDisconnectedFeedChangesNothing(t *testing.T) {
+	state := relay.New(relay.Member{}).WithFeed(fullFeed(9, config(2, 9)), start, grace)
+	state = state.WithFeed(fullFeed(7, config(1, 7)), start, grace)
+	assert.Equal(t, state.Config.Version, int64(2))
+	state = state.WithFeed(feedAfter(20, 21, config(3, 21)), start, grace)
+	assert.Equal(t, state.Config.Version, int64(2), "a feed that leaves a gap after the state is ignored")
+	state = state.WithFeed(feedAfter(8, 12, config(1, 9), serverAdded("a", 12)), start, grace)
+	assert.Equal(t, state.Config.Version, int64(2))
+	assert.Equal(t, len(state.Servers("engine")), 1)
+}
+
+func TestNewerEntryFromLaterPageIsNotOverwritten(t *testing.T) {
+	// The first page of the snapshot was read at revision 9, a later page at revision 12.
+	state := relay.New(relay.Member{}).WithFeed(fullFeed(9, config(3, 12)), start, grace)
+	state = state.WithFeed(feedAfter(9, 10, config(2, 10)), start, grace)
+	assert.Equal(t, state.Config.Version, int64(3))
+	state = state.WithFeed(feedAfter(10, 11, removal("config", 11)), start, grace)
+	state = state.WithFeed(feedAfter(11, 12, config(3, 12)), start, grace)
+	assert.Equal(t, state.Config.Version, int64(3))
+}
+
+func TestConfigurationStaysInForceAfterItsEntryIsRemoved(t *testing.T) {
+	state := relay.New(relay.Member{}).WithFeed(fullFeed(5, config(1, 5)), start, grace)
+	state = state.WithFeed(feedAfter(5, 6, removal("config", 6)), start, grace)
+	assert.Equal(t, state.Config.Version, int64(1))
+}
+
+func TestRemovedServerIsDroppedImmediately(t *testing.T) {
+	state := relay.New(relay.Member{}).WithFeed(fullFeed(5, serverAdded("a", 5)), start, grace)
+	state = state.WithFeed(feedAfter(5, 6, removal("s/a", 6)), start, grace)
+	assert.Equal(t, len(state.Servers("engine")), 0)
+}
+
+func TestServersRemovedByStoreOutageHaveGracePeriod(t *testing.T) {
+	state := relay.New(relay.Member{}).WithFeed(fullFeed(5, serverAdded("a", 5), serverAdded("b", 4)), start, grace)
+	state = state.WithStoreUnreachable(start).WithStoreRecovered(start.Add(4 * time.Second))
+	recovered := start.Add(4 * time.Second)
+	state = state.WithFeed(fullFeed(8), recovered.Add(100*time.Millisecond), grace)
+	assert.Equal(t, len(state.Servers("engine")), 2)
+	state = state.WithFeed(feedAfter(8, 9, serverAdded("b", 9)), recovered.Add(time.Second), grace)
+	state = state.WithoutExpired(recovered.Add(grace - time.Millisecond))
+	assert.Equal(t, len(state.Servers("engine")), 2)
+	state = state.WithoutExpired(recovered.Add(grace + time.Millisecond))
+	assert.Equal(t, len(state.Servers("engine")), 1, "the grace period starts when the store recovers")
+	assert.Equal(t, state.Servers("engine")[0].ID, relay.ServerID("b"))
+}
+
+func TestLaterRemovalDoesNotExtendGracePeriod(t *testing.T) {
+	state := relay.New(relay.Member{}).WithFeed(fullFeed(5, serverAdded("a", 5)), start, grace)
+	state = state.WithStoreUnreachable(start).WithStoreRecovered(start)
+	state = state.WithFeed(feedAfter(5, 6, removal("s/a", 6)), start.Add(1900*time.Millisecond), grace)
+	state = state.WithoutExpired(start.Add(grace + time.Millisecond))
+	assert.Equal(t, len(state.Servers("engine")), 0)
+}
+
+func TestRemovalReportedByPeersCountsDuringOwnOutage(t *testing.T) {
+	state := relay.New(relay.Member{}).WithFeed(fullFeed(5, serverAdded("a", 5)), start, grace)
+	state = state.WithStoreUnreachable(start)
+	state = state.WithFeed(feedAfter(5, 6, removal("s/a", 6)), start.Add(time.Second), grace)
+	assert.Equal(t, len(state.Servers("engine")), 0)
+}
+
+func TestDrainingServerHasNoGracePeriod(t *testing.T) {
+	draining := serverAdded("a", 6)
+	record := draining.Entry.Server.WithDraining()
+	draining.Entry.Server = &record
+	state := relay.New(relay.Member{}).WithFeed(fullFeed(6, draining), start, grace)
+	state = state.WithStoreUnreachable(start).WithStoreRecovered(start)
+	state = state.WithFeed(feedAfter(6, 7, removal("s/a", 7)), start, grace)
+	assert.Equal(t, len(state.Servers("engine")), 0)
+}
+
+func TestSinceReturnsChangesAfterRevision(t *testing.T) {
+	state := relay.New(relay.Member{}).WithFeed(fullFeed(5, config(1, 5)), start, grace)
+	state = state.WithFeed(feedAfter(5, 6, serverAdded("a", 6)), start, grace)
+	state = state.WithFeed(feedAfter(6, 7, serverAdded("b", 7)), start, grace)
+	feed := state.Since(6)
+	assert.Assert(t, !feed.Whole)
+	assert.Equal(t, len(feed.Changes), 1)
+	assert.Equal(t, feed.Revision, int64(7))
+	assert.Assert(t, state.Since(4).Whole, "the history starts at the full snapshot")
+	assert.Assert(t, state.Since(0).Whole)
+	other := relay.New(relay.Member{}).WithFeed(state.Since(0), start, grace)
 	assert.Equal(t, len(other.Servers("engine")), 2)
 	assert.Equal(t, other.Config.Version, int64(1))
 }
 
-func TestProgressOfAnEarlierOrderDoesNotCount(t *testing.T) {
-	order := func(r relay.Release, revision int64) relay.Change {
-		return relay.Change{Key: "order", Revision: revision, Entry: relay.Entry{RollOut: &relay.RollOut{Service: "engine", Target: r, Within: time.Minute}}}
+func TestProgressOfEarlierOrderDoesNotCount(t *testing.T) {
+	orderFor := func(release relay.Release, revision int64) relay.Change {
+		return relay.Change{Key: "order", Revision: revision, Entry: relay.Entry{RollOut: &relay.RollOut{Service: "engine", Target: release, Within: time.Minute}}}
 	}
 	progress := relay.Change{Key: "progress", Revision: 7, Entry: relay.Entry{Progress: &relay.Progress{Service: "engine", Target: "v2", Phase: relay.PhaseReverted}}}
-	s := relay.New(relay.Member{}).WithFeed(whole(7, order("v2", 6), progress), start, grace)
-	p, _ := s.Plan("engine")
-	assert.Equal(t, p.Phase(), relay.PhaseReverted)
-	s = s.WithFeed(after(7, 8, order("v2", 8)), start.Add(time.Second), grace)
-	p, _ = s.Plan("engine")
-	assert.Equal(t, p.Phase(), relay.PhaseNone)
-	assert.Equal(t, p.Seen, start.Add(time.Second))
-}
-
-func TestAStateIsNotChangedByItsSuccessors(t *testing.T) {
-	s := relay.New(relay.Member{}).WithFeed(whole(5, server("a", 5)), start, grace)
-	s.WithFeed(after(5, 6, gone("s/a", 6), server("b", 6)), start, grace)
-	assert.Equal(t, len(s.Servers("engine")), 1)
-	_, ok := s.Server("b")
+	state := relay.New(relay.Member{}).WithFeed(fullFeed(7, orderFor("v2", 6), progress), start, grace)
+	rollOut, _ := state.Plan("engine")
+	assert.Equal(t, rollOut.Phase(), relay.PhaseReverted)
+	state = state.WithFeed(feedAfter(7, 8, orderFor("v2", 8)), start.Add(time.Second), grace)
+	rollOut, _ = state.Plan("engine")
+	assert.Equal(t, rollOut.Phase(), relay.PhaseNone)
+	assert.Equal(t, rollOut.Seen, start.Add(time.Second))
+}
+
+func TestWithFeedDoesNotChangeOriginalState(t *testing.T) {
+	state := relay.New(relay.Member{}).WithFeed(fullFeed(5, serverAdded("a", 5)), start, grace)
+	state.WithFeed(feedAfter(5, 6, removal("s/a", 6), serverAdded("b", 6)), start, grace)
+	assert.Equal(t, len(state.Servers("engine")), 1)
+	_, ok := state.Server("b")
 	assert.Assert(t, !ok)
 }
--- a/core/relay/tally.go
+++ b/core/relay/tally.go
@@ -1,18 +1,18 @@
 package relay
 
-// Tally counts what one instance has seen of one release of a service since the instance started.
+// Tally counts the attempts of one instance at one release of a service since the instance started.
 type Tally struct {
 	Service ServiceName
 	Release Release
-	// Runs is how many runs were answered, Failed how many of them the server answered with a failure
-	// of its own, and Slow how many took several times as long as usual. Answers that were lost don't
-	// count, since a crash says nothing of a release.
+	// Runs counts the attempts that were answered, Failed those of them that the server answered
+	// with an error of its own, and Slow those that took several times as long as usual. Attempts
+	// without an answer don't count, since the crash of a server says nothing about its release.
 	Runs   int
 	Failed int
 	Slow   int
 }
 
-// With returns a tally that counts one more run.
+// With returns a tally that counts one more answered attempt.
 func (t Tally) With(failed, slow bool) Tally {
 	t.Runs++
 	if failed {
@@ -24,10 +24,10 @@
 	return t
 }
 
-// Plus returns the sum of two instances' tallies.
-func (t Tally) Plus(o Tally) Tally {
-	t.Runs += o.Runs
-	t.Failed += o.Failed
-	t.Slow += o.Slow
+// Plus returns the sum of the tallies of two instances.
+func (t Tally) Plus(other Tally) Tally {
+	t.Runs += other.Runs
+	t.Failed += other.Failed
+	t.Slow += other.Slow
 	return t
 }
--- a/core/relay/throttle.go
+++ b/core/relay/throttle.go
@@ -1,31 +1,34 @@
 package relay
 
-// Throttle bounds how readily larger models are asked for a service; the zero value doesn't.
+// Throttle limits how readily requests of a service are passed on to larger models; the zero value
+// sets no limit.
 //
-// It closes while their answers come too late, as asking more of them then makes all of them later.
+// It falls while larger models answer late, as more requests would delay all their answers further.
 type Throttle struct {
-	// lost is the part that is withheld, from 0 to 1-leastThrottle.
-	lost float64
+	// withheld is how far the throttle is below 1, from 0 to 1-minThrottle.
+	withheld float64
 }
 
 const (
-	leastThrottle = 0.1
-	// throttleRise and throttleFall balance where one in four of larger models' answers is late.
-	throttleRise = 0.03
-	throttleFall = 0.09
+	// minThrottle lets some requests through, which show when answers are in time again.
+	minThrottle = 0.1
+	// throttleRecovery and throttleReduction are the steps after an answer in time and after a late
+	// one; they balance when one in four answers of larger models is late.
+	throttleRecovery  = 0.03
+	throttleReduction = 0.09
 )
 
-// WithAnswer returns the throttle after a larger model's answer that began in time, or did not.
+// WithAnswer returns the throttle after a larger model's answer that began in time or late.
 func (t Throttle) WithAnswer(inTime bool) Throttle {
 	if inTime {
-		t.lost = max(0, t.lost-throttleRise)
+		t.withheld = max(0, t.withheld-throttleRecovery)
 	} else {
-		t.lost = min(1-leastThrottle, t.lost+throttleFall)
+		t.withheld = min(1-minThrottle, t.withheld+throttleReduction)
 	}
 	return t
 }
 
-// Value returns the part that thresholds are scaled to, from leastThrottle to 1.
+// Value returns the factor by which confidence thresholds are scaled, from minThrottle to 1.
 func (t Throttle) Value() float64 {
-	return 1 - t.lost
+	return 1 - t.withheld
 }
--- a/core/relay/throttle_test.go
+++ b/core/relay/throttle_test.go
@@ -8,23 +8,23 @@
 	"endivehitch/core/relay"
 )
 
-func TestThrottleFallsWhileAnswersAreLateAndComesBack(t *testing.T) {
-	var z relay.Throttle
-	assert.Equal(t, z.Value(), 1.0)
+func TestThrottleFallsOnLateAnswersAndRecovers(t *testing.T) {
+	var throttle relay.Throttle
+	assert.Equal(t, throttle.Value(), 1.0)
 	for range 40 {
-		z = z.WithAnswer(true)
+		throttle = throttle.WithAnswer(true)
 	}
-	assert.Equal(t, z.Value(), 1.0)
+	assert.Equal(t, throttle.Value(), 1.0)
 	for range 40 {
-		z = z.WithAnswer(false)
+		throttle = throttle.WithAnswer(false)
 	}
-	assert.Assert(t, z.Value() > 0 && z.Value() < 0.2, "some are asked still, to see when it is over: %v", z.Value())
+	assert.Assert(t, throttle.Value() > 0 && throttle.Value() < 0.2, "some requests still go to larger models, to detect recovery: %v", throttle.Value())
 	for range 40 {
-		z = z.WithAnswer(true)
+		throttle = throttle.WithAnswer(true)
 	}
-	assert.Equal(t, z.Value(), 1.0)
+	assert.Equal(t, throttle.Value(), 1.0)
 	for i := range 400 {
-		z = z.WithAnswer(i%10 != 0)
+		throttle = throttle.WithAnswer(i%10 != 0)
 	}
-	assert.Assert(t, z.Value() > 0.8, "now and then one is late on any day: %v", z.Value())
+	assert.Assert(t, throttle.Value() > 0.8, "one late answer in ten hardly lowers the throttle: %v", throttle.Value())
 }
