--- a/core/relay/query/admit.go
+++ b/core/relay/query/admit.go
@@ -6,61 +6,61 @@
 	"endivehitch/core/relay"
 )
 
-// comeBack is when a caller should try again at another instance.
-const comeBack = 50 * time.Millisecond
+// otherInstanceRetryAfter is how long a caller should wait to retry; another instance may take it.
+const otherInstanceRetryAfter = 50 * time.Millisecond
 
-// Admitted is a request that may run.
+// Admitted holds the route, priority and client account, if any, of an admitted request.
 type Admitted struct {
 	Route   relay.Route
 	Account relay.Account
-	// Rank is the priority that holds for the request, 0 being the most urgent.
+	// Rank is the priority of the request, 0 being the most urgent.
 	Rank int
 }
 
-// Admit finds the request's route and client account; the error is a relay.Refusal.
-func Admit(s relay.State, q relay.Request) (Admitted, error) {
-	if s.Config.Version == 0 {
-		return Admitted{}, relay.Refusal{Reason: relay.ReasonNoConfig, NotRun: true, RetryAfter: comeBack, Detail: "no configuration yet"}
+// Admit returns the request's route, client account and priority; the error is a relay.Refusal.
+func Admit(state relay.State, request relay.Request) (Admitted, error) {
+	if state.Config.Version == 0 {
+		return Admitted{}, relay.Refusal{Reason: relay.ReasonNoConfig, NotRun: true, RetryAfter: otherInstanceRetryAfter, Detail: "no configuration yet"}
 	}
-	r, ok := s.Route(q.Host, q.Path)
+	route, ok := state.Route(request.Host, request.Path)
 	if !ok {
-		return Admitted{}, relay.Refusal{Reason: relay.ReasonNoRoute, NotRun: true, Detail: "no route for " + q.Host + q.Path}
+		return Admitted{}, relay.Refusal{Reason: relay.ReasonNoRoute, NotRun: true, Detail: "no route for " + request.Host + request.Path}
 	}
-	a := Admitted{Route: r, Rank: r.Rank}
-	if !takes(s, r, q) {
-		return a, relay.Refusal{Reason: relay.ReasonLeaving, NotRun: true, RetryAfter: comeBack, Detail: "the instance ends before the request might"}
+	admitted := Admitted{Route: route, Rank: route.Rank}
+	if !canAccept(state, route, request) {
+		return admitted, relay.Refusal{Reason: relay.ReasonLeaving, NotRun: true, RetryAfter: otherInstanceRetryAfter, Detail: "the instance ends before the request might"}
 	}
-	if len(s.Config.Accounts) == 0 {
-		return a, nil
+	if len(state.Config.Accounts) == 0 {
+		return admitted, nil
 	}
-	account, known := s.Account(q.Key)
+	account, known := state.Account(request.Key)
 	if known {
-		a.Account = account
+		admitted.Account = account
 		if account.HasRank {
-			a.Rank = account.Rank
+			admitted.Rank = account.Rank
 		}
 	}
-	if !known && !r.Open {
+	if !known && !route.Open {
 		return Admitted{}, relay.Refusal{Reason: relay.ReasonNoKey, NotRun: true, Detail: "no client account holds the key"}
 	}
-	return a, nil
+	return admitted, nil
 }
 
-// takeFor is how long a leaving instance takes requests that may outlast it, while callers and the
-// platform notice; most of them end long before their deadline.
-const takeFor = 2500 * time.Millisecond
+// leavingAcceptPeriod is how long a leaving instance still accepts requests that may outlast it,
+// until callers and the platform have noticed; most requests end long before their deadline.
+const leavingAcceptPeriod = 2500 * time.Millisecond
 
-// takes reports whether the instance takes the request on: one that is leaving takes what is sure to
-// end before it does.
-func takes(s relay.State, r relay.Route, q relay.Request) bool {
-	if !s.Leaving || q.Arrived.Sub(s.LeavingSince) < takeFor {
+// canAccept reports whether the instance may accept the request: after leavingAcceptPeriod, a
+// leaving instance accepts only requests whose deadline is before its own end.
+func canAccept(state relay.State, route relay.Route, request relay.Request) bool {
+	if !state.Leaving || request.Arrived.Sub(state.LeavingSince) < leavingAcceptPeriod {
 		return true
 	}
-	deadline := q.Deadline(r)
-	return !deadline.IsZero() && !deadline.After(s.LeavesBy)
+	deadline := request.Deadline(route)
+	return !deadline.IsZero() && !deadline.After(state.LeavesBy)
 }
 
 // Ready reports whether the instance should receive new connections.
-func Ready(s relay.State) bool {
-	return s.Config.Version != 0 && !s.Leaving
+func Ready(state relay.State) bool {
+	return state.Config.Version != 0 && !state.Leaving
 }
--- a/core/relay/query/again.go
+++ b/core/relay/query/again.go
@@ -6,71 +6,72 @@
 	"endivehitch/core/relay"
 )
 
-// Ending says how one run at a backend server ended, as far as the router knows.
+// Ending is how an attempt at a backend server ended, as far as the router knows.
 type Ending int
 
-// The endings of a run.
+// The endings of an attempt.
 const (
-	// EndedUnsent is the end of a run that the server can't have received.
+	// EndedUnsent is the end of an attempt that the server can't have received.
 	EndedUnsent Ending = iota
-	// EndedNotRun is the end of a run that the server declined to start.
+	// EndedNotRun is the end of an attempt that the server refused to run.
 	EndedNotRun
-	// EndedUnknown is the end of a run that may have had its effect.
+	// EndedUnknown is the end of an attempt whose outcome is unknown: the server may have run it.
 	EndedUnknown
-	// EndedFailed is the end of a run that the server answered with a failure of its own.
+	// EndedFailed is the end of an attempt that the server answered with an error of its own.
 	EndedFailed
-	// EndedSlow is the end of a run that the router gave up because it took too long to answer.
+	// EndedSlow is the end of an attempt that the router gave up because it was silent for too long.
 	EndedSlow
-	// EndedDropped is the end of a run whose answer was dropped for a larger model's.
+	// EndedDropped is the end of an attempt whose answer was dropped in favour of a larger model's.
 	EndedDropped
 )
 
-// Sends counts what has been tried for one request.
+// Sends counts the attempts of one request.
 type Sends struct {
-	// All counts every send, Run those that may have run.
+	// All counts every attempt, and Run those that a server may have run.
 	All int
 	Run int
 }
 
-// With returns counts that include a send with the ending.
-func (n Sends) With(e Ending) Sends {
+// With returns counts that include an attempt with the ending.
+func (n Sends) With(ending Ending) Sends {
 	n.All++
-	if e != EndedUnsent && e != EndedNotRun {
+	if ending != EndedUnsent && ending != EndedNotRun {
 		n.Run++
 	}
 	return n
 }
 
 const (
-	// leastLeft is the time below which another send isn't worth its place at a server.
-	leastLeft = 30 * time.Millisecond
-	// mostUnrun bounds the sends of one request that no server has run.
-	mostUnrun = 4
+	// minTimeLeft is the time to the deadline below which a retry isn't worth a server's capacity.
+	minTimeLeft = 30 * time.Millisecond
+	// maxUnrunAttempts is how many attempts that no server has run may be followed by another one.
+	maxUnrunAttempts = 4
 )
 
-// Again reports whether the request may be sent to another server after the ending.
-func Again(r relay.Route, e Ending, n Sends, left time.Duration) bool {
-	if left < leastLeft || n.Run >= max(1, r.Attempts) || n.All-n.Run > mostUnrun {
+// Again reports whether the request may be retried at another server after an attempt with the
+// ending, which the counts include.
+func Again(route relay.Route, ending Ending, sends Sends, left time.Duration) bool {
+	if left < minTimeLeft || sends.Run >= max(1, route.Attempts) || sends.All-sends.Run > maxUnrunAttempts {
 		return false
 	}
-	if e == EndedUnsent || e == EndedNotRun {
+	if ending == EndedUnsent || ending == EndedNotRun {
 		return true
 	}
-	return r.Repeat != relay.RepeatNever
+	return route.Repeat != relay.RepeatNever
 }
 
-// Verdict returns the final answer for a request that won't be sent again.
-func Verdict(e Ending, n Sends, left time.Duration) relay.Refusal {
+// Verdict returns the final answer to a request whose last attempt, with the ending, isn't retried.
+func Verdict(ending Ending, sends Sends, left time.Duration) relay.Refusal {
 	switch {
-	case n.Run == 0 && left < leastLeft:
-		return relay.Refusal{Reason: relay.ReasonTimeout, NotRun: true, RetryAfter: comeBack, Detail: "no server took the request in time"}
-	case n.Run == 0:
-		return relay.Refusal{Reason: relay.ReasonSaturated, NotRun: true, RetryAfter: crowdedAfter, Detail: "no server took the request"}
-	case left < leastLeft || e == EndedSlow:
+	case sends.Run == 0 && left < minTimeLeft:
+		return relay.Refusal{Reason: relay.ReasonTimeout, NotRun: true, RetryAfter: otherInstanceRetryAfter, Detail: "no server took the request in time"}
+	case sends.Run == 0:
+		return relay.Refusal{Reason: relay.ReasonSaturated, NotRun: true, RetryAfter: saturatedRetryAfter, Detail: "no server took the request"}
+	case left < minTimeLeft || ending == EndedSlow:
 		return relay.Refusal{Reason: relay.ReasonTimeout, Detail: "the answer did not come in time"}
 	}
 	return relay.Refusal{Reason: relay.ReasonUnknown, Detail: "the server's answer was lost"}
 }
 
-// crowdedAfter is when a caller should come back that found every server full.
-const crowdedAfter = 200 * time.Millisecond
+// saturatedRetryAfter is how long a caller should wait when no server had a free slot.
+const saturatedRetryAfter = 200 * time.Millisecond
--- a/core/relay/query/judge.go
+++ b/core/relay/query/judge.go
@@ -9,54 +9,59 @@
 )
 
 const (
-	// leastBad is how many bad answers it takes at least to revert a release.
-	leastBad = 4
-	// sureBad is how many standard deviations the share of bad answers lies above the other release's.
-	sureBad = 3.0
-	// leastRuns is how many answers of a release must be known before it is completed.
-	leastRuns = 20
-	// floorShare is the share of bad answers that is taken for normal at least.
-	floorShare = 0.02
+	// minBadAnswers is the least number of bad answers for which a release is reverted.
+	minBadAnswers = 4
+	// revertDeviations is how many standard deviations the number of bad answers must exceed the one
+	// expected at the baseline's share.
+	revertDeviations = 3.0
+	// minRuns is how many answered attempts of a release it takes to complete its roll-out.
+	minRuns = 20
+	// minNormalShare is the least share of bad answers assumed for the baseline.
+	minNormalShare = 0.02
 )
 
-// Judge says where the roll-out stands, from the tallies of all instances together, and why.
-func Judge(s relay.State, p relay.Plan, seen []relay.Tally, now time.Time) (relay.Phase, string) {
-	if p.Phase().Final() {
-		return p.Phase(), ""
+// Judge returns the roll-out's next phase, from the tallies of all instances together, and the
+// counts that it is based on. A release is reverted when its share of failed or of slow answers is
+// significantly higher than that of the previous release, the baseline.
+func Judge(state relay.State, rollOut relay.Plan, tallies []relay.Tally, now time.Time) (relay.Phase, string) {
+	if rollOut.Phase().Final() {
+		return rollOut.Phase(), ""
 	}
-	previous, newer := releases(s, p.Order.Service, p.Order.Target)
-	next, usual := tallyOf(seen, p.Order.Service, p.Order.Target), tallyOf(seen, p.Order.Service, previous)
+	previous, hasTarget := releases(state, rollOut.Order.Service, rollOut.Order.Target)
+	candidate, baseline := totalOf(tallies, rollOut.Order.Service, rollOut.Order.Target), totalOf(tallies, rollOut.Order.Service, previous)
 	detail := fmt.Sprintf("new %d runs %d failed %d slow, before %d runs %d failed %d slow",
-		next.Runs, next.Failed, next.Slow, usual.Runs, usual.Failed, usual.Slow)
-	if worse(next.Failed, next.Runs, usual.Failed, usual.Runs) || worse(next.Slow, next.Runs, usual.Slow, usual.Runs) {
+		candidate.Runs, candidate.Failed, candidate.Slow, baseline.Runs, baseline.Failed, baseline.Slow)
+	if isWorse(candidate.Failed, candidate.Runs, baseline.Failed, baseline.Runs) || isWorse(candidate.Slow, candidate.Runs, baseline.Slow, baseline.Runs) {
 		return relay.PhaseReverted, detail
 	}
-	done := now.Sub(p.Seen).Seconds() / max(p.Order.Within.Seconds(), 1)
-	if newer && done >= doneAt && (next.Runs >= leastRuns || usual.Runs == 0) {
+	elapsed := now.Sub(rollOut.Seen).Seconds() / max(rollOut.Order.Within.Seconds(), 1)
+	if hasTarget && elapsed >= completeAt && (candidate.Runs >= minRuns || baseline.Runs == 0) {
 		return relay.PhaseCompleted, detail
 	}
 	return relay.PhaseUnderWay, detail
 }
 
-func tallyOf(seen []relay.Tally, n relay.ServiceName, r relay.Release) relay.Tally {
+// totalOf returns the sum of the tallies of one release of the service.
+func totalOf(tallies []relay.Tally, service relay.ServiceName, r relay.Release) relay.Tally {
 	var sum relay.Tally
-	for _, t := range seen {
-		if t.Service == n && t.Release == r {
+	for _, t := range tallies {
+		if t.Service == service && t.Release == r {
 			sum = sum.Plus(t)
 		}
 	}
 	return sum
 }
 
-// worse reports whether bad of runs is surely a larger share than usualBad of usualRuns.
-func worse(bad, runs, usualBad, usualRuns int) bool {
-	if bad < leastBad || runs == 0 {
+// isWorse reports whether bad of runs is a significantly larger share than baselineBad of
+// baselineRuns.
+func isWorse(bad, runs, baselineBad, baselineRuns int) bool {
+	if bad < minBadAnswers || runs == 0 {
 		return false
 	}
-	usual := max(floorShare, (float64(usualBad)+1)/(float64(usualRuns)+2))
-	if usualRuns == 0 {
-		usual = floorShare
+	baselineShare := max(minNormalShare, (float64(baselineBad)+1)/(float64(baselineRuns)+2))
+	if baselineRuns == 0 {
+		baselineShare = minNormalShare
 	}
 	n := float64(runs)
-	return float64(bad)-n*usual > sureBad*math.Sqrt(n*usual*(1-usual))
+	return float64(bad)-n*baselineShare > revertDeviations*math.Sqrt(n*baselineShare*(1-baselineShare))
 }
--- a/core/relay/query/patience.go
+++ b/core/relay/query/patience.go
@@ -7,36 +7,40 @@
 )
 
 const (
-	// silentLeast is how long a server that streams must have been silent before a run there is given up.
-	silentLeast = 1200 * time.Millisecond
-	// loneFactor multiplies that time where this instance has one run at the server only, so that the
-	// server's silence tells no more than the run's own.
-	loneFactor = 2
-	// stallGaps is how many of the route's pauses a stream may stall at a server that answers others.
-	stallGaps = 2
-	// slowObjectives is how many objectives a request may wait at a server that answers others.
-	slowObjectives = 2
+	// minSilence is how long a streaming server must at least have been silent before an attempt
+	// there is given up.
+	minSilence = 1200 * time.Millisecond
+	// soleAttemptFactor multiplies the time until a server is taken for dead when this instance has
+	// only one attempt there, as the server's silence is then no more than that of the attempt.
+	soleAttemptFactor = 2
+	// maxStallGaps bounds the silence of a stream at a server that still answers other attempts, in
+	// multiples of the route's Gap.
+	maxStallGaps = 2
+	// maxWaitObjectives bounds the wait for a first event at such a server, in multiples of
+	// Objective.
+	maxWaitObjectives = 2
 )
 
-// Patience returns how much longer a run may stay silent where another server could go on, and zero
-// once it should be given up: begun is set once the caller has received a part, serverSilent is how
-// long the server has sent this instance nothing on any run, and silent how long this run has been
-// silent; lone is set when this instance has no other run at the server.
+// Patience returns the rest of the silence timeout of an attempt that another server could take
+// over; the attempt should be given up when it is zero or negative. begun is set once the caller has
+// received a part of the answer, serverSilent is how long this instance has received nothing from
+// the server on any attempt, and silent how long this attempt has been silent; sole is set when this
+// instance has no other attempt at the server.
 //
-// A server that is busy is slow for all, and a request that starts over elsewhere makes it worse, so
-// only a server that seems to be dead is left early.
-func Patience(r relay.Route, begun, lone bool, serverSilent, silent time.Duration) time.Duration {
-	if !r.Stream {
-		return r.Objective*4/5 - silent
+// A busy server is slow for all requests, and starting one over elsewhere adds to the load, so only
+// a server that seems to be dead is given up early.
+func Patience(route relay.Route, begun, sole bool, serverSilent, silent time.Duration) time.Duration {
+	if !route.Stream {
+		return route.Objective*4/5 - silent
 	}
-	dead := max(silentLeast, r.Objective*2/5)
-	slow := slowObjectives * r.Objective
+	serverLimit := max(minSilence, route.Objective*2/5)
+	attemptLimit := maxWaitObjectives * route.Objective
 	if begun {
-		dead = max(silentLeast, r.Gap*3/2)
-		slow = stallGaps * r.Gap
+		serverLimit = max(minSilence, route.Gap*3/2)
+		attemptLimit = maxStallGaps * route.Gap
 	}
-	if lone {
-		dead *= loneFactor
+	if sole {
+		serverLimit *= soleAttemptFactor
 	}
-	return min(max(dead-serverSilent, dead-silent), slow-silent)
+	return min(max(serverLimit-serverSilent, serverLimit-silent), attemptLimit-silent)
 }
--- a/core/relay/query/pick.go
+++ b/core/relay/query/pick.go
@@ -9,61 +9,69 @@
 	"endivehitch/core/relay"
 )
 
-// Loads looks up what the instance has observed of a backend server.
-type Loads func(relay.ServerID) relay.Load
+// LoadLookup returns what the instance has observed of a backend server.
+type LoadLookup func(relay.ServerID) relay.Load
 
-// Want says what a server is wanted for.
+// Want is what a request requires of a server.
 type Want struct {
 	Service relay.ServiceName
 	// Release is the release that must run the request; empty means any.
 	Release relay.Release
-	// Tried lists the servers that this request has already used.
+	// Tried lists the servers that the request was already sent to.
 	Tried []relay.ServerID
 	// Shared is the identifier of the prompt's deepest shared part; empty means none.
 	Shared string
 	// SharedTokens is the length of all parts up to that one.
 	SharedTokens int
-	// ReadTime is the time that the model reads one prompt token in.
+	// ReadTime is the model's prefill time per prompt token.
 	ReadTime time.Duration
 }
 
-// Choice is the server chosen, among how many, and why.
+// Choice is the chosen server, with what led to the choice.
 type Choice struct {
-	Server     relay.Server
+	Server relay.Server
+	// Candidates is the number of eligible servers.
 	Candidates int
-	// Home is set when the server was chosen because it should have the prompt's shared part cached.
+	// Home is set when the server is one of those expected to have the shared part in their prefix
+	// cache.
 	Home bool
-	// Score is the expected wait in the terms of Pick, in milliseconds for engines.
+	// Score is the server's score; lower is better. For engines it is in milliseconds.
 	Score float64
 }
 
 const (
-	// homes is how many servers may keep the same shared part, and ranked how many are looked at for them.
-	homes  = 2
-	ranked = 5
-	// samples is how many other servers are compared, of as many as draws.
-	samples = 3
-	draws   = 8
-	// slotMs is the expected delay that each running request adds to an engine's answer, in milliseconds.
-	slotMs = 4.0
-	// reportLife is the age at which a server's report counts no more.
-	reportLife = time.Second
-	// farMs and farFactor are the cost of leaving the instance's own failure domain.
-	farMs     = 6.0
-	farFactor = 1.1
-	// badWeight multiplies a server's share of failures into its score.
-	badWeight = 8.0
-	usualPace = 100.0
-	// coldFactor is how much slower a server is taken to be until it has warmed up.
-	coldFactor = 2.0
+	// affinityServers is how many servers are expected to cache the same shared part, and
+	// rankedServers how many of the highest-ranked ones are considered, as some may be ejected.
+	affinityServers = 2
+	rankedServers   = 5
+	// sampledServers is how many randomly drawn servers are compared besides, and maxDraws how many
+	// draws are made for them; a draw may hit an ejected server, or one that is compared already.
+	sampledServers = 3
+	maxDraws       = 8
+	// msPerRequest is the expected delay in milliseconds that each running request adds at an
+	// engine.
+	msPerRequest = 4.0
+	// reportLifetime is the age from which a server's report is ignored.
+	reportLifetime = time.Second
+	// remoteDomainMs and remoteDomainFactor are the cost of a server in another failure domain, for
+	// engines and for other services.
+	remoteDomainMs     = 6.0
+	remoteDomainFactor = 1.1
+	// failureRateWeight is the weight of a server's failure rate in its score.
+	failureRateWeight = 8.0
+	// normalPace is the pace that a server reports when work takes as long as usual.
+	normalPace = 100.0
+	// warmUpFactor is how much slower a server is assumed to be during its warm-up period.
+	warmUpFactor = 2.0
 )
 
-// Pick chooses a server; it reports false when there is none that the request hasn't tried.
-func Pick(s relay.State, w Want, loads Loads, rnd policy.Rand, now time.Time) (Choice, bool) {
-	service, _ := s.Service(w.Service)
-	p := picker{state: s, want: w, loads: loads, now: now, engine: service.Engine}
-	p.survey()
-	if p.usable == 0 {
+// Pick chooses the server with the lowest score among a few candidates; it reports false when no
+// server is eligible.
+func Pick(state relay.State, want Want, loads LoadLookup, rnd policy.Rand, now time.Time) (Choice, bool) {
+	service, _ := state.Service(want.Service)
+	p := selector{state: state, want: want, loads: loads, now: now, engine: service.Engine}
+	p.scan()
+	if p.eligible == 0 {
 		return Choice{}, false
 	}
 	best, score := relay.Server{}, policy.Never
@@ -72,159 +80,163 @@
 			best, score = server, v
 		}
 	}
-	return Choice{Server: best, Candidates: p.usable, Home: p.isHome(best.ID), Score: score}, true
+	return Choice{Server: best, Candidates: p.eligible, Home: p.hasAffinity(best.ID), Score: score}, true
 }
 
-type picker struct {
+type selector struct {
 	state  relay.State
 	want   Want
-	loads  Loads
+	loads  LoadLookup
 	now    time.Time
 	engine bool
-	// usable counts the servers that may take the request, and top holds the heaviest for its shared part.
-	usable int
-	top    []relay.ServerID
-	home   [homes]relay.ServerID
+	// eligible is the number of servers that may take the request.
+	eligible int
+	// topRanked lists the eligible servers that rank highest for the shared part by rendezvous hash.
+	topRanked []relay.ServerID
+	// affinity lists the servers expected to hold the shared part in their prefix cache.
+	affinity [affinityServers]relay.ServerID
 }
 
-// fits reports whether the server may take the request.
-func (p *picker) fits(v relay.Server) bool {
-	return !v.Draining && (p.want.Release == "" || v.Release == p.want.Release) && !slices.Contains(p.want.Tried, v.ID)
+// isEligible reports whether the server may take the request; an ejected one still may.
+func (p *selector) isEligible(server relay.Server) bool {
+	return !server.Draining && (p.want.Release == "" || server.Release == p.want.Release) && !slices.Contains(p.want.Tried, server.ID)
 }
 
-func (p *picker) shunned(id relay.ServerID) bool {
+func (p *selector) isEjected(id relay.ServerID) bool {
 	return p.loads(id).EjectedUntil.After(p.now)
 }
 
-// survey looks at all servers once, without what was observed of each.
-func (p *picker) survey() {
-	top := policy.NewTop[relay.ServerID](p.want.Shared, ranked)
-	for _, v := range p.state.Servers(p.want.Service) {
-		if !p.fits(v) {
+// scan counts and ranks the eligible servers in one pass, without looking up their loads.
+func (p *selector) scan() {
+	top := policy.NewTop[relay.ServerID](p.want.Shared, rankedServers)
+	for _, server := range p.state.Servers(p.want.Service) {
+		if !p.isEligible(server) {
 			continue
 		}
-		p.usable++
+		p.eligible++
 		if p.want.Shared != "" {
-			top.Offer(v.ID)
+			top.Offer(server.ID)
 		}
 	}
-	p.top = top.Keys()
+	p.topRanked = top.Keys()
 }
 
-// candidates are the homes of the prompt's shared part and a few random servers; comparing all
-// would send every instance with the same reports to the same server. Shunned servers are left out
-// unless there is no other.
-func (p *picker) candidates(rnd policy.Rand) []relay.Server {
-	chosen := make([]relay.Server, 0, homes+samples)
-	for _, id := range p.top {
-		if v, ok := p.state.Server(id); ok && len(chosen) < homes && !p.shunned(id) {
-			p.home[len(chosen)] = id
-			chosen = append(chosen, v)
+// candidates returns the servers with affinity to the prompt's shared part and a few random ones.
+// If all servers were compared, instances with the same reports would all choose the same server.
+// Ejected servers are left out unless there is no other.
+func (p *selector) candidates(rnd policy.Rand) []relay.Server {
+	chosen := make([]relay.Server, 0, affinityServers+sampledServers)
+	for _, id := range p.topRanked {
+		if server, ok := p.state.Server(id); ok && len(chosen) < affinityServers && !p.isEjected(id) {
+			p.affinity[len(chosen)] = id
+			chosen = append(chosen, server)
 		}
 	}
-	found := len(chosen)
-	for range draws {
-		if v := p.drawn(rnd.IntN(p.usable)); len(chosen) < found+samples && !p.shunned(v.ID) {
-			chosen = append(chosen, v)
+	withAffinity := len(chosen)
+	for range maxDraws {
+		if server := p.eligibleServer(rnd.IntN(p.eligible)); len(chosen) < withAffinity+sampledServers && !p.isEjected(server.ID) {
+			chosen = append(chosen, server)
 		}
 	}
 	if len(chosen) > 0 {
 		return chosen
 	}
-	return p.lastResort()
+	return p.fallback()
 }
 
-// drawn returns the usable server of that number.
-func (p *picker) drawn(n int) relay.Server {
-	all := p.state.Servers(p.want.Service)
-	if p.usable == len(all) {
-		return all[n]
+// eligibleServer returns the nth eligible server, from 0.
+func (p *selector) eligibleServer(n int) relay.Server {
+	servers := p.state.Servers(p.want.Service)
+	if p.eligible == len(servers) {
+		return servers[n]
 	}
-	for _, v := range all {
-		if !p.fits(v) {
+	for _, server := range servers {
+		if !p.isEligible(server) {
 			continue
 		}
 		if n == 0 {
-			return v
+			return server
 		}
 		n--
 	}
 	return relay.Server{}
 }
 
-// lastResort lists all usable servers that aren't shunned, or all that are.
-func (p *picker) lastResort() []relay.Server {
-	var sound, shunned []relay.Server
-	for _, v := range p.state.Servers(p.want.Service) {
+// fallback returns all eligible servers that aren't ejected or, if there are none, the ejected ones.
+func (p *selector) fallback() []relay.Server {
+	var healthy, ejected []relay.Server
+	for _, server := range p.state.Servers(p.want.Service) {
 		switch {
-		case !p.fits(v):
-		case p.shunned(v.ID):
-			shunned = append(shunned, v)
+		case !p.isEligible(server):
+		case p.isEjected(server.ID):
+			ejected = append(ejected, server)
 		default:
-			sound = append(sound, v)
+			healthy = append(healthy, server)
 		}
 	}
-	if len(sound) > 0 {
-		return sound
+	if len(healthy) > 0 {
+		return healthy
 	}
-	return shunned
+	return ejected
 }
 
-func (p *picker) isHome(id relay.ServerID) bool {
-	return p.want.Shared != "" && slices.Contains(p.home[:], id)
+func (p *selector) hasAffinity(id relay.ServerID) bool {
+	return p.want.Shared != "" && slices.Contains(p.affinity[:], id)
 }
 
-func (p *picker) score(v relay.Server) float64 {
-	l := p.loads(v.ID)
+func (p *selector) score(server relay.Server) float64 {
+	load := p.loads(server.ID)
 	if p.engine {
-		return p.engineWait(v, l)
+		return p.timeToFirstEvent(server, load)
 	}
-	wait := p.occupancy(v, l) + 1/float64(max(1, v.Slots))
-	if v.Domain != p.state.Self.Domain {
-		wait *= farFactor
+	wait := p.occupancy(server, load) + 1/float64(max(1, server.Slots))
+	if server.Domain != p.state.Self.Domain {
+		wait *= remoteDomainFactor
 	}
-	return wait * p.slowness(v, l)
+	return wait * p.slowdown(server, load)
 }
 
-// engineWait is the expected time to the first event, in milliseconds.
-func (p *picker) engineWait(v relay.Server, l relay.Load) float64 {
-	wait := slotMs*p.occupancy(v, l)*float64(max(1, v.Slots)) + milliseconds(l.Work)
+// timeToFirstEvent returns the score of an engine: the expected time until the first event, in
+// milliseconds. The second server with affinity is assumed to hold the shared part half the time.
+func (p *selector) timeToFirstEvent(server relay.Server, load relay.Load) float64 {
+	wait := msPerRequest*p.occupancy(server, load)*float64(max(1, server.Slots)) + milliseconds(load.Work)
 	if p.want.Shared != "" {
-		reading := milliseconds(time.Duration(p.want.SharedTokens) * p.want.ReadTime)
-		switch v.ID {
-		case p.home[0]:
-		case p.home[1]:
-			wait += reading / 2
+		prefill := milliseconds(time.Duration(p.want.SharedTokens) * p.want.ReadTime)
+		switch server.ID {
+		case p.affinity[0]:
+		case p.affinity[1]:
+			wait += prefill / 2
 		default:
-			wait += reading
+			wait += prefill
 		}
 	}
-	if v.Domain != p.state.Self.Domain {
-		wait += farMs
+	if server.Domain != p.state.Self.Domain {
+		wait += remoteDomainMs
 	}
-	return (wait + 1) * p.slowness(v, l)
+	return (wait + 1) * p.slowdown(server, load)
 }
 
-// occupancy is the share of the server's slots in use; a fresh report tells of other instances' work too.
-func (p *picker) occupancy(v relay.Server, l relay.Load) float64 {
-	busy := float64(l.InFlight)
-	if age := p.now.Sub(l.Reported); !l.Reported.IsZero() && age < reportLife {
-		busy = max(busy, float64(l.Report.Running+l.Report.Waiting)*(1-float64(age)/float64(2*reportLife)))
+// occupancy returns the ratio of the server's requests to its slots. It counts this instance's own
+// requests, or those of all instances if a recent report, discounted by its age, shows more.
+func (p *selector) occupancy(server relay.Server, load relay.Load) float64 {
+	busy := float64(load.InFlight)
+	if age := p.now.Sub(load.Reported); !load.Reported.IsZero() && age < reportLifetime {
+		busy = max(busy, float64(load.Report.Running+load.Report.Waiting)*(1-float64(age)/float64(2*reportLifetime)))
 	}
-	return busy / float64(max(1, v.Slots))
+	return busy / float64(max(1, server.Slots))
 }
 
 func milliseconds(d time.Duration) float64 {
 	return float64(d) / float64(time.Millisecond)
 }
 
-func (p *picker) slowness(v relay.Server, l relay.Load) float64 {
-	slow := 1 + badWeight*l.DecayedFailureRate(p.now)
-	if p.now.Before(v.ColdUntil) {
-		slow *= coldFactor
+func (p *selector) slowdown(server relay.Server, load relay.Load) float64 {
+	factor := 1 + failureRateWeight*load.DecayedFailureRate(p.now)
+	if p.now.Before(server.ColdUntil) {
+		factor *= warmUpFactor
 	}
-	if l.Report.Pace > 0 && p.now.Sub(l.Reported) < reportLife {
-		slow *= math.Max(1, float64(l.Report.Pace)/usualPace)
+	if load.Report.Pace > 0 && p.now.Sub(load.Reported) < reportLifetime {
+		factor *= math.Max(1, float64(load.Report.Pace)/normalPace)
 	}
-	return slow
+	return factor
 }
--- a/core/relay/query/pick_test.go
+++ b/core/relay/query/pick_test.go
@@ -11,43 +11,43 @@
 	"endivehitch/core/relay/query"
 )
 
-func TestPick(t *testing.T) {
+func TestPickAvoidsTriedDrainingAndEjectedServers(t *testing.T) {
 	draining := serverOf("c", "v1")
 	draining.Server.Draining = true
-	s := stateOf(serverOf("a", "v1"), serverOf("b", "v2"), draining)
+	state := stateOf(serverOf("a", "v1"), serverOf("b", "v2"), draining)
 	rnd := rand.New(rand.NewPCG(1, 1))
 	loads := func(relay.ServerID) relay.Load { return relay.Load{} }
 	for range 50 {
-		c, ok := query.Pick(s, query.Want{Service: "engine", Tried: []relay.ServerID{"a"}}, loads, rnd, now)
+		c, ok := query.Pick(state, query.Want{Service: "engine", Tried: []relay.ServerID{"a"}}, loads, rnd, now)
 		assert.Assert(t, ok)
 		assert.Equal(t, c.Server.ID, relay.ServerID("b"))
-		c, _ = query.Pick(s, query.Want{Service: "engine", Release: "v1"}, loads, rnd, now)
+		c, _ = query.Pick(state, query.Want{Service: "engine", Release: "v1"}, loads, rnd, now)
 		assert.Equal(t, c.Server.ID, relay.ServerID("a"))
 	}
-	_, ok := query.Pick(s, query.Want{Service: "engine", Tried: []relay.ServerID{"a", "b"}}, loads, rnd, now)
+	_, ok := query.Pick(state, query.Want{Service: "engine", Tried: []relay.ServerID{"a", "b"}}, loads, rnd, now)
 	assert.Assert(t, !ok)
-	shunned := func(id relay.ServerID) relay.Load {
+	ejected := func(id relay.ServerID) relay.Load {
 		if id == "a" {
 			return relay.Load{EjectedUntil: now.Add(time.Second)}
 		}
 		return relay.Load{}
 	}
-	c, _ := query.Pick(s, query.Want{Service: "engine"}, shunned, rnd, now)
+	c, _ := query.Pick(state, query.Want{Service: "engine"}, ejected, rnd, now)
 	assert.Equal(t, c.Server.ID, relay.ServerID("b"))
-	c, ok = query.Pick(s, query.Want{Service: "engine", Release: "v1"}, shunned, rnd, now)
-	assert.Assert(t, ok, "a shunned server is better than none")
+	c, ok = query.Pick(state, query.Want{Service: "engine", Release: "v1"}, ejected, rnd, now)
+	assert.Assert(t, ok, "an ejected server is better than none")
 	assert.Equal(t, c.Server.ID, relay.ServerID("a"))
 }
 
-func TestAColdServerIsAvoidedUntilItIsWarm(t *testing.T) {
-	cold := serverOf("cold", "v1")
-	cold.Server.Cold = 5 * time.Second
-	s := stateOf(cold, serverOf("warm", "v1"))
+func TestPickAvoidsServerUntilItHasWarmedUp(t *testing.T) {
+	warmingUp := serverOf("cold", "v1")
+	warmingUp.Server.Cold = 5 * time.Second
+	state := stateOf(warmingUp, serverOf("warm", "v1"))
 	rnd := rand.New(rand.NewPCG(1, 1))
 	chosen := func(at time.Time) int {
 		n := 0
 		for range 200 {
-			c, ok := query.Pick(s, query.Want{Service: "engine"}, func(relay.ServerID) relay.Load { return relay.Load{} }, rnd, at)
+			c, ok := query.Pick(state, query.Want{Service: "engine"}, func(relay.ServerID) relay.Load { return relay.Load{} }, rnd, at)
 			assert.Assert(t, ok)
 			if c.Server.ID == "cold" {
 				n++
@@ -55,7 +55,7 @@
 		}
 		return n
 	}
-	assert.Assert(t, chosen(now.Add(time.Second)) < 40, "only when it is the only one drawn")
+	assert.Assert(t, chosen(now.Add(time.Second)) < 40, "a server that is warming up is chosen only when it alone is drawn")
 	assert.Assert(t, chosen(now.Add(6*time.Second)) > 60)
 	busy := func(id relay.ServerID) relay.Load {
 		if id == "warm" {
@@ -63,31 +63,31 @@
 		}
 		return relay.Load{}
 	}
-	c, _ := query.Pick(s, query.Want{Service: "engine", Tried: nil}, busy, rnd, now.Add(time.Second))
-	assert.Equal(t, c.Server.ID, relay.ServerID("cold"), "a full server is worse")
+	c, _ := query.Pick(state, query.Want{Service: "engine", Tried: nil}, busy, rnd, now.Add(time.Second))
+	assert.Equal(t, c.Server.ID, relay.ServerID("cold"), "a full server is worse than one that is warming up")
 }
 
-func TestASharedPartStaysAtItsHomeUnlessThatIsBusy(t *testing.T) {
+func TestPickKeepsSharedPromptAtItsServerUnlessBusy(t *testing.T) {
 	entries := []relay.Entry{{Config: &relay.Config{Version: 1, Services: []relay.Service{{Name: "engine", Engine: true}}}}}
 	for i := range 8 {
 		entries = append(entries, serverOf(relay.ServerID(rune('a'+i)), "v1"))
 	}
-	s := stateOf(entries...)
+	state := stateOf(entries...)
 	rnd := rand.New(rand.NewPCG(1, 1))
 	idle := func(relay.ServerID) relay.Load { return relay.Load{} }
 	want := query.Want{Service: "engine", Shared: "menu", SharedTokens: 6000, ReadTime: 20 * time.Microsecond}
-	home, _ := query.Pick(s, want, idle, rnd, now)
-	assert.Assert(t, home.Home)
+	first, _ := query.Pick(state, want, idle, rnd, now)
+	assert.Assert(t, first.Home)
 	for range 30 {
-		again, _ := query.Pick(s, want, idle, rnd, now)
-		assert.Equal(t, again.Server.ID, home.Server.ID)
+		again, _ := query.Pick(state, want, idle, rnd, now)
+		assert.Equal(t, again.Server.ID, first.Server.ID)
 	}
 	busy := func(id relay.ServerID) relay.Load {
-		if id == home.Server.ID {
+		if id == first.Server.ID {
 			return relay.Load{InFlight: 60, Work: 3 * time.Second}
 		}
 		return relay.Load{}
 	}
-	other, _ := query.Pick(s, want, busy, rnd, now)
-	assert.Assert(t, other.Server.ID != home.Server.ID)
+	whenBusy, _ := query.Pick(state, want, busy, rnd, now)
+	assert.Assert(t, whenBusy.Server.ID != first.Server.ID)
 }
--- a/core/relay/query/reader.go
+++ b/core/relay/query/reader.go
@@ -6,77 +6,80 @@
 	"endivehitch/core/relay"
 )
 
-// followers is how many instances one reader tells of changes; a failure domain with more has several.
-const followers = 24
+// maxFollowers is how many instances share one reader of the store on average; a failure domain
+// with more instances has several readers.
+const maxFollowers = 24
 
-// Reader returns the instance of the own failure domain that reads the store for this one, and whether
-// it is another than this one; suspected ones are passed over.
-func Reader(s relay.State, suspected func(relay.MemberName) bool) (relay.Member, bool) {
-	reader := readerOf(s, s.Self.Domain, suspected)
-	return reader, reader.Name != "" && reader.Name != s.Self.Name
+// Reader returns the instance of the own failure domain that reads the store for this one, and
+// whether that is another instance; suspected instances are passed over.
+func Reader(state relay.State, suspected func(relay.MemberName) bool) (relay.Member, bool) {
+	reader := readerOf(state, state.Self.Domain, suspected)
+	return reader, reader.Name != "" && reader.Name != state.Self.Name
 }
 
-// Teller returns whom an instance asks that doesn't read the store itself: its own reader on even
-// turns, and the readers of the other failure domains on odd ones. So a reader that is cut off from
-// the store without knowing it holds up nobody for longer than one turn.
-func Teller(s relay.State, turn int, suspected func(relay.MemberName) bool) relay.Member {
-	own := readerOf(s, s.Self.Domain, suspected)
-	others := domains(s)
+// Teller returns the instance from which one that doesn't read the store itself requests updates:
+// its own reader on even turns, and the readers of the other failure domains in rotation on odd
+// ones. So a reader that is cut off from the store without noticing delays updates by one turn at
+// most.
+func Teller(state relay.State, turn int, suspected func(relay.MemberName) bool) relay.Member {
+	own := readerOf(state, state.Self.Domain, suspected)
+	others := otherDomains(state)
 	if turn%2 == 0 || len(others) == 0 {
 		return own
 	}
-	teller := readerOf(s, others[turn/2%len(others)], suspected)
-	if teller.Name == "" {
+	source := readerOf(state, others[turn/2%len(others)], suspected)
+	if source.Name == "" {
 		return own
 	}
-	return teller
+	return source
 }
 
-// readerOf returns the failure domain's reader for this instance: the heaviest of the instances there
-// that fall into the same group as this one.
-func readerOf(s relay.State, d relay.FailureDomain, suspected func(relay.MemberName) bool) relay.Member {
-	groups := groupsIn(s, d)
-	own := groupOf(s.Self.Name, groups)
-	var reader, other relay.Member
-	best, bestOther := uint64(0), uint64(0)
-	for _, m := range s.Members() {
-		if m.Domain != d || (m.Name != s.Self.Name && suspected(m.Name)) {
+// readerOf returns the failure domain's reader for this instance: of the instances there that fall
+// into the same group as this one, the one with the highest hash, or else the one with the highest
+// hash of all.
+func readerOf(state relay.State, domain relay.FailureDomain, suspected func(relay.MemberName) bool) relay.Member {
+	groups := groupCount(state, domain)
+	own := groupOf(state.Self.Name, groups)
+	var reader, fallback relay.Member
+	bestWeight, bestFallback := uint64(0), uint64(0)
+	for _, m := range state.Members() {
+		if m.Domain != domain || (m.Name != state.Self.Name && suspected(m.Name)) {
 			continue
 		}
-		w := xxhash.Sum64String(string(m.Name))
-		if w >= bestOther {
-			other, bestOther = m, w
+		weight := xxhash.Sum64String(string(m.Name))
+		if weight >= bestFallback {
+			fallback, bestFallback = m, weight
 		}
-		if w >= best && groupOf(m.Name, groups) == own {
-			reader, best = m, w
+		if weight >= bestWeight && groupOf(m.Name, groups) == own {
+			reader, bestWeight = m, weight
 		}
 	}
 	if reader.Name == "" {
-		return other
+		return fallback
 	}
 	return reader
 }
 
-// groupsIn returns into how many groups the instances of the failure domain fall.
-func groupsIn(s relay.State, d relay.FailureDomain) uint64 {
+// groupCount returns the number of groups that the instances of the failure domain are divided into.
+func groupCount(state relay.State, domain relay.FailureDomain) uint64 {
 	n := 0
-	for _, m := range s.Members() {
-		if m.Domain == d {
+	for _, m := range state.Members() {
+		if m.Domain == domain {
 			n++
 		}
 	}
-	return uint64(max(1, (n+followers-1)/followers))
+	return uint64(max(1, (n+maxFollowers-1)/maxFollowers))
 }
 
 func groupOf(n relay.MemberName, groups uint64) uint64 {
 	return xxhash.Sum64String("group/"+string(n)) % groups
 }
 
-// domains lists the other failure domains, in the order of their first members.
-func domains(s relay.State) []relay.FailureDomain {
+// otherDomains lists the other failure domains, in the order of their first members by name.
+func otherDomains(state relay.State) []relay.FailureDomain {
 	var list []relay.FailureDomain
-	seen := map[relay.FailureDomain]bool{s.Self.Domain: true}
-	for _, m := range s.Members() {
+	seen := map[relay.FailureDomain]bool{state.Self.Domain: true}
+	for _, m := range state.Members() {
 		if !seen[m.Domain] {
 			seen[m.Domain] = true
 			list = append(list, m.Domain)
--- a/core/relay/query/release.go
+++ b/core/relay/query/release.go
@@ -9,91 +9,96 @@
 )
 
 const (
-	// canary is the part of the traffic that a new release receives at first; a large fleet sees
-	// enough answers with leastCanary.
-	canary      = 0.08
-	leastCanary = 0.02
-	// canaryFleet is the number of instances up to which the whole canary's part is used.
+	// canaryShare is the share of the traffic that a new release receives during the canary period.
+	// A large fleet gets enough answers with less, down to minCanaryShare.
+	canaryShare    = 0.08
+	minCanaryShare = 0.02
+	// canaryFleet is the number of instances from which canaryShare is halved; each further
+	// canaryFleet instances raise the divisor by one.
 	canaryFleet = 16
-	// provedAt, halfAt and wholeAt are the parts of a roll-out's time at which the new release gets
-	// more than the canary's part, half of the traffic, and all of it.
-	provedAt = 0.52
-	halfAt   = 0.60
-	wholeAt  = 0.68
-	// doneAt is the part of a roll-out's time at which it may be completed.
-	doneAt = 0.80
+	// canaryEnd, halfShareAt and fullShareAt are the fractions of the order's Within at which the
+	// new release gets a quarter of the traffic, half of it, and all of it.
+	canaryEnd   = 0.52
+	halfShareAt = 0.60
+	fullShareAt = 0.68
+	// completeAt is the fraction of the order's Within from which the roll-out may be completed.
+	completeAt = 0.80
 )
 
-// Share returns the part of the service's traffic, from 0 to 1, that the roll-out's release receives
-// in a fleet of so many instances.
-func Share(p relay.Plan, members int, now time.Time) float64 {
-	switch p.Phase() {
+// TrafficShare returns the share of the service's traffic, from 0 to 1, that the roll-out's release
+// receives in a fleet of so many instances.
+func TrafficShare(rollOut relay.Plan, members int, now time.Time) float64 {
+	switch rollOut.Phase() {
 	case relay.PhaseCompleted:
 		return 1
 	case relay.PhaseReverted:
 		return 0
 	}
-	done := now.Sub(p.Seen).Seconds() / max(p.Order.Within.Seconds(), 1)
+	elapsed := now.Sub(rollOut.Seen).Seconds() / max(rollOut.Order.Within.Seconds(), 1)
 	switch {
-	case done < provedAt:
-		return max(leastCanary, canary/float64(1+members/canaryFleet))
-	case done < halfAt:
+	case elapsed < canaryEnd:
+		return max(minCanaryShare, canaryShare/float64(1+members/canaryFleet))
+	case elapsed < halfShareAt:
 		return 0.25
-	case done < wholeAt:
+	case elapsed < fullShareAt:
 		return 0.5
 	}
 	return 1
 }
 
-// Early reports whether the roll-out is in the time in which sessions stay where they are.
-func Early(p relay.Plan, now time.Time) bool {
-	return now.Sub(p.Seen) < time.Duration(provedAt*float64(p.Order.Within))
+// IsCanary reports whether the roll-out is in its canary period, in which sessions keep their
+// release.
+func IsCanary(rollOut relay.Plan, now time.Time) bool {
+	return now.Sub(rollOut.Seen) < time.Duration(canaryEnd*float64(rollOut.Order.Within))
 }
 
-// Release returns the release that must run a request of the service, or empty for any; last is the
-// release that the request's session ran on, and spread is a number that is even over requests.
-func Release(s relay.State, n relay.ServiceName, session string, last relay.Release, spread uint64, now time.Time) relay.Release {
-	p, ok := s.Plan(n)
-	if !ok || p.Order.Target == "" {
+// Release returns the release that must run a request of the service, or empty for any. The last
+// release is the one that the request's session ran on; uniform is a number that is uniformly
+// distributed over requests and stands in for the session's hash when there is no session.
+func Release(state relay.State, service relay.ServiceName, session string, last relay.Release, uniform uint64, now time.Time) relay.Release {
+	rollOut, ok := state.Plan(service)
+	if !ok || rollOut.Order.Target == "" {
 		return ""
 	}
-	previous, newer := releases(s, n, p.Order.Target)
+	previous, hasTarget := releases(state, service, rollOut.Order.Target)
 	switch {
-	case !newer:
+	case !hasTarget:
 		return previous
-	case previous == "" || p.Phase() == relay.PhaseCompleted:
-		return p.Order.Target
-	case p.Phase() == relay.PhaseReverted:
+	case previous == "" || rollOut.Phase() == relay.PhaseCompleted:
+		return rollOut.Order.Target
+	case rollOut.Phase() == relay.PhaseReverted:
 		return previous
-	case last == p.Order.Target:
+	case last == rollOut.Order.Target:
 		return last
-	case last != "" && Early(p, now):
+	case last != "" && IsCanary(rollOut, now):
 		return last
 	}
 	if session != "" {
-		spread = xxhash.Sum64String(session)
+		uniform = xxhash.Sum64String(session)
 	}
-	if float64(spread%spreadSteps) < Share(p, len(s.Members()), now)*spreadSteps {
-		return p.Order.Target
+	if float64(uniform%shareSteps) < TrafficShare(rollOut, len(state.Members()), now)*shareSteps {
+		return rollOut.Order.Target
 	}
 	return previous
 }
 
-const spreadSteps = 10000
+// shareSteps is the resolution at which traffic is split.
+const shareSteps = 10000
 
-// releases returns the release that the service ran before the target, and whether there are
-// servers of the target.
-func releases(s relay.State, n relay.ServiceName, target relay.Release) (relay.Release, bool) {
+// releases returns the release that the service ran before the target, and whether any server runs
+// the target; draining servers don't count. Of several other releases, that of the last server
+// counts.
+func releases(state relay.State, service relay.ServiceName, target relay.Release) (relay.Release, bool) {
 	var previous relay.Release
-	newer := false
-	for _, v := range s.Servers(n) {
+	hasTarget := false
+	for _, server := range state.Servers(service) {
 		switch {
-		case v.Draining:
-		case v.Release == target:
-			newer = true
+		case server.Draining:
+		case server.Release == target:
+			hasTarget = true
 		default:
-			previous = v.Release
+			previous = server.Release
 		}
 	}
-	return previous, newer
+	return previous, hasTarget
 }
--- a/core/relay/query/release_test.go
+++ b/core/relay/query/release_test.go
@@ -10,7 +10,7 @@
 	"endivehitch/core/relay/query"
 )
 
-func rollOut(seen time.Time, members int, phase relay.Phase) relay.State {
+func rollOut(orderedAt time.Time, members int, phase relay.Phase) relay.State {
 	entries := []relay.Entry{
 		serverOf("a", "v1"), serverOf("b", "v2"),
 		{RollOut: &relay.RollOut{Service: "engine", Target: "v2", Within: 20 * time.Second}},
@@ -19,54 +19,54 @@
 	for i := range members {
 		entries = append(entries, member(relay.MemberName(rune('A'+i)), "d1"))
 	}
-	f := relay.Feed{Whole: true, Revision: 100}
+	feed := relay.Feed{Whole: true, Revision: 100}
 	for i, e := range entries {
-		f.Changes = append(f.Changes, relay.Change{Key: string(rune('a' + i)), Revision: int64(i + 1), Entry: e})
+		feed.Changes = append(feed.Changes, relay.Change{Key: string(rune('a' + i)), Revision: int64(i + 1), Entry: e})
 	}
-	return relay.New(relay.Member{Name: "n1"}).WithFeed(f, seen, 0)
+	return relay.New(relay.Member{Name: "n1"}).WithFeed(feed, orderedAt, 0)
 }
 
-func TestReleaseOfARequest(t *testing.T) {
-	s := rollOut(now, 7, relay.PhaseUnderWay)
+func TestReleaseFollowsShareSessionAndPhase(t *testing.T) {
+	state := rollOut(now, 7, relay.PhaseUnderWay)
 	early, late := now.Add(time.Second), now.Add(19*time.Second)
-	assert.Equal(t, query.Release(s, "engine", "", "", 9999, early), relay.Release("v1"))
-	assert.Equal(t, query.Release(s, "engine", "", "", 0, early), relay.Release("v2"))
-	assert.Equal(t, query.Release(s, "engine", "x", "v1", 0, early), relay.Release("v1"), "a session stays where it is")
-	assert.Equal(t, query.Release(s, "engine", "x", "v2", 9999, early), relay.Release("v2"))
-	assert.Equal(t, query.Release(s, "engine", "x", "v1", 9999, late), relay.Release("v2"), "in the end all move")
+	assert.Equal(t, query.Release(state, "engine", "", "", 9999, early), relay.Release("v1"))
+	assert.Equal(t, query.Release(state, "engine", "", "", 0, early), relay.Release("v2"))
+	assert.Equal(t, query.Release(state, "engine", "x", "v1", 0, early), relay.Release("v1"), "a session stays at its release during the canary")
+	assert.Equal(t, query.Release(state, "engine", "x", "v2", 9999, early), relay.Release("v2"))
+	assert.Equal(t, query.Release(state, "engine", "x", "v1", 9999, late), relay.Release("v2"), "at the end all sessions move")
 	assert.Equal(t, query.Release(rollOut(now, 7, relay.PhaseReverted), "engine", "x", "v2", 0, late), relay.Release("v1"))
 	assert.Equal(t, query.Release(rollOut(now, 7, relay.PhaseCompleted), "engine", "x", "v1", 9999, early), relay.Release("v2"))
-	assert.Equal(t, query.Release(s, "other", "", "", 0, early), relay.Release(""))
+	assert.Equal(t, query.Release(state, "other", "", "", 0, early), relay.Release(""))
 }
 
-func TestExposureStaysSmallUntilTheReleaseIsProved(t *testing.T) {
-	s := rollOut(now, 7, relay.PhaseUnderWay)
-	p, _ := s.Plan("engine")
+func TestTrafficShareStaysSmallDuringCanary(t *testing.T) {
+	state := rollOut(now, 7, relay.PhaseUnderWay)
+	plan, _ := state.Plan("engine")
 	for at := range 10 {
-		assert.Assert(t, query.Share(p, 7, now.Add(time.Duration(at)*time.Second)) <= 0.1)
+		assert.Assert(t, query.TrafficShare(plan, 7, now.Add(time.Duration(at)*time.Second)) <= 0.1)
 	}
-	assert.Assert(t, query.Share(p, 61, now) < query.Share(p, 7, now), "a large fleet needs a smaller part")
+	assert.Assert(t, query.TrafficShare(plan, 61, now) < query.TrafficShare(plan, 7, now), "a large fleet needs a smaller canary share")
 }
 
-func TestJudge(t *testing.T) {
-	s := rollOut(now, 7, relay.PhaseUnderWay)
-	p, _ := s.Plan("engine")
+func TestJudgeComparesReleaseWithBaseline(t *testing.T) {
+	state := rollOut(now, 7, relay.PhaseUnderWay)
+	plan, _ := state.Plan("engine")
 	tally := func(r relay.Release, runs, failed, slow int) relay.Tally {
 		return relay.Tally{Service: "engine", Release: r, Runs: runs, Failed: failed, Slow: slow}
 	}
-	judge := func(at time.Duration, seen ...relay.Tally) relay.Phase {
-		phase, _ := query.Judge(s, p, seen, now.Add(at))
+	judge := func(at time.Duration, tallies ...relay.Tally) relay.Phase {
+		phase, _ := query.Judge(state, plan, tallies, now.Add(at))
 		return phase
 	}
-	old := tally("v1", 500, 2, 5)
-	assert.Equal(t, judge(time.Second, old, tally("v2", 10, 5, 0)), relay.PhaseReverted)
-	assert.Equal(t, judge(time.Second, old, tally("v2", 20, 0, 9)), relay.PhaseReverted)
-	assert.Equal(t, judge(time.Second, old, tally("v2", 3, 1, 0)), relay.PhaseUnderWay, "one failure proves nothing")
-	assert.Equal(t, judge(19*time.Second, old, tally("v2", 100, 1, 1)), relay.PhaseCompleted)
-	assert.Equal(t, judge(19*time.Second, old, tally("v2", 5, 0, 0)), relay.PhaseUnderWay, "too little is known")
-	assert.Equal(t, judge(10*time.Second, old, tally("v2", 100, 0, 0)), relay.PhaseUnderWay, "badness may come late")
-	bad := tally("v1", 500, 150, 0)
-	assert.Equal(t, judge(time.Second, bad, tally("v2", 20, 6, 0)), relay.PhaseUnderWay, "no worse than before")
-	split := []relay.Tally{old, tally("v2", 5, 2, 0), tally("v2", 5, 2, 0), tally("v2", 4, 1, 0)}
-	assert.Equal(t, judge(time.Second, split...), relay.PhaseReverted, "all instances' answers count together")
+	baseline := tally("v1", 500, 2, 5)
+	assert.Equal(t, judge(time.Second, baseline, tally("v2", 10, 5, 0)), relay.PhaseReverted)
+	assert.Equal(t, judge(time.Second, baseline, tally("v2", 20, 0, 9)), relay.PhaseReverted)
+	assert.Equal(t, judge(time.Second, baseline, tally("v2", 3, 1, 0)), relay.PhaseUnderWay, "one failure proves nothing")
+	assert.Equal(t, judge(19*time.Second, baseline, tally("v2", 100, 1, 1)), relay.PhaseCompleted)
+	assert.Equal(t, judge(19*time.Second, baseline, tally("v2", 5, 0, 0)), relay.PhaseUnderWay, "too few answers to complete")
+	assert.Equal(t, judge(10*time.Second, baseline, tally("v2", 100, 0, 0)), relay.PhaseUnderWay, "faults may show late, so it is too early to complete")
+	badBaseline := tally("v1", 500, 150, 0)
+	assert.Equal(t, judge(time.Second, badBaseline, tally("v2", 20, 6, 0)), relay.PhaseUnderWay, "no worse than the previous release")
+	split := []relay.Tally{baseline, tally("v2", 5, 2, 0), tally("v2", 5, 2, 0), tally("v2", 4, 1, 0)}
+	assert.Equal(t, judge(time.Second, split...), relay.PhaseReverted, "the tallies of all instances count together")
 }
--- a/core/relay/query/vacant.go
+++ b/core/relay/query/vacant.go
@@ -8,28 +8,29 @@
 	"endivehitch/core/relay"
 )
 
-// turnStep is how much later each further instance tries to take a vacant duty.
-const turnStep = 250 * time.Millisecond
+// takeOverDelay is the time between the attempts of two instances to take over a vacant duty.
+const takeOverDelay = 250 * time.Millisecond
 
-// Vacant reports whether nobody looks after the service's roll-out, and how long this instance
-// leaves the duty to others, so that one at a time tries to take it.
-func Vacant(s relay.State, n relay.ServiceName) (time.Duration, bool) {
-	if _, held := s.Duty(n); held {
+// Vacant reports whether no instance holds the duty for the service's roll-out, and how long this
+// one waits before it tries to take it; the waits differ, so that instances try one after another.
+func Vacant(state relay.State, service relay.ServiceName) (time.Duration, bool) {
+	if _, held := state.Duty(service); held {
 		return 0, false
 	}
-	own := turnOf(n, s.Self.Name)
+	own := turnHash(service, state.Self.Name)
 	before := 0
-	for _, m := range s.Members() {
-		if m.Name != s.Self.Name && turnOf(n, m.Name) < own {
+	for _, m := range state.Members() {
+		if m.Name != state.Self.Name && turnHash(service, m.Name) < own {
 			before++
 		}
 	}
-	return time.Duration(min(before, mostTurns)) * turnStep, true
+	return time.Duration(min(before, maxTurns)) * takeOverDelay, true
 }
 
-// mostTurns bounds how long a duty stays vacant in a large fleet.
-const mostTurns = 8
+// maxTurns bounds the wait in a large fleet; the instances after that turn all try at the same time.
+const maxTurns = 8
 
-func turnOf(n relay.ServiceName, m relay.MemberName) uint64 {
-	return xxhash.Sum64String(string(n) + "/" + string(m))
+// turnHash orders the instances, differently for each service.
+func turnHash(service relay.ServiceName, m relay.MemberName) uint64 {
+	return xxhash.Sum64String(string(service) + "/" + string(m))
 }
