--- a/core/relay/cmds/ages.go
+++ b/core/relay/cmds/ages.go
@@ -6,24 +6,26 @@
 	"endivehitch/core/relay"
 )
 
-// LearnAges takes in how old the orders of roll-outs are that were given before this instance started.
+// LearnAges takes in the ages, reported by another instance, of roll-out orders whose age is
+// unknown.
 type LearnAges struct {
 	OrderAges []relay.OrderAge
-	// From names who told it.
+	// From names the reporting instance.
 	From string
 }
 
-// Apply counts the orders' time from when they were given.
-func (c LearnAges) Apply(s relay.State, now time.Time) (relay.State, []relay.Effect) {
-	next := s.WithOrderAges(c.OrderAges, now)
-	var lines []relay.Effect
-	for n, p := range next.Plans() {
-		if was, _ := s.Plan(n); p.AgeKnown && !was.AgeKnown {
-			lines = append(lines, relay.Decided{
+// Apply returns the state with the reported ages, and a log line for each one that was unknown
+// before.
+func (c LearnAges) Apply(state relay.State, now time.Time) (relay.State, []relay.Effect) {
+	updated := state.WithOrderAges(c.OrderAges, now)
+	var decisions []relay.Effect
+	for n, p := range updated.Plans() {
+		if before, _ := state.Plan(n); p.AgeKnown && !before.AgeKnown {
+			decisions = append(decisions, relay.Decided{
 				What: "RollOutAgeLearned", Subject: string(n), Revision: p.Order.Revision,
 				Detail: c.From + " age " + now.Sub(p.Seen).Round(time.Millisecond).String(),
 			})
 		}
 	}
-	return next, lines
+	return updated, decisions
 }
--- a/core/relay/cmds/away.go
+++ b/core/relay/cmds/away.go
@@ -6,16 +6,16 @@
 	"endivehitch/core/relay"
 )
 
-// StoreAway notes that the store is out of reach.
+// StoreAway records that the store is unreachable.
 type StoreAway struct {
 	// Cause is the error of the call that failed.
 	Cause string
 }
 
-// Apply notes the time of the first failure.
-func (c StoreAway) Apply(s relay.State, now time.Time) (relay.State, []relay.Effect) {
-	if !s.Away.IsZero() {
-		return s, nil
+// Apply records the time of the first failure and logs it; further failures change nothing.
+func (c StoreAway) Apply(state relay.State, now time.Time) (relay.State, []relay.Effect) {
+	if !state.Away.IsZero() {
+		return state, nil
 	}
-	return s.WithStoreUnreachable(now), []relay.Effect{relay.Decided{What: "StoreLost", Revision: s.Revision, Detail: c.Cause}}
+	return state.WithStoreUnreachable(now), []relay.Effect{relay.Decided{What: "StoreLost", Revision: state.Revision, Detail: c.Cause}}
 }
--- a/core/relay/cmds/learn.go
+++ b/core/relay/cmds/learn.go
@@ -7,73 +7,75 @@
 	"endivehitch/core/relay"
 )
 
-// Learn takes in what the store or another instance told; older news changes nothing.
+// Learn takes in a feed from the store or from another instance; an older feed adds no entries.
 type Learn struct {
 	Feed relay.Feed
-	// From names who told it.
+	// From names the sender.
 	From string
-	// Direct is set when the store itself told it.
+	// Direct is set when this instance read the feed from the store itself.
 	Direct bool
-	// Grace is how long a live server that vanished while the store was away still counts.
+	// Grace is how long, after a store outage, a server whose entry vanished in it stays in use.
 	Grace time.Duration
 }
 
-// Apply returns the state that includes the news, and a line for each change of what is in force.
-func (c Learn) Apply(s relay.State, now time.Time) (relay.State, []relay.Effect) {
-	var lines []relay.Effect
-	if c.Direct && !s.Away.IsZero() {
-		lines = append(lines, relay.Decided{
-			What: "StoreRegained", Revision: s.Revision, Detail: "after " + now.Sub(s.Away).Round(time.Millisecond).String(),
+// Apply returns the state that includes the feed, and a log line for each change and for the end of
+// an outage.
+func (c Learn) Apply(state relay.State, now time.Time) (relay.State, []relay.Effect) {
+	var decisions []relay.Effect
+	if c.Direct && !state.Away.IsZero() {
+		decisions = append(decisions, relay.Decided{
+			What: "StoreRegained", Revision: state.Revision, Detail: "after " + now.Sub(state.Away).Round(time.Millisecond).String(),
 		})
-		s = s.WithStoreRecovered(now)
+		state = state.WithStoreRecovered(now)
 	}
 	if c.Direct {
-		s = s.WithStoreAnswered(now)
+		state = state.WithStoreAnswered(now)
 	} else if c.Feed.Served > 0 {
-		s = s.WithStoreAnswered(now.Add(-c.Feed.Served))
+		state = state.WithStoreAnswered(now.Add(-c.Feed.Served))
 	}
 	if !c.Direct && c.Feed.Back > 0 {
-		s = s.WithReportedRecovery(now.Add(-c.Feed.Back))
+		state = state.WithReportedRecovery(now.Add(-c.Feed.Back))
 	}
-	next := s.WithFeed(c.Feed, now, c.Grace)
-	return next, append(lines, c.lines(s, next)...)
+	updated := state.WithFeed(c.Feed, now, c.Grace)
+	return updated, append(decisions, c.decisions(state, updated)...)
 }
 
-// lines tells of what came into force; a whole image is told of by its configuration alone.
-func (c Learn) lines(was, now relay.State) []relay.Effect {
-	var lines []relay.Effect
-	if now.ConfigRevision != was.ConfigRevision {
-		lines = append(lines, relay.Decided{
-			What: "ConfigInstalled", Subject: fmt.Sprint(now.Config.Version), Revision: now.ConfigRevision, Detail: c.From,
+// decisions returns the log lines about the feed: one for a new configuration, and one for each
+// other change or, for a full snapshot, one for all.
+func (c Learn) decisions(before, after relay.State) []relay.Effect {
+	var decisions []relay.Effect
+	if after.ConfigRevision != before.ConfigRevision {
+		decisions = append(decisions, relay.Decided{
+			What: "ConfigInstalled", Subject: fmt.Sprint(after.Config.Version), Revision: after.ConfigRevision, Detail: c.From,
 		})
 	}
 	if c.Feed.Whole {
-		return append(lines, relay.Decided{What: "ImageRead", Revision: now.Revision, Detail: c.From})
+		return append(decisions, relay.Decided{What: "ImageRead", Revision: after.Revision, Detail: c.From})
 	}
 	for _, change := range c.Feed.Changes {
-		if d, ok := told(change); ok && change.Revision > was.Revision {
-			d.Revision, d.Detail = change.Revision, c.From+d.Detail
-			lines = append(lines, d)
+		if decision, ok := decisionOf(change); ok && change.Revision > before.Revision {
+			decision.Revision, decision.Detail = change.Revision, c.From+decision.Detail
+			decisions = append(decisions, decision)
 		}
 	}
-	return lines
+	return decisions
 }
 
-// told returns the line about one change.
-func told(c relay.Change) (relay.Decided, bool) {
-	switch e := c.Entry; {
-	case c.Gone:
-		return relay.Decided{What: "EntryGone", Subject: c.Key}, true
-	case e.Server != nil && e.Server.Draining:
-		return relay.Decided{What: "ServerDraining", Subject: string(e.Server.ID)}, true
-	case e.Server != nil:
-		return relay.Decided{What: "ServerReady", Subject: string(e.Server.ID), Detail: " " + string(e.Server.Service) + " " + string(e.Server.Release)}, true
-	case e.RollOut != nil:
-		return relay.Decided{What: "RollOutOrdered", Subject: string(e.RollOut.Service), Detail: " " + string(e.RollOut.Target)}, true
-	case e.Progress != nil:
-		return relay.Decided{What: "RollOutProgress", Subject: string(e.Progress.Service), Detail: fmt.Sprintf(" %s phase %d", e.Progress.Target, e.Progress.Phase)}, true
-	case e.Duty != nil:
-		return relay.Decided{What: "RollOutHolder", Subject: string(e.Duty.Service), Detail: " " + string(e.Duty.Holder)}, true
+// decisionOf returns the log line about one change; it reports false for an entry that isn't logged.
+func decisionOf(change relay.Change) (relay.Decided, bool) {
+	switch entry := change.Entry; {
+	case change.Gone:
+		return relay.Decided{What: "EntryGone", Subject: change.Key}, true
+	case entry.Server != nil && entry.Server.Draining:
+		return relay.Decided{What: "ServerDraining", Subject: string(entry.Server.ID)}, true
+	case entry.Server != nil:
+		return relay.Decided{What: "ServerReady", Subject: string(entry.Server.ID), Detail: " " + string(entry.Server.Service) + " " + string(entry.Server.Release)}, true
+	case entry.RollOut != nil:
+		return relay.Decided{What: "RollOutOrdered", Subject: string(entry.RollOut.Service), Detail: " " + string(entry.RollOut.Target)}, true
+	case entry.Progress != nil:
+		return relay.Decided{What: "RollOutProgress", Subject: string(entry.Progress.Service), Detail: fmt.Sprintf(" %s phase %d", entry.Progress.Target, entry.Progress.Phase)}, true
+	case entry.Duty != nil:
+		return relay.Decided{What: "RollOutHolder", Subject: string(entry.Duty.Service), Detail: " " + string(entry.Duty.Holder)}, true
 	}
 	var none relay.Decided
 	return none, false
--- a/core/relay/cmds/leave.go
+++ b/core/relay/cmds/leave.go
@@ -6,16 +6,17 @@
 	"endivehitch/core/relay"
 )
 
-// Leave notes that the instance is shutting down.
+// Leave starts the instance's shutdown.
 type Leave struct {
-	// Within is how long the instance stays at most.
+	// Within bounds the time until the instance has left.
 	Within time.Duration
 }
 
-// Apply returns a state that isn't ready any more.
-func (c Leave) Apply(s relay.State, now time.Time) (relay.State, []relay.Effect) {
-	if s.Leaving {
-		return s, nil
+// Apply returns a state in which the instance is leaving, and logs it; if it already is, nothing
+// changes.
+func (c Leave) Apply(state relay.State, now time.Time) (relay.State, []relay.Effect) {
+	if state.Leaving {
+		return state, nil
 	}
-	return s.WithLeaving(now, now.Add(c.Within)), []relay.Effect{relay.Decided{What: "Leaving", Subject: string(s.Self.Name), Revision: s.Revision}}
+	return state.WithLeaving(now, now.Add(c.Within)), []relay.Effect{relay.Decided{What: "Leaving", Subject: string(state.Self.Name), Revision: state.Revision}}
 }
--- a/core/relay/cmds/tick.go
+++ b/core/relay/cmds/tick.go
@@ -7,16 +7,17 @@
 	"endivehitch/core/relay"
 )
 
-// Tick drops what has outlived its grace.
+// Tick removes entries whose grace period has ended.
 type Tick struct{}
 
-// Apply drops servers that vanished while the store was away and did not come back with it.
-func (Tick) Apply(s relay.State, now time.Time) (relay.State, []relay.Effect) {
-	next := s.WithoutExpired(now)
-	if over := s.Missing() - next.Missing(); over > 0 {
-		return next, []relay.Effect{relay.Decided{
-			What: "ServersGone", Revision: s.Revision, Detail: strconv.Itoa(over) + " entries did not come back with the store",
+// Apply removes the servers whose entries vanished in a store outage and weren't written again
+// within the grace period after it, and logs how many.
+func (Tick) Apply(state relay.State, now time.Time) (relay.State, []relay.Effect) {
+	updated := state.WithoutExpired(now)
+	if expired := state.Missing() - updated.Missing(); expired > 0 {
+		return updated, []relay.Effect{relay.Decided{
+			What: "ServersGone", Revision: state.Revision, Detail: strconv.Itoa(expired) + " entries were not written again after the store outage",
 		}}
 	}
-	return next, nil
+	return updated, nil
 }
