--- a/core/cmds/heard.go
+++ b/core/cmds/heard.go
@@ -92,6 +92,6 @@
 // settle puts the instance's new standing in force and passes it on.
 func settle(s state.State, i value.Instance) (state.State, []state.Effect) {
 	s = s.WithInstance(i)
-	s = s.WithRumour(i.ID, fleet.RumourTimes(s.Instances().Len()))
+	s = s.WithPendingUpdate(i.ID, fleet.RumourTimes(s.Instances().Len()))
 	return s, []state.Effect{state.Decided{What: "Instance" + string(i.State), Subject: string(i.ID)}}
 }
--- a/core/cmds/passed.go
+++ b/core/cmds/passed.go
@@ -16,7 +16,7 @@
 func (c Passed) Apply(s state.State, _ time.Time) (state.State, []state.Effect) {
 	for _, id := range c.IDs {
 		if left, ok := s.Rumours().Get(id); ok {
-			s = s.WithRumour(id, left-1)
+			s = s.WithPendingUpdate(id, left-1)
 		}
 	}
 	return s, nil
--- a/core/cmds/rating.go
+++ b/core/cmds/rating.go
@@ -27,7 +27,7 @@
 			continue
 		}
 		var more []state.Effect
-		s, more = judged(s.WithRatingOf(r, rating), r, now)
+		s, more = judged(s.WithRollOutRating(r, rating), r, now)
 		effects = append(effects, more...)
 	}
 	for _, k := range kinds {
--- a/core/cmds/tick.go
+++ b/core/cmds/tick.go
@@ -16,8 +16,8 @@
 // Apply gives all suspicions their whole time anew after a pause of the instance itself,
 // because the refutations have not been heard meanwhile.
 func (c Tick) Apply(s state.State, now time.Time) (state.State, []state.Effect) {
-	paused := c.Timing.Paused(s.Ticked, now)
-	s = s.WithTicked(now)
+	paused := c.Timing.Paused(s.LastTick, now)
+	s = s.WithTick(now)
 	var effects []state.Effect
 	for id := range s.Unsettled().All() {
 		i, ok := s.Instance(id)
--- a/core/state/effect.go
+++ b/core/state/effect.go
@@ -2,34 +2,34 @@
 
 import "endivehitch/core/value"
 
-// Effect is work that a command asks of the workers outside the control loop.
+// Effect is work that a command hands to workers outside the control loop.
 type Effect interface {
 	effect()
 }
 
-// Decided asks for a log line about a control decision.
+// Decided logs and counts a control decision.
 type Decided struct {
-	// What names the decision, such as ServerLeft.
+	// What names the decision, such as ServerGone.
 	What string
 	// Subject identifies what the decision is about.
 	Subject string
 	Reason  value.Reason
-	// Detail says more, in words.
+	// Detail is additional text for the log.
 	Detail string
 }
 
-// Announce asks that peers learn the configuration that is now in force.
+// Announce sends peers the configuration that is now in force.
 type Announce struct {
 	Config value.Accepted
 }
 
-// Behind asks that a newer configuration be fetched from the instance that has it.
+// Behind fetches a newer configuration revision from the instance that has it.
 type Behind struct {
 	Revision int64
 	Source   value.Instance
 }
 
-// Farewell asks that peers learn at once that the instance is leaving.
+// Farewell sends peers the departure notice of this instance at once.
 type Farewell struct{}
 
 func (Decided) effect()  {}
@@ -37,15 +37,18 @@
 func (Behind) effect()   {}
 func (Farewell) effect() {}
 
-// KeepProgress asks that a roll-out's position be kept in the key-value service.
+// KeepProgress stores a roll-out's position in the key-value service.
 //
-// A worker that finds a position there which this one does not supersede keeps that one and hands
-// it back as an InstallProgress command.
+// The worker then installs the stored position with an InstallProgress command. It is another one
+// where the service already has a position that this one does not supersede.
 type KeepProgress struct {
 	Progress value.Progress
 }
 
-// KeepWithdrawal asks that a version's withdrawal be kept in the key-value service and told to peers.
+// KeepWithdrawal stores a version's withdrawal in the key-value service, from which the other
+// instances learn it.
+//
+// The worker then installs the stored withdrawal with an InstallWithdrawal command.
 type KeepWithdrawal struct {
 	Withdrawal value.Withdrawal
 }
--- a/core/state/members.go
+++ b/core/state/members.go
@@ -9,26 +9,26 @@
 	"endivehitch/core/value"
 )
 
-// Slots is how many slots the fleet divides among its instances.
+// Slots is the number of hash slots that are assigned to instances.
 const Slots = 256
 
-// members is what the state derives from the instances that it knows.
-type members struct {
-	// owners holds the instances that may own slots.
+// membership holds indexes that are derived from the known instances, and updates still to be sent.
+type membership struct {
+	// owners assigns the slots to the instances that may own them.
 	owners policy.Rendezvous[value.InstanceID]
 	// domains holds the same instances by failure domain.
 	domains policy.Table[value.FailureDomain, policy.Rendezvous[value.InstanceID]]
-	// unsettled holds the instances that are not live.
-	unsettled policy.Table[value.InstanceID, struct{}]
-	// rumours counts how often the news of an instance is still to be passed on.
-	rumours policy.Table[value.InstanceID, int]
+	// notLive holds the instances that are suspected, leaving or gone.
+	notLive policy.Table[value.InstanceID, struct{}]
+	// pendingUpdates counts the messages in which the update of an instance is still to be sent.
+	pendingUpdates policy.Table[value.InstanceID, int]
 }
 
-func newMembers() members {
-	return members{owners: assignment(Slots)}
+func newMembership() membership {
+	return membership{owners: newAssignment(Slots)}
 }
 
-func assignment(slots int) policy.Rendezvous[value.InstanceID] {
+func newAssignment(slots int) policy.Rendezvous[value.InstanceID] {
 	r, err := policy.NewRendezvous[value.InstanceID](policy.RendezvousConfig{Slots: slots})
 	if err != nil {
 		panic("state: " + err.Error())
@@ -36,80 +36,81 @@
 	return r
 }
 
-// Instance returns the instance of that identifier.
+// Instance returns the instance with the identifier, if it is known.
 func (s State) Instance(id value.InstanceID) (value.Instance, bool) {
 	return s.instances.Get(id)
 }
 
 // LiveInstances returns how many of the known instances are live.
 func (s State) LiveInstances() int {
-	return s.instances.Len() - s.fleet.unsettled.Len()
+	return s.instances.Len() - s.membership.notLive.Len()
 }
 
-// SlotOf returns the slot that the key belongs to.
+// SlotOf returns the hash slot of the key.
 func SlotOf(key string) int {
 	return int(xxhash.Sum64String(key) % Slots)
 }
 
-// Owners returns the assignment of slots to instances.
+// Owners returns the assignment of hash slots to instances.
 func (s State) Owners() policy.Rendezvous[value.InstanceID] {
-	return s.fleet.owners
+	return s.membership.owners
 }
 
-// Domain returns the instances of the failure domain that may own slots.
+// Domain returns the instances of the failure domain that may own hash slots.
 func (s State) Domain(d value.FailureDomain) policy.Rendezvous[value.InstanceID] {
-	r, ok := s.fleet.domains.Get(d)
+	r, ok := s.membership.domains.Get(d)
 	if !ok {
-		return assignment(1)
+		return newAssignment(1)
 	}
 	return r
 }
 
-// Unsettled returns the instances that are not live.
+// Unsettled returns the instances that are suspected, leaving or gone.
 func (s State) Unsettled() policy.Table[value.InstanceID, struct{}] {
-	return s.fleet.unsettled
+	return s.membership.notLive
 }
 
-// Rumours returns how often the news of each instance is still to be passed on.
+// Rumours returns the updates that gossip still has to send: by instance, the number of messages left.
 func (s State) Rumours() policy.Table[value.InstanceID, int] {
-	return s.fleet.rumours
+	return s.membership.pendingUpdates
 }
 
-// WithSelf returns a state in which the instance itself is as given.
+// WithSelf returns a state in which this instance is as given.
 func (s State) WithSelf(i value.Instance) State {
 	s.Self = i
 	return s.WithInstance(i)
 }
 
-// WithInstance returns a state that knows the instance as given.
+// WithInstance returns a state in which the instance is added or replaced.
 func (s State) WithInstance(i value.Instance) State {
 	s.instances = s.instances.With(i.ID, i)
-	s.fleet = s.fleet.with(i)
+	s.membership = s.membership.with(i)
 	return s
 }
 
-// WithoutInstance returns a state that has forgotten the instance.
+// WithoutInstance returns a state from which the instance is removed.
 func (s State) WithoutInstance(id value.InstanceID) State {
 	i, ok := s.instances.Get(id)
 	if !ok {
 		return s
 	}
 	s.instances = s.instances.Without(id)
-	s.fleet = s.fleet.without(i)
+	s.membership = s.membership.without(i)
 	return s
 }
 
-// WithRumour returns a state that will pass on the news of the instance so many times.
-func (s State) WithRumour(id value.InstanceID, times int) State {
-	if times <= 0 {
-		s.fleet.rumours = s.fleet.rumours.Without(id)
+// WithPendingUpdate returns a state in which gossip has to send the update of the instance in the given
+// number of messages.
+func (s State) WithPendingUpdate(id value.InstanceID, sends int) State {
+	if sends <= 0 {
+		s.membership.pendingUpdates = s.membership.pendingUpdates.Without(id)
 		return s
 	}
-	s.fleet.rumours = s.fleet.rumours.With(id, times)
+	s.membership.pendingUpdates = s.membership.pendingUpdates.With(id, sends)
 	return s
 }
 
-// WithNewest returns a state that has heard of the configuration revision.
+// WithNewest returns a state that knows that the configuration revision exists.
 func (s State) WithNewest(revision int64, now time.Time) State {
 	if revision <= s.Newest {
 		return s
@@ -140,20 +141,20 @@
 	return s
 }
 
-// WithTicked returns a state whose membership was last looked after at the given time.
-func (s State) WithTicked(at time.Time) State {
-	s.Ticked = at
+// WithTick returns a state whose latest membership tick was at the given time.
+func (s State) WithTick(at time.Time) State {
+	s.LastTick = at
 	return s
 }
 
-func (m members) with(i value.Instance) members {
+func (m membership) with(i value.Instance) membership {
 	if i.State == value.InstanceLive {
-		m.unsettled = m.unsettled.Without(i.ID)
+		m.notLive = m.notLive.Without(i.ID)
 	} else {
-		m.unsettled = m.unsettled.With(i.ID, struct{}{})
+		m.notLive = m.notLive.With(i.ID, struct{}{})
 	}
 	if !i.CanOwnSlots() {
-		return m.disowned(i)
+		return m.withoutOwner(i)
 	}
 	if m.owners.Has(i.ID) {
 		return m
@@ -161,19 +162,19 @@
 	m.owners = m.owners.With(i.ID)
 	domain, ok := m.domains.Get(i.FailureDomain)
 	if !ok {
-		domain = assignment(1)
+		domain = newAssignment(1)
 	}
 	m.domains = m.domains.With(i.FailureDomain, domain.With(i.ID))
 	return m
 }
 
-func (m members) without(i value.Instance) members {
-	m.unsettled = m.unsettled.Without(i.ID)
-	m.rumours = m.rumours.Without(i.ID)
-	return m.disowned(i)
+func (m membership) without(i value.Instance) membership {
+	m.notLive = m.notLive.Without(i.ID)
+	m.pendingUpdates = m.pendingUpdates.Without(i.ID)
+	return m.withoutOwner(i)
 }
 
-func (m members) disowned(i value.Instance) members {
+func (m membership) withoutOwner(i value.Instance) membership {
 	if !m.owners.Has(i.ID) {
 		return m
 	}
--- a/core/state/menu_measure_test.go
+++ b/core/state/menu_measure_test.go
@@ -36,8 +36,8 @@
 	return state.New(value.Instance{ID: "a"}).WithConfig(value.Accepted{Document: d, Revision: 1})
 }
 
-// BenchmarkMeasureMenu reports what the control goroutine spends to follow a rating, a step of a
-// roll-out and a new document, by the versions of a model and the client accounts.
+// BenchmarkMeasureMenu reports the time that the control goroutine needs to apply a rating, a step of a
+// roll-out and a new document, by the numbers of versions of a model and of client accounts.
 func BenchmarkMeasureMenu(b *testing.B) {
 	for _, versions := range []int{8, 38} {
 		for _, accounts := range []int{10, 100, 1000} {
--- a/core/state/quality.go
+++ b/core/state/quality.go
@@ -8,77 +8,80 @@
 	"endivehitch/core/value"
 )
 
-// estimateConfig is how ratings become estimates of quality.
+// estimateConfig sets how ratings become estimates of quality.
 var estimateConfig = policy.EstimateConfig{
 	PriorWeight:   200,
 	HalfLife:      168 * time.Hour,
 	StaleAfter:    2 * time.Hour,
 	StaleHalfLife: 6 * time.Hour,
-	// Nine in ten bounds hold.
+	// The 90 % quantile of the normal distribution, so that each bound holds in nine of ten cases.
 	Deviation: 1.2816,
 	MaxWeight: 100,
 }
 
-// quality is what the control state knows of how good the versions are.
+// quality holds the estimates of the versions' quality and what is derived from them.
 type quality struct {
-	estimates policy.Table[gradeKey, policy.Estimate]
-	menus     policy.Table[value.KindName, Menu]
-	grants    map[grant][]bool
-	held      map[value.VersionKey]bool
-	withdrawn policy.Table[value.VersionKey, value.Withdrawal]
-	watches   policy.Table[value.RollOutName, Watch]
+	estimates   policy.Table[estimateKey, policy.Estimate]
+	menus       policy.Table[value.KindName, Menu]
+	grants      map[grantKey][]bool
+	rollOutOnly map[value.VersionKey]bool
+	withdrawn   policy.Table[value.VersionKey, value.Withdrawal]
+	watches     policy.Table[value.RollOutName, Watch]
 }
 
-// gradeKey joins a kind of request and a version.
-type gradeKey string
+// estimateKey joins the names of a kind of request and of a version.
+type estimateKey string
 
-func gradeOf(k value.KindName, v value.VersionKey) gradeKey {
-	return gradeKey(string(k) + "\x00" + string(v))
+func estimateKeyOf(k value.KindName, v value.VersionKey) estimateKey {
+	return estimateKey(string(k) + "\x00" + string(v))
 }
 
-type grant struct {
+// grantKey identifies the grants of a client account for a kind of request.
+type grantKey struct {
 	account value.AccountName
 	kind    value.KindName
 }
 
-// Menu returns what may answer the kind of request.
+// Menu returns the candidate versions and cascades for the kind of request.
 func (s State) Menu(k value.KindName) (Menu, bool) {
 	return s.quality.menus.Get(k)
 }
 
-// Granted returns for each offer of the kind's menu whether the account may use it; the slice must not be changed.
+// Granted returns for each of the kind's offers whether the account may use it; the slice must not be
+// changed.
 func (s State) Granted(a value.AccountName, k value.KindName) []bool {
-	return s.quality.grants[grant{account: a, kind: k}]
+	return s.quality.grants[grantKey{account: a, kind: k}]
 }
 
-// Estimate returns the estimate of the version's quality for the kind.
+// Estimate returns the estimated quality of the version for the kind.
 func (s State) Estimate(k value.KindName, v value.VersionKey) (policy.Estimate, bool) {
-	return s.quality.estimates.Get(gradeOf(k, v))
+	return s.quality.estimates.Get(estimateKeyOf(k, v))
 }
 
-// Withdrawn reports whether the version receives no new work, by the document or by a command.
+// Withdrawn reports whether the version is withdrawn, by the document or by a command.
 func (s State) Withdrawn(k value.VersionKey) bool {
 	v, known := s.versions.Get(k)
 	return known && v.Withdrawn
 }
 
-// Withdrawal returns the command's withdrawal of the version, if there is one.
+// Withdrawal returns the withdrawal of the version by a command, if there is one.
 func (s State) Withdrawal(k value.VersionKey) (value.Withdrawal, bool) {
 	return s.quality.withdrawn.Get(k)
 }
 
-// WithWithdrawal returns a state in which the version receives no new work, whatever a document says.
+// WithWithdrawal returns a state in which the version is withdrawn, whatever the document says.
 func (s State) WithWithdrawal(w value.Withdrawal) State {
 	s.quality.withdrawn = s.quality.withdrawn.With(w.Version, w)
 	if v, ok := s.versions.Get(w.Version); ok {
 		s.versions = s.versions.With(w.Version, v.WithWithdrawn(true))
 	}
-	return s.withMenus()
+	return s.withAllMenus()
 }
 
-// WithRating returns a state that has taken in the rating; one of an unknown kind or version changes nothing.
+// WithRating returns a state whose estimates include the rating; the rating of an unknown kind or
+// version is ignored. The menu of the kind follows only with WithMenu.
 func (s State) WithRating(r value.Rating) State {
-	key := gradeOf(r.Kind, r.Version)
+	key := estimateKeyOf(r.Kind, r.Version)
 	e, ok := s.quality.estimates.Get(key)
 	if !ok {
 		return s
@@ -88,7 +91,7 @@
 	return s
 }
 
-// WithMenu returns a state whose menu of the kind follows the latest ratings.
+// WithMenu returns a state in which the menu of the kind is computed from the present estimates.
 func (s State) WithMenu(name value.KindName) State {
 	k, ok := s.kinds.Get(name)
 	if !ok || k.Model == "" {
@@ -98,17 +101,18 @@
 	return s
 }
 
-// withQuality keeps the ratings of what a new document still has.
-func (s State) withQuality() State {
-	estimates := make(map[gradeKey]policy.Estimate)
+// withDocumentQuality adapts the estimates to a new document: versions that it still has keep their
+// ratings, and versions that a command has withdrawn stay withdrawn.
+func (s State) withDocumentQuality() State {
+	estimates := make(map[estimateKey]policy.Estimate)
 	for _, k := range s.Config.Document.Kinds {
 		for _, m := range s.Config.Document.Models {
 			if m.Name != k.Model {
 				continue
 			}
 			for _, v := range m.Versions {
-				key := gradeOf(k.Name, m.Key(v.Name))
-				estimates[key] = s.restated(key, v)
+				key := estimateKeyOf(k.Name, m.Key(v.Name))
+				estimates[key] = s.estimateFor(key, v)
 			}
 		}
 	}
@@ -119,10 +123,11 @@
 			s.versions = s.versions.With(k, v.WithWithdrawn(true))
 		}
 	}
-	return s.withMenus()
+	return s.withAllMenus()
 }
 
-func (s State) restated(key gradeKey, v value.Version) policy.Estimate {
+// estimateFor returns the version's estimate, with the quality that the document states as its prior.
+func (s State) estimateFor(key estimateKey, v value.Version) policy.Estimate {
 	weight := float64(v.QualityWeight)
 	if e, ok := s.quality.estimates.Get(key); ok {
 		return e.WithStated(v.Quality, weight)
@@ -130,40 +135,40 @@
 	return estimateConfig.NewEstimate(v.Quality, weight)
 }
 
-// withMenus works out the menus, and the grants only where the offers are others than before.
-func (s State) withMenus() State {
-	s.quality.held = s.heldVersions()
+// withAllMenus computes all menus, and the grants only if the offers of some menu have changed.
+func (s State) withAllMenus() State {
+	s.quality.rollOutOnly = s.rollOutOnlyVersions()
 	menus := make(map[value.KindName]Menu)
-	same := s.quality.grants != nil
+	unchanged := s.quality.grants != nil
 	for _, k := range s.Config.Document.Kinds {
 		if k.Model == "" {
 			continue
 		}
 		m := s.menuOf(k)
 		old, _ := s.quality.menus.Get(k.Name)
-		same = same && slices.EqualFunc(old.Offers, m.Offers, func(a, b Offer) bool { return a.Key == b.Key })
+		unchanged = unchanged && slices.EqualFunc(old.Offers, m.Offers, func(a, b Offer) bool { return a.Key == b.Key })
 		menus[k.Name] = m
 	}
 	s.quality.menus = policy.NewTable(menus)
-	if same {
+	if unchanged {
 		return s
 	}
 	return s.withGrants()
 }
 
 func (s State) withGrants() State {
-	s.quality.grants = make(map[grant][]bool)
+	s.quality.grants = make(map[grantKey][]bool)
 	for k, m := range s.quality.menus.All() {
 		for _, a := range s.Config.Document.ClientAccounts {
 			if a.MaySend(k) {
-				s.quality.grants[grant{account: a.Name, kind: k}] = granted(a, m)
+				s.quality.grants[grantKey{account: a.Name, kind: k}] = allowedOffers(a, m)
 			}
 		}
 	}
 	return s
 }
 
-func granted(a value.ClientAccount, m Menu) []bool {
+func allowedOffers(a value.ClientAccount, m Menu) []bool {
 	list := make([]bool, len(m.Offers))
 	for i := range m.Offers {
 		list[i] = slices.Contains(a.Versions, m.Offers[i].Key)
--- a/core/state/rollout.go
+++ b/core/state/rollout.go
@@ -7,7 +7,7 @@
 	"endivehitch/core/value"
 )
 
-// RollOut returns the plan of that name.
+// RollOut returns the roll-out plan of that name from the document.
 func (s State) RollOut(n value.RollOutName) (value.RollOut, bool) {
 	i := slices.IndexFunc(s.Config.Document.RollOuts, func(r value.RollOut) bool { return r.Name == n })
 	if i < 0 {
@@ -16,7 +16,7 @@
 	return s.Config.Document.RollOuts[i], true
 }
 
-// RollOutTo returns the plan that brings the version in, where one is under way or done.
+// RollOutTo returns the roll-out whose new version is the given one, if it is staged or done.
 func (s State) RollOutTo(k value.VersionKey) (value.RollOut, bool) {
 	for _, r := range s.Config.Document.RollOuts {
 		if r.ToKey() != k {
@@ -30,7 +30,7 @@
 	return value.RollOut{}, false
 }
 
-// Position returns where the plan stands, which is at its beginning while nothing else is known.
+// Position returns the position of the roll-out; it is planned while no other position is known.
 func (s State) Position(r value.RollOut) value.Progress {
 	p, ok := s.rollOuts.Get(r.Name)
 	if !ok {
@@ -39,7 +39,8 @@
 	return p
 }
 
-// Positions returns the roll-outs that bring the version in, also those that a document has dropped.
+// Positions returns the positions of all roll-outs whose new version is the given one, also of those
+// that a later document no longer has.
 func (s State) Positions(k value.VersionKey) []value.Progress {
 	var list []value.Progress
 	for _, p := range s.rollOuts.All() {
@@ -55,27 +56,28 @@
 	return list
 }
 
-// heldVersions returns the versions that a roll-out brings in which is not done, also where a later
-// document has dropped that roll-out halfway.
-func (s State) heldVersions() map[value.VersionKey]bool {
-	held := make(map[value.VersionKey]bool)
-	note := func(p value.Progress) {
-		if p.Phase != value.PhaseDone && !s.orphaned(p) {
-			held[p.Version] = true
+// rollOutOnlyVersions returns the new versions of all roll-outs that are not done, also of those that a
+// later document dropped halfway. A version is exempt if the old version of its staged roll-out is
+// withdrawn.
+func (s State) rollOutOnlyVersions() map[value.VersionKey]bool {
+	versions := make(map[value.VersionKey]bool)
+	add := func(p value.Progress) {
+		if p.Phase != value.PhaseDone && !s.isOldVersionWithdrawn(p) {
+			versions[p.Version] = true
 		}
 	}
 	for _, p := range s.rollOuts.All() {
-		note(p)
+		add(p)
 	}
 	for _, r := range s.Config.Document.RollOuts {
-		note(s.Position(r))
+		add(s.Position(r))
 	}
-	return held
+	return versions
 }
 
-// orphaned reports whether the old version of a staged roll-out is withdrawn, so that the new one
-// stands on its own estimate.
-func (s State) orphaned(p value.Progress) bool {
+// isOldVersionWithdrawn reports whether the old version of a staged roll-out is withdrawn, so that the
+// new version is chosen by its own estimate.
+func (s State) isOldVersionWithdrawn(p value.Progress) bool {
 	r, ok := s.RollOut(p.Name)
 	return ok && p.Phase == value.PhaseStaged && s.Withdrawn(r.FromKey())
 }
--- a/core/state/server.go
+++ b/core/state/server.go
@@ -10,57 +10,57 @@
 	"endivehitch/core/value"
 )
 
-// WithServer returns a state that knows the backend server as given.
+// WithServer returns a state in which the backend server is added or replaced.
 func (s State) WithServer(b value.BackendServer) State {
 	return s.WithServers([]value.BackendServer{b}, nil)
 }
 
-// WithoutServer returns a state that has forgotten the backend server.
+// WithoutServer returns a state from which the backend server is removed.
 func (s State) WithoutServer(id value.ServerID) State {
 	return s.WithServers(nil, []value.ServerID{id})
 }
 
-// WithServers returns a state that knows the changed backend servers as given and has forgotten the gone ones.
+// WithServers returns a state in which some backend servers are added or replaced and others removed.
 //
-// Each list of servers is rebuilt at most once, and unchanged servers cost nothing.
-func (s State) WithServers(changed []value.BackendServer, gone []value.ServerID) State {
-	members := newChanges[value.PoolName]()
-	carriers := newChanges[value.VersionKey]()
+// Each list of servers is rebuilt at most once, and not at all for servers that have not changed.
+func (s State) WithServers(changed []value.BackendServer, removed []value.ServerID) State {
+	byPool := newListChanges[value.PoolName]()
+	byVersion := newListChanges[value.VersionKey]()
 	next := make(map[value.ServerID]value.BackendServer, len(changed))
-	for _, id := range gone {
+	for _, id := range removed {
 		if old, ok := s.servers.Get(id); ok {
-			members.drop(old, old.Pool)
-			carriers.drop(old, old.Versions...)
+			byPool.remove(old, old.Pool)
+			byVersion.remove(old, old.Versions...)
 		}
 	}
 	for _, b := range changed {
 		old, known := s.servers.Get(b.ID)
-		// A list may name a server more than once; the last entry holds.
-		if _, edited := next[b.ID]; !edited && known && same(old, b) {
+		// The argument may contain a server more than once; the last entry wins.
+		if _, alreadyChanged := next[b.ID]; !alreadyChanged && known && isSameServer(old, b) {
 			continue
 		}
 		if known {
-			members.drop(old, old.Pool)
-			carriers.drop(old, old.Versions...)
+			byPool.remove(old, old.Pool)
+			byVersion.remove(old, old.Versions...)
 		}
 		next[b.ID] = b
 	}
 	for _, b := range next {
 		if b.State == value.ServerLive {
-			members.add(b, b.Pool)
-			carriers.add(b, b.Versions...)
+			byPool.add(b, b.Pool)
+			byVersion.add(b, b.Versions...)
 		}
 	}
-	s.servers = s.servers.Edit(next, gone)
-	s.members = members.apply(s.members)
-	s.carriers = carriers.apply(s.carriers)
+	s.servers = s.servers.Edit(next, removed)
+	s.poolServers = byPool.apply(s.poolServers)
+	s.versionServers = byVersion.apply(s.versionServers)
 	return s
 }
 
-// Position returns the index in a list of servers at which the search for a hash's home starts.
+// Position returns the index in a list of servers at which the search for the server of a hash starts.
 //
-// The lists stand in the order of the hashes of identifiers, so that a server
-// which comes or goes moves only its neighbours' part of the hashes.
+// The lists are sorted by the hashes of the servers' identifiers, as on a consistent-hashing ring, so
+// that adding or removing a server moves only the hashes between it and its neighbour.
 func Position(list []value.BackendServer, hash uint64) int {
 	i, _ := slices.BinarySearchFunc(list, hash, func(b value.BackendServer, h uint64) int {
 		return cmp.Compare(hashOf(b.ID), h)
@@ -71,50 +71,50 @@
 	return i
 }
 
-// changes collects what becomes of several lists of servers.
-type changes[K ~string] struct {
+// listChanges collects servers to add to and to remove from several lists, each with a key.
+type listChanges[K ~string] struct {
 	added   map[K][]value.BackendServer
-	dropped map[K]map[value.ServerID]bool
+	removed map[K]map[value.ServerID]bool
 }
 
-func newChanges[K ~string]() changes[K] {
-	return changes[K]{
+func newListChanges[K ~string]() listChanges[K] {
+	return listChanges[K]{
 		added:   make(map[K][]value.BackendServer),
-		dropped: make(map[K]map[value.ServerID]bool),
+		removed: make(map[K]map[value.ServerID]bool),
 	}
 }
 
-func (c changes[K]) add(b value.BackendServer, keys ...K) {
+func (c listChanges[K]) add(b value.BackendServer, keys ...K) {
 	for _, k := range keys {
 		c.added[k] = append(c.added[k], b)
 	}
 }
 
-func (c changes[K]) drop(b value.BackendServer, keys ...K) {
+func (c listChanges[K]) remove(b value.BackendServer, keys ...K) {
 	for _, k := range keys {
-		if c.dropped[k] == nil {
-			c.dropped[k] = make(map[value.ServerID]bool)
+		if c.removed[k] == nil {
+			c.removed[k] = make(map[value.ServerID]bool)
 		}
-		c.dropped[k][b.ID] = true
+		c.removed[k][b.ID] = true
 	}
 }
 
-func (c changes[K]) apply(t policy.Table[K, []value.BackendServer]) policy.Table[K, []value.BackendServer] {
+func (c listChanges[K]) apply(t policy.Table[K, []value.BackendServer]) policy.Table[K, []value.BackendServer] {
 	next := make(map[K][]value.BackendServer, len(c.added))
-	for k := range c.dropped {
-		next[k] = c.list(t, k)
+	for k := range c.removed {
+		next[k] = c.rebuild(t, k)
 	}
 	for k := range c.added {
-		next[k] = c.list(t, k)
+		next[k] = c.rebuild(t, k)
 	}
 	return t.Edit(next, nil)
 }
 
-func (c changes[K]) list(t policy.Table[K, []value.BackendServer], k K) []value.BackendServer {
+func (c listChanges[K]) rebuild(t policy.Table[K, []value.BackendServer], k K) []value.BackendServer {
 	old, _ := t.Get(k)
 	list := make([]value.BackendServer, 0, len(old)+len(c.added[k]))
 	for _, b := range old {
-		if !c.dropped[k][b.ID] {
+		if !c.removed[k][b.ID] {
 			list = append(list, b)
 		}
 	}
@@ -126,7 +126,7 @@
 	return list
 }
 
-func same(a, b value.BackendServer) bool {
+func isSameServer(a, b value.BackendServer) bool {
 	return a.Address == b.Address && a.Pool == b.Pool && a.FailureDomain == b.FailureDomain &&
 		a.State == b.State && a.Since.Equal(b.Since) && slices.Equal(a.Versions, b.Versions)
 }
--- a/core/state/server_test.go
+++ b/core/state/server_test.go
@@ -12,7 +12,7 @@
 	"endivehitch/core/value"
 )
 
-func TestServerListsFollowEveryChange(t *testing.T) {
+func TestServerListsMatchTheServersAfterEveryChange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := state.New(value.Instance{ID: "i"})
 		want := make(map[value.ServerID]value.BackendServer)
@@ -26,41 +26,41 @@
 		})
 		for range rapid.IntRange(1, 12).Draw(t, "changes") {
 			changed := rapid.SliceOfN(server, 0, 6).Draw(t, "changed")
-			var gone []value.ServerID
+			var removed []value.ServerID
 			for _, b := range rapid.SliceOfN(server, 0, 2).Draw(t, "gone") {
 				listed := func(c value.BackendServer) bool { return c.ID == b.ID }
 				if !slices.ContainsFunc(changed, listed) {
-					gone = append(gone, b.ID)
+					removed = append(removed, b.ID)
 				}
 			}
-			s = s.WithServers(changed, gone)
+			s = s.WithServers(changed, removed)
 			for _, b := range changed {
 				want[b.ID] = b
 			}
-			for _, id := range gone {
+			for _, id := range removed {
 				delete(want, id)
 			}
 		}
 		assert.Equal(t, s.Servers().Len(), len(want))
 		for _, p := range []value.PoolName{"p", "q"} {
-			same(t, s.Members(p), want, func(b value.BackendServer) bool { return b.Pool == p })
+			assertLiveServers(t, s.Members(p), want, func(b value.BackendServer) bool { return b.Pool == p })
 		}
 		for _, v := range []value.VersionKey{"m/1", "m/2"} {
-			same(t, s.Carriers(v), want, func(b value.BackendServer) bool { return b.Carries(v) })
+			assertLiveServers(t, s.Carriers(v), want, func(b value.BackendServer) bool { return b.Carries(v) })
 		}
 	})
 }
 
-func same(t *rapid.T, list []value.BackendServer, want map[value.ServerID]value.BackendServer, in func(value.BackendServer) bool) {
+func assertLiveServers(t *rapid.T, list []value.BackendServer, want map[value.ServerID]value.BackendServer, belongs func(value.BackendServer) bool) {
 	n := 0
 	for _, b := range want {
-		if b.State == value.ServerLive && in(b) {
+		if b.State == value.ServerLive && belongs(b) {
 			n++
 		}
 	}
 	assert.Equal(t, len(list), n)
 	for _, b := range list {
 		assert.DeepEqual(t, b, want[b.ID])
-		assert.Assert(t, in(b) && b.State == value.ServerLive)
+		assert.Assert(t, belongs(b) && b.State == value.ServerLive)
 	}
 }
--- a/core/state/slope_test.go
+++ b/core/state/slope_test.go
@@ -9,8 +9,8 @@
 	"endivehitch/core/value"
 )
 
-// BenchmarkSlopeServers gives the memory of a state that knows so many backend servers, which carry
-// 38 versions, and the processor time to take in the change of one.
+// BenchmarkSlopeServers reports the memory of a state with n backend servers, which have 38 versions
+// loaded, and the processor time to apply two changes of one server.
 func BenchmarkSlopeServers(b *testing.B) {
 	for _, n := range []int{100, 1000, 3000, 10000} {
 		b.Run(fmt.Sprintf("Servers%d", n), func(b *testing.B) {
@@ -19,12 +19,12 @@
 			for i := range n {
 				s = s.WithServer(server(i))
 			}
-			kept := float64(heap()-before) / 1024
+			stateKB := float64(heap()-before) / 1024
 			for b.Loop() {
 				s = s.WithServer(server(n/2).WithState(value.ServerLeaving, server(0).Since))
 				s = s.WithServer(server(n / 2))
 			}
-			b.ReportMetric(kept, "KB-state")
+			b.ReportMetric(stateKB, "KB-state")
 		})
 	}
 }
@@ -40,20 +40,20 @@
 	}
 }
 
-// BenchmarkSlopeAccounts gives the memory of a document with so many client accounts, and the
-// processor time to put it in force.
+// BenchmarkSlopeAccounts reports the memory of a state with n client accounts, and the processor time
+// to put such a document in force.
 func BenchmarkSlopeAccounts(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 5000} {
 		b.Run(fmt.Sprintf("Accounts%d", n), func(b *testing.B) {
 			empty := state.New(value.Instance{ID: "self"})
 			before := heap()
 			s := empty.WithConfig(accepted(n))
-			kept := float64(heap()-before) / 1024
+			stateKB := float64(heap()-before) / 1024
 			a := accepted(n)
 			for b.Loop() {
 				s = s.WithConfig(a)
 			}
-			b.ReportMetric(kept, "KB-state")
+			b.ReportMetric(stateKB, "KB-state")
 		})
 	}
 }
--- a/core/state/state.go
+++ b/core/state/state.go
@@ -7,39 +7,39 @@
 	"endivehitch/core/value"
 )
 
-// State is all that one instance's control loop knows.
+// State is the control state of one instance.
 type State struct {
 	// Self is the instance that the state belongs to.
 	Self value.Instance
 	// Config is the document in force.
 	Config value.Accepted
-	// Newest is the newest configuration revision that the instance has heard of.
+	// Newest is the newest configuration revision that the instance knows to exist.
 	Newest int64
-	// Rejected is the revision of the latest entries that could not be decoded, or zero.
+	// Rejected is the latest revision with entries that could not be decoded; zero means none.
 	Rejected int64
 	// Leaving is set once the instance is shutting down.
 	Leaving bool
-	// Ticked is when the instance last looked after its membership.
-	Ticked time.Time
-
-	accounts  policy.Table[value.AccountName, value.ClientAccount]
-	kinds     policy.Table[value.KindName, value.Kind]
-	versions  policy.Table[value.VersionKey, value.Version]
-	pools     policy.Table[value.PoolName, value.Pool]
-	services  policy.Table[value.ServiceName, value.Service]
-	servers   policy.Table[value.ServerID, value.BackendServer]
-	carriers  policy.Table[value.VersionKey, []value.BackendServer]
-	members   policy.Table[value.PoolName, []value.BackendServer]
-	instances policy.Table[value.InstanceID, value.Instance]
-	rollOuts  policy.Table[value.RollOutName, value.Progress]
-	shares    float64
-	fleet     members
-	quality   quality
-}
-
-// New returns the state of an instance that knows nothing yet but itself.
+	// LastTick is the time of the latest Tick command, which checks membership time-outs.
+	LastTick time.Time
+
+	accounts       policy.Table[value.AccountName, value.ClientAccount]
+	kinds          policy.Table[value.KindName, value.Kind]
+	versions       policy.Table[value.VersionKey, value.Version]
+	pools          policy.Table[value.PoolName, value.Pool]
+	services       policy.Table[value.ServiceName, value.Service]
+	servers        policy.Table[value.ServerID, value.BackendServer]
+	versionServers policy.Table[value.VersionKey, []value.BackendServer]
+	poolServers    policy.Table[value.PoolName, []value.BackendServer]
+	instances      policy.Table[value.InstanceID, value.Instance]
+	rollOuts       policy.Table[value.RollOutName, value.Progress]
+	totalShares    float64
+	membership     membership
+	quality        quality
+}
+
+// New returns the state of an instance that knows only itself.
 func New(self value.Instance) State {
-	return State{fleet: newMembers()}.WithSelf(self)
+	return State{membership: newMembership()}.WithSelf(self)
 }
 
 // Account returns the client account of that name.
@@ -67,7 +67,7 @@
 	return s.services.Get(n)
 }
 
-// Server returns the backend server of that identifier.
+// Server returns the backend server with the identifier.
 func (s State) Server(id value.ServerID) (value.BackendServer, bool) {
 	return s.servers.Get(id)
 }
@@ -77,16 +77,17 @@
 	return s.servers
 }
 
-// Carriers returns the live backend servers that carry the version; the slice must not be changed.
+// Carriers returns the live backend servers that have the version loaded; the slice must not be
+// changed.
 func (s State) Carriers(k value.VersionKey) []value.BackendServer {
-	have, _ := s.carriers.Get(k)
-	return have
+	servers, _ := s.versionServers.Get(k)
+	return servers
 }
 
 // Members returns the live backend servers of the pool; the slice must not be changed.
 func (s State) Members(p value.PoolName) []value.BackendServer {
-	have, _ := s.members.Get(p)
-	return have
+	servers, _ := s.poolServers.Get(p)
+	return servers
 }
 
 // Instances returns the known instances, by identifier.
@@ -96,10 +97,10 @@
 
 // TotalShares returns the sum of the shares of all client accounts.
 func (s State) TotalShares() float64 {
-	return s.shares
+	return s.totalShares
 }
 
-// Progress returns how far the roll-out of that name has come.
+// Progress returns the known position of the roll-out of that name.
 func (s State) Progress(n value.RollOutName) (value.Progress, bool) {
 	return s.rollOuts.Get(n)
 }
@@ -110,13 +111,13 @@
 	return s.WithSelf(s.Self.WithState(value.InstanceLeaving).WithIncarnation(s.Self.Incarnation + 1))
 }
 
-// WithProgress returns a state in which the roll-out stands as given.
+// WithProgress returns a state in which the roll-out has the position.
 func (s State) WithProgress(p value.Progress) State {
 	s.rollOuts = s.rollOuts.With(p.Name, p)
 	if p.Phase == value.PhaseWithdrawn {
 		return s.WithWithdrawal(value.Withdrawal{Version: p.Version, Reason: value.Reason(p.Reason), At: p.Since})
 	}
-	return s.withMenus()
+	return s.withAllMenus()
 }
 
 // WithConfig returns a state with the accepted document in force.
@@ -128,11 +129,11 @@
 	s.pools = byName(a.Document.Pools, func(p value.Pool) value.PoolName { return p.Name })
 	s.services = byName(a.Document.Services, func(v value.Service) value.ServiceName { return v.Name })
 	s.versions = versionsOf(a.Document.Models)
-	s.shares = 0
+	s.totalShares = 0
 	for _, c := range a.Document.ClientAccounts {
-		s.shares += float64(max(1, c.Share))
+		s.totalShares += float64(max(1, c.Share))
 	}
-	return s.withQuality()
+	return s.withDocumentQuality()
 }
 
 func byName[K ~string, V any](list []V, name func(V) K) policy.Table[K, V] {
--- a/core/state/watch.go
+++ b/core/state/watch.go
@@ -7,27 +7,32 @@
 	"endivehitch/core/value"
 )
 
-// The shares that a roll-out's watch keeps, over its whole life and all of its signals.
 const (
-	falseAlarmShare = 0.01
-	changeHorizon   = 1000
+	// falseAlarmProbability bounds the chance that a roll-out's tests ever withdraw a version that
+	// breaks no limit, over the whole life of the roll-out and all of its signals.
+	falseAlarmProbability = 0.01
+	// changeHorizonTrials is the number of trials within which a version is expected to turn bad, if it
+	// does.
+	changeHorizonTrials = 1000
 )
 
-// Watch is what an instance has seen of a roll-out's new version.
+// Watch holds the tests of a roll-out's new version with the trials observed so far.
 type Watch struct {
+	// Tests are the sequential tests of the roll-out's limits.
 	Tests policy.Watch[value.Reason]
 	// Ratings counts the ratings of the stage in force.
 	Ratings int
-	// Epoch is the roll-out's epoch that Ratings belongs to.
+	// Epoch is the roll-out's epoch in which Ratings were counted.
 	Epoch int64
 }
 
-// Watch returns what has been seen of the roll-out's new version.
+// Watch returns the tests of the roll-out's new version. Other limits in the plan start the tests anew,
+// and a new epoch restarts the count of ratings.
 func (s State) Watch(r value.RollOut) Watch {
 	w, ok := s.quality.watches.Get(r.Name)
 	limits := limitsOf(r)
 	if !ok || !slices.Equal(w.Tests.Config().Limits, limits) {
-		config := policy.WatchConfig[value.Reason]{Limits: limits, FalseAlarm: falseAlarmShare, Horizon: changeHorizon}
+		config := policy.WatchConfig[value.Reason]{Limits: limits, FalseAlarm: falseAlarmProbability, Horizon: changeHorizonTrials}
 		w = Watch{Tests: config.New()}
 	}
 	if p := s.Position(r); p.Epoch != w.Epoch {
@@ -37,14 +42,14 @@
 	return w
 }
 
-// Watches reports whether this instance decides for the fleet on withdrawing the version: it owns the
-// version's slot, or knows no owner.
+// Watches reports whether this instance decides for the fleet whether to withdraw the version: it owns
+// the version's hash slot, or knows no owner.
 func (s State) Watches(k value.VersionKey) bool {
 	owner, ok := s.Owners().Owner(SlotOf(string(k)))
 	return !ok || owner == s.Self.ID
 }
 
-// WithRuns returns a state in which the roll-out's tests have seen the runs of its new version.
+// WithRuns returns a state in which the roll-out's tests count the attempts of its new version.
 func (s State) WithRuns(r value.RollOut, runs value.Runs) State {
 	w := s.Watch(r)
 	w.Tests = w.Tests.
@@ -54,16 +59,17 @@
 	return s.withWatch(r, w)
 }
 
-// WithRatingOf returns a state in which the roll-out's tests have seen a rating of its new version.
-func (s State) WithRatingOf(r value.RollOut, rating value.Rating) State {
+// WithRollOutRating returns a state in which the roll-out's tests count a rating of its new version.
+func (s State) WithRollOutRating(r value.RollOut, rating value.Rating) State {
 	w := s.Watch(r)
-	w.Tests = w.Tests.WithWeighed(value.ReasonQuality, !rating.Accepted, s.weight(rating))
+	w.Tests = w.Tests.WithWeighed(value.ReasonQuality, !rating.Accepted, s.ratingWeight(rating))
 	w.Ratings++
 	return s.withWatch(r, w)
 }
 
-// weight evens out that bad answers are rated more often than good ones.
-func (s State) weight(r value.Rating) float64 {
+// ratingWeight returns the weight of a rating, from 0 to 1, that compensates for bad answers being
+// sampled more often than good ones.
+func (s State) ratingWeight(r value.Rating) float64 {
 	k, ok := s.kinds.Get(r.Kind)
 	if !ok || r.Rate <= 0 || k.RatingFloor <= 0 {
 		return 1
@@ -76,7 +82,7 @@
 	return s
 }
 
-// limitsOf lists the limits that the plan states.
+// limitsOf returns the limits that the roll-out's plan sets.
 func limitsOf(r value.RollOut) []policy.Limit[value.Reason] {
 	var limits []policy.Limit[value.Reason]
 	if r.MaxErrorRate > 0 {
