--- a/core/cmds/exposure_measure_test.go
+++ b/core/cmds/exposure_measure_test.go
@@ -12,59 +12,61 @@
 const (
 	exposureRuns = 400
 	alarmRuns    = 1000
-	// exposureSpan is how many trials a roll-out is watched for.
-	exposureSpan = 10000
-	falseAlarms  = 0.01
+	// exposureTrials is the number of trials for which a roll-out's tests run.
+	exposureTrials = 10000
+	falseAlarmRate = 0.01
 )
 
-// detector looks at one trial after the other; it returns true once it raises the alarm.
+// detector tests one trial after the other and returns true when it raises the alarm.
 type detector func(bad bool) bool
 
-// turn is a version whose share of bad trials changes after a number of trials.
-type turn struct {
-	name   string
-	signal value.Reason
-	limit  float64
-	good   float64
-	bad    float64
-	after  int
+// scenario is a version whose share of bad trials changes from shareBefore to shareAfter after changeAt
+// trials.
+type scenario struct {
+	name        string
+	signal      value.Reason
+	limit       float64
+	shareBefore float64
+	shareAfter  float64
+	changeAt    int
 }
 
-var turns = map[string][]turn{
+var scenarios = map[string][]scenario{
 	"vadodara": {
-		{name: "ratings-from-start", signal: value.ReasonQuality, limit: 0.1, bad: 0.3},
-		{name: "ratings-turn", signal: value.ReasonQuality, limit: 0.1, good: 0.05, bad: 0.3, after: 500},
-		{name: "errors-from-start", signal: value.ReasonErrorRate, limit: 0.02, bad: 0.1},
+		{name: "ratings-from-start", signal: value.ReasonQuality, limit: 0.1, shareAfter: 0.3},
+		{name: "ratings-turn", signal: value.ReasonQuality, limit: 0.1, shareBefore: 0.05, shareAfter: 0.3, changeAt: 500},
+		{name: "errors-from-start", signal: value.ReasonErrorRate, limit: 0.02, shareAfter: 0.1},
 	},
 	"portvagt": {
-		{name: "errors-from-start", signal: value.ReasonErrorRate, limit: 0.02, bad: 0.3},
-		{name: "errors-turn", signal: value.ReasonErrorRate, limit: 0.02, good: 0.01, bad: 0.1, after: 2000},
-		{name: "ratings-turn", signal: value.ReasonQuality, limit: 0.1, good: 0.05, bad: 0.4, after: 2000},
+		{name: "errors-from-start", signal: value.ReasonErrorRate, limit: 0.02, shareAfter: 0.3},
+		{name: "errors-turn", signal: value.ReasonErrorRate, limit: 0.02, shareBefore: 0.01, shareAfter: 0.1, changeAt: 2000},
+		{name: "ratings-turn", signal: value.ReasonQuality, limit: 0.1, shareBefore: 0.05, shareAfter: 0.4, changeAt: 2000},
 	},
 }
 
-// exposure returns the trials of the bad version that pass before the alarm, or the whole span.
-func (c turn) exposure(rnd *rand.Rand, d detector) (int, bool) {
-	for i := range exposureSpan {
-		share := c.bad
-		if i < c.after {
-			share = c.good
+// exposure returns the number of trials between the change and the alarm, or all trials after the
+// change if there is no alarm, and whether the alarm came before the change.
+func (c scenario) exposure(rnd *rand.Rand, d detector) (int, bool) {
+	for i := range exposureTrials {
+		share := c.shareAfter
+		if i < c.changeAt {
+			share = c.shareBefore
 		}
 		if !d(rnd.Float64() < share) {
 			continue
 		}
-		if i < c.after {
+		if i < c.changeAt {
 			return 0, true
 		}
-		return i - c.after + 1, false
+		return i - c.changeAt + 1, false
 	}
-	return exposureSpan - c.after, false
+	return exposureTrials - c.changeAt, false
 }
 
-// own is the roll-out's watch as the commands set it up.
-func (c turn) own() detector {
+// rollOutWatch returns the tests of a roll-out as the commands set them up.
+func (c scenario) rollOutWatch() detector {
 	r := document().RollOuts[0]
-	w := fresh().Watch(r).Tests
+	w := initialState().Watch(r).Tests
 	return func(bad bool) bool {
 		n := 0
 		if bad {
@@ -76,96 +78,98 @@
 	}
 }
 
-// score is the statistic of the optimal test: the sequential probability ratio test, which knows the
-// bad share, or the cumulative sum test where the change comes at an unknown time.
+// score is the statistic of the optimal test, which knows the share of bad trials: the sequential
+// probability ratio test, or the cumulative sum test where the change comes at an unknown time.
 type score struct {
-	turn turn
-	sum  float64
+	scenario scenario
+	sum      float64
 }
 
-func (s *score) see(bad bool) float64 {
-	c := s.turn
+func (s *score) add(bad bool) float64 {
+	c := s.scenario
 	if bad {
-		s.sum += math.Log(c.bad / c.limit)
+		s.sum += math.Log(c.shareAfter / c.limit)
 	} else {
-		s.sum += math.Log((1 - c.bad) / (1 - c.limit))
+		s.sum += math.Log((1 - c.shareAfter) / (1 - c.limit))
 	}
-	if c.after > 0 {
+	if c.changeAt > 0 {
 		s.sum = max(s.sum, 0)
 	}
 	return s.sum
 }
 
-func (c turn) optimal(threshold float64) detector {
-	s := score{turn: c}
-	return func(bad bool) bool { return s.see(bad) >= threshold }
+func (c scenario) optimal(threshold float64) detector {
+	s := score{scenario: c}
+	return func(bad bool) bool { return s.add(bad) >= threshold }
 }
 
-// threshold returns the optimal test's threshold at the stated rate of false alarms over the span.
-func (c turn) threshold() float64 {
+// threshold returns the optimal test's threshold for a false-alarm rate of falseAlarmRate over all
+// trials.
+func (c scenario) threshold() float64 {
 	peaks := make([]float64, alarmRuns)
 	for i := range peaks {
 		rnd := rand.New(rand.NewPCG(21, uint64(i)))
-		s := score{turn: c}
-		for range exposureSpan {
-			peaks[i] = max(peaks[i], s.see(rnd.Float64() < c.limit))
+		s := score{scenario: c}
+		for range exposureTrials {
+			peaks[i] = max(peaks[i], s.add(rnd.Float64() < c.limit))
 		}
 	}
 	slices.Sort(peaks)
-	return peaks[int(alarmRuns*(1-falseAlarms))]
+	return peaks[int(alarmRuns*(1-falseAlarmRate))]
 }
 
-// fixed looks once in every so many trials, as a test of fixed size must.
-func (c turn) fixed() detector {
-	size, limit := c.size()
-	seen, found := 0, 0
+// fixedSample decides once per sample of fixed size.
+func (c scenario) fixedSample() detector {
+	size, limit := c.fixedSampleSize()
+	trials, failures := 0, 0
 	return func(bad bool) bool {
-		seen++
+		trials++
 		if bad {
-			found++
+			failures++
 		}
-		if seen < size {
+		if trials < size {
 			return false
 		}
-		alarm := found > limit
-		seen, found = 0, 0
+		alarm := failures > limit
+		trials, failures = 0, 0
 		return alarm
 	}
 }
 
-// size returns the smallest sample, and the most bad trials in it, that finds the bad share nine times
-// in ten while all samples of the span together raise no more false alarms than the watch.
-func (c turn) size() (int, int) {
+// fixedSampleSize returns the smallest sample size, and the most bad trials that raise no alarm, with
+// which the bad share is found in nine of ten samples while all samples together raise no more false
+// alarms than falseAlarmRate.
+func (c scenario) fixedSampleSize() (int, int) {
 	for n := 10; ; n += 5 {
-		spend := falseAlarms * float64(n) / exposureSpan
+		allowedFalseAlarms := falseAlarmRate * float64(n) / exposureTrials
 		limit := 0
-		for tail(n, limit, c.limit) > spend {
+		for binomialTail(n, limit, c.limit) > allowedFalseAlarms {
 			limit++
 		}
-		if tail(n, limit, c.bad) >= 0.9 {
+		if binomialTail(n, limit, c.shareAfter) >= 0.9 {
 			return n, limit
 		}
 	}
 }
 
-// tail returns the chance of more than so many bad trials.
-func tail(n, limit int, share float64) float64 {
-	p, sum := math.Pow(1-share, float64(n)), 0.0
+// binomialTail returns the probability of more than limit bad trials among n.
+func binomialTail(n, limit int, share float64) float64 {
+	probability, sum := math.Pow(1-share, float64(n)), 0.0
 	for k := range limit + 1 {
-		sum += p
-		p *= float64(n-k) / float64(k+1) * share / (1 - share)
+		sum += probability
+		probability *= float64(n-k) / float64(k+1) * share / (1 - share)
 	}
 	return max(1-sum, 0)
 }
 
-// falseAlarmsOf returns the share of watches at the limit that raise the alarm within the span.
-func (c turn) falseAlarmsOf(d func() detector) float64 {
+// falseAlarmShare returns the share of runs at the limit in which the detector raises the alarm.
+func (c scenario) falseAlarmShare(newDetector func() detector) float64 {
 	alarms := 0
 	for i := range alarmRuns {
 		rnd := rand.New(rand.NewPCG(22, uint64(i)))
-		see := d()
-		for range exposureSpan {
-			if see(rnd.Float64() < c.limit) {
+		detect := newDetector()
+		for range exposureTrials {
+			if detect(rnd.Float64() < c.limit) {
 				alarms++
 				break
 			}
@@ -174,11 +178,11 @@
 	return float64(alarms) / alarmRuns
 }
 
-// mean returns the mean exposure over the runs in which the alarm did not come early.
-func (c turn) mean(d func() detector) float64 {
+// meanExposure returns the mean exposure over the runs without an alarm before the change.
+func (c scenario) meanExposure(newDetector func() detector) float64 {
 	sum, n := 0, 0
 	for i := range exposureRuns {
-		if trials, early := c.exposure(rand.New(rand.NewPCG(23, uint64(i))), d()); !early {
+		if trials, early := c.exposure(rand.New(rand.NewPCG(23, uint64(i))), newDetector()); !early {
 			sum += trials
 			n++
 		}
@@ -186,25 +190,25 @@
 	return float64(sum) / float64(n)
 }
 
-// BenchmarkMeasureExposure reports how many trials of a bad version pass before it is withdrawn, by
-// the roll-out's watch, by the optimal sequential test and by a test of fixed size.
+// BenchmarkMeasureExposure reports how many trials of a bad version pass before it is withdrawn, with
+// the roll-out's tests, with the optimal sequential test and with a test of fixed sample size.
 func BenchmarkMeasureExposure(b *testing.B) {
-	for _, town := range []string{"vadodara", "portvagt"} {
-		for _, c := range turns[town] {
-			b.Run(town+"/"+c.name, func(b *testing.B) {
+	for _, set := range []string{"vadodara", "portvagt"} {
+		for _, c := range scenarios[set] {
+			b.Run(set+"/"+c.name, func(b *testing.B) {
 				for range b.N {
 					threshold := c.threshold()
 					optimal := func() detector { return c.optimal(threshold) }
-					own, best, fixed := c.mean(c.own), c.mean(optimal), c.mean(c.fixed)
+					watch, best, fixed := c.meanExposure(c.rollOutWatch), c.meanExposure(optimal), c.meanExposure(c.fixedSample)
 					b.ReportMetric(0, "ns/op")
-					b.ReportMetric(own, "trials")
+					b.ReportMetric(watch, "trials")
 					b.ReportMetric(best, "trials-optimal")
 					b.ReportMetric(fixed, "trials-fixed")
-					b.ReportMetric(own/best, "of-optimal")
-					b.ReportMetric(own/fixed, "of-fixed")
-					b.ReportMetric(c.falseAlarmsOf(c.own), "false-alarms")
-					b.ReportMetric(c.falseAlarmsOf(optimal), "false-alarms-optimal")
-					b.ReportMetric(c.falseAlarmsOf(c.fixed), "false-alarms-fixed")
+					b.ReportMetric(watch/best, "of-optimal")
+					b.ReportMetric(watch/fixed, "of-fixed")
+					b.ReportMetric(c.falseAlarmShare(c.rollOutWatch), "false-alarms")
+					b.ReportMetric(c.falseAlarmShare(optimal), "false-alarms-optimal")
+					b.ReportMetric(c.falseAlarmShare(c.fixedSample), "false-alarms-fixed")
 				}
 			})
 		}
--- a/core/cmds/heard.go
+++ b/core/cmds/heard.go
@@ -8,29 +8,32 @@
 	"endivehitch/core/value"
 )
 
-// Heard takes in a message of another instance: its statement about itself and news of others.
+// Heard merges a gossip message of another instance.
 type Heard struct {
+	// From is the sender's own state.
 	From value.Instance
+	// News holds the sender's updates on other instances.
 	News []value.Instance
-	// Roll says that News is all that the sender knows, which is no news to others.
+	// Roll reports that News is the sender's complete membership list. Such a list only adds unknown
+	// instances, and these are not disseminated.
 	Roll bool
 }
 
-// Apply merges the news; it is idempotent, so that a duplicated or a late message does no harm.
+// Apply merges the message; it is idempotent, so that a duplicated or late message does no harm.
 func (c Heard) Apply(s state.State, now time.Time) (state.State, []state.Effect) {
 	var effects []state.Effect
-	for _, news := range c.News {
+	for _, update := range c.News {
 		if c.Roll {
-			s = note(s, news, now)
+			s = addIfUnknown(s, update, now)
 			continue
 		}
 		var more []state.Effect
-		s, more = learn(s, news, now)
+		s, more = mergeUpdate(s, update, now)
 		effects = append(effects, more...)
 	}
-	s, more := learn(s, c.From, now)
+	s, more := mergeUpdate(s, c.From, now)
 	effects = append(effects, more...)
-	s = witness(s, c.From, now)
+	s = recordContact(s, c.From, now)
 	if c.From.Revision > s.Self.Revision {
 		s = s.WithNewest(c.From.Revision, now)
 		effects = append(effects, state.Behind{Revision: c.From.Revision, Source: c.From})
@@ -38,8 +41,8 @@
 	return s, effects
 }
 
-// witness notes the sign of life and which configuration the sender has in force.
-func witness(s state.State, from value.Instance, now time.Time) state.State {
+// recordContact records that the sender sent a message now and which configuration it has in force.
+func recordContact(s state.State, from value.Instance, now time.Time) state.State {
 	known, ok := s.Instance(from.ID)
 	if !ok || from.ID == s.Self.ID {
 		return s
@@ -51,46 +54,48 @@
 	return s.WithInstance(known)
 }
 
-// learn merges one piece of news and passes it on where it is new.
-func learn(s state.State, news value.Instance, now time.Time) (state.State, []state.Effect) {
-	if news.ID == s.Self.ID {
-		return refute(s, news)
+// mergeUpdate merges one update and disseminates it if it changes what is known.
+func mergeUpdate(s state.State, update value.Instance, now time.Time) (state.State, []state.Effect) {
+	if update.ID == s.Self.ID {
+		return refute(s, update)
 	}
-	known, ok := s.Instance(news.ID)
+	known, ok := s.Instance(update.ID)
 	if !ok {
-		return settle(s, fresh(news, now))
+		return updateAndDisseminate(s, withoutObservations(update, now))
 	}
-	if !fleet.Supersedes(news, known) {
+	if !fleet.Supersedes(update, known) {
 		return s, nil
 	}
-	return settle(s, fleet.Merge(known, news, now))
+	return updateAndDisseminate(s, fleet.Merge(known, update, now))
 }
 
-// note adds an instance that was unknown, without passing it on.
-func note(s state.State, news value.Instance, now time.Time) state.State {
-	if _, ok := s.Instance(news.ID); ok {
+// addIfUnknown adds an instance that was unknown, without disseminating it.
+func addIfUnknown(s state.State, update value.Instance, now time.Time) state.State {
+	if _, ok := s.Instance(update.ID); ok {
 		return s
 	}
-	return s.WithInstance(fresh(news, now))
+	return s.WithInstance(withoutObservations(update, now))
 }
 
-// fresh drops what the sender observed itself.
-func fresh(news value.Instance, now time.Time) value.Instance {
-	return news.WithSince(now).WithSeen(time.Time{}).WithListed(false)
+// withoutObservations discards the sender's own observations of the instance; its state counts from now.
+func withoutObservations(update value.Instance, now time.Time) value.Instance {
+	return update.WithSince(now).WithSeen(time.Time{}).WithListed(false)
 }
 
-func refute(s state.State, news value.Instance) (state.State, []state.Effect) {
-	if !fleet.Refutes(s.Self, news) {
+// refute raises this instance's incarnation where an update reports a worse state than its own.
+func refute(s state.State, update value.Instance) (state.State, []state.Effect) {
+	if !fleet.Refutes(s.Self, update) {
 		return s, nil
 	}
-	// Every message carries the instance's statement about itself, so it needs no passing on here.
-	return s.WithSelf(s.Self.WithIncarnation(news.Incarnation + 1)), []state.Effect{
-		state.Decided{What: "SuspicionRefuted", Subject: string(s.Self.ID), Reason: value.Reason(news.State)},
+	// Every message of this instance carries its own state, so the new incarnation needs no separate
+	// dissemination.
+	return s.WithSelf(s.Self.WithIncarnation(update.Incarnation + 1)), []state.Effect{
+		state.Decided{What: "SuspicionRefuted", Subject: string(s.Self.ID), Reason: value.Reason(update.State)},
 	}
 }
 
-// settle puts the instance's new standing in force and passes it on.
-func settle(s state.State, i value.Instance) (state.State, []state.Effect) {
+// updateAndDisseminate sets the instance's new state and makes it an update for gossip to send.
+func updateAndDisseminate(s state.State, i value.Instance) (state.State, []state.Effect) {
 	s = s.WithInstance(i)
 	s = s.WithPendingUpdate(i.ID, fleet.RumourTimes(s.Instances().Len()))
 	return s, []state.Effect{state.Decided{What: "Instance" + string(i.State), Subject: string(i.ID)}}
--- a/core/cmds/install.go
+++ b/core/cmds/install.go
@@ -7,13 +7,13 @@
 	"endivehitch/core/value"
 )
 
-// InstallConfig puts an accepted document in force unless the instance has a newer one.
+// InstallConfig puts a document in force if it is newer than the present one.
 type InstallConfig struct {
 	Accepted value.Accepted
 }
 
-// Apply ignores a document that is not newer than the one in force, so that an old answer of the
-// key-value service or of a peer never turns the instance back.
+// Apply ignores a document that is not newer than the one in force, so that an outdated read from the
+// key-value service or a peer never reverts the instance.
 func (c InstallConfig) Apply(s state.State, _ time.Time) (state.State, []state.Effect) {
 	next, effects := installDocument(s, c.Accepted)
 	if len(effects) == 0 {
@@ -22,7 +22,7 @@
 	return next, append(effects, state.Announce{Config: c.Accepted})
 }
 
-// installDocument leaves it to its caller to announce what came into force.
+// installDocument puts a newer document in force; announcing it is left to the caller.
 func installDocument(s state.State, a value.Accepted) (state.State, []state.Effect) {
 	if a.Revision <= s.Config.Revision {
 		return s, nil
--- a/core/cmds/instances.go
+++ b/core/cmds/instances.go
@@ -9,13 +9,13 @@
 	"endivehitch/core/value"
 )
 
-// SyncInstances takes in a whole reading of the platform's instance list, which is late.
+// SyncInstances merges the platform's complete instance list, which may lag behind.
 type SyncInstances struct {
 	Instances []value.Instance
 }
 
-// Apply adds instances that were unknown and believes that one is leaving, but
-// leaves it to probes to say who is alive.
+// Apply adds unknown instances and accepts that one is leaving. Because the list may lag behind, it
+// marks no known instance as live or gone: that is left to probes.
 func (c SyncInstances) Apply(s state.State, now time.Time) (state.State, []state.Effect) {
 	listed := make(map[value.InstanceID]bool, len(c.Instances))
 	before := s.Instances().Len()
@@ -26,7 +26,7 @@
 			continue
 		}
 		var more []state.Effect
-		s, more = c.take(s, i, now)
+		s, more = c.merge(s, i, now)
 		effects = append(effects, more...)
 	}
 	if added := s.Instances().Len() - before; added > 0 {
@@ -40,18 +40,19 @@
 	return s, effects
 }
 
-func (c SyncInstances) take(s state.State, listed value.Instance, now time.Time) (state.State, []state.Effect) {
+// merge merges one entry of the instance list.
+func (c SyncInstances) merge(s state.State, listed value.Instance, now time.Time) (state.State, []state.Effect) {
 	known, ok := s.Instance(listed.ID)
 	if !ok {
-		return s.WithInstance(fresh(listed, now).WithListed(true)), nil
+		return s.WithInstance(withoutObservations(listed, now).WithListed(true)), nil
 	}
 	if !known.Listed {
 		known = known.WithListed(true)
 		s = s.WithInstance(known)
 	}
-	news := known.WithState(listed.State)
-	if listed.State != value.InstanceLeaving || !fleet.Supersedes(news, known) {
+	update := known.WithState(listed.State)
+	if listed.State != value.InstanceLeaving || !fleet.Supersedes(update, known) {
 		return s, nil
 	}
-	return settle(s, fleet.Merge(known, news, now))
+	return updateAndDisseminate(s, fleet.Merge(known, update, now))
 }
--- a/core/cmds/measure_test.go
+++ b/core/cmds/measure_test.go
@@ -11,7 +11,7 @@
 	"endivehitch/core/value"
 )
 
-func fleetOf(n int) state.State {
+func stateWithInstances(n int) state.State {
 	s := state.New(live("self"))
 	for i := range n - 1 {
 		id := value.InstanceID(fmt.Sprintf("7f2c19e4-%08d", i))
@@ -23,21 +23,21 @@
 	return s
 }
 
-// BenchmarkMeasureMembers measures what membership costs an instance: the memory of its
-// state, the processor time of taking in one message, and of choosing whom to probe.
+// BenchmarkMeasureMembers measures the cost of membership for one instance: the memory of its state, and
+// the processor time to merge one message and to choose the instances to probe.
 func BenchmarkMeasureMembers(b *testing.B) {
 	for _, n := range []int{7, 100, 500, 1000, 2300} {
 		b.Run(fmt.Sprintf("Instances%d", n), func(b *testing.B) {
 			before := heap()
-			s := fleetOf(n)
-			kept := float64(heap()-before) / 1024
+			s := stateWithInstances(n)
+			stateKB := float64(heap()-before) / 1024
 			i, _ := s.Instance("7f2c19e4-00000003")
-			heard := cmds.Heard{From: i}
+			message := cmds.Heard{From: i}
 			for b.Loop() {
-				next, _ := heard.Apply(s, start)
+				next, _ := message.Apply(s, start)
 				query.View(next, timing, start)
 			}
-			b.ReportMetric(kept, "KB-state")
+			b.ReportMetric(stateKB, "KB-state")
 		})
 	}
 }
--- a/core/cmds/members_test.go
+++ b/core/cmds/members_test.go
@@ -21,7 +21,7 @@
 	return value.Instance{ID: id, FailureDomain: "guj-a", State: value.InstanceLive}
 }
 
-func suspecting(t *testing.T) state.State {
+func stateWithSuspect(t *testing.T) state.State {
 	t.Helper()
 	s := state.New(live("a")).WithInstance(live("b"))
 	s, effects := cmds.Suspect{ID: "b"}.Apply(s, start)
@@ -30,95 +30,95 @@
 	return s
 }
 
-func standing(s state.State, id value.InstanceID) value.InstanceState {
+func stateOf(s state.State, id value.InstanceID) value.InstanceState {
 	i, _ := s.Instance(id)
 	return i.State
 }
 
-func TestSuspicionEndsInGoneAndThenOblivion(t *testing.T) {
-	s := suspecting(t)
+func TestSuspectBecomesGoneAndIsThenForgotten(t *testing.T) {
+	s := stateWithSuspect(t)
 	now := start
 	for range 3 {
 		now = now.Add(timing.Period)
 		s, _ = cmds.Tick{Timing: timing}.Apply(s, now)
-		assert.Equal(t, standing(s, "b"), value.InstanceSuspected)
+		assert.Equal(t, stateOf(s, "b"), value.InstanceSuspected)
 	}
 	s, _ = cmds.Tick{Timing: timing}.Apply(s, now.Add(timing.Period))
-	assert.Equal(t, standing(s, "b"), value.InstanceGone)
+	assert.Equal(t, stateOf(s, "b"), value.InstanceGone)
 	s, _ = cmds.Tick{Timing: timing}.Apply(s, now.Add(timing.Forget+time.Minute))
 	_, known := s.Instance("b")
 	assert.Assert(t, !known)
 }
 
-func TestPausedInstanceGivesSuspectsTheirTimeAnew(t *testing.T) {
-	s := suspecting(t)
-	woken := start.Add(time.Hour)
-	s, _ = cmds.Tick{Timing: timing}.Apply(s, woken)
-	assert.Equal(t, standing(s, "b"), value.InstanceSuspected)
-	s, _ = cmds.Tick{Timing: timing}.Apply(s, woken.Add(timing.Period))
-	assert.Equal(t, standing(s, "b"), value.InstanceSuspected)
+func TestPauseOfTheInstanceRestartsSuspicionTimeouts(t *testing.T) {
+	s := stateWithSuspect(t)
+	resumed := start.Add(time.Hour)
+	s, _ = cmds.Tick{Timing: timing}.Apply(s, resumed)
+	assert.Equal(t, stateOf(s, "b"), value.InstanceSuspected)
+	s, _ = cmds.Tick{Timing: timing}.Apply(s, resumed.Add(timing.Period))
+	assert.Equal(t, stateOf(s, "b"), value.InstanceSuspected)
 }
 
-func TestInstanceThatLeftIsForgottenOnceUnlisted(t *testing.T) {
+func TestLeavingInstanceIsForgottenOnlyOnceUnlisted(t *testing.T) {
 	leaving := live("b").WithState(value.InstanceLeaving)
 	s, _ := cmds.Heard{From: leaving}.Apply(state.New(live("a")), start)
 	s, _ = cmds.SyncInstances{Instances: []value.Instance{leaving}}.Apply(s, start)
 	late := start.Add(2 * timing.Forget)
 	s, _ = cmds.Tick{Timing: timing}.Apply(s, late)
-	assert.Equal(t, standing(s, "b"), value.InstanceLeaving)
+	assert.Equal(t, stateOf(s, "b"), value.InstanceLeaving)
 	s, _ = cmds.SyncInstances{}.Apply(s, late)
 	s, _ = cmds.Tick{Timing: timing}.Apply(s, late)
-	assert.Equal(t, standing(s, "b"), value.InstanceGone)
+	assert.Equal(t, stateOf(s, "b"), value.InstanceGone)
 	s, _ = cmds.Tick{Timing: timing}.Apply(s, late.Add(timing.Forget))
 	_, known := s.Instance("b")
 	assert.Assert(t, !known)
 }
 
-func TestOnlyAHigherIncarnationRefutes(t *testing.T) {
-	s := suspecting(t)
+func TestOnlyHigherIncarnationRefutesSuspicion(t *testing.T) {
+	s := stateWithSuspect(t)
 	s, _ = cmds.Heard{From: live("c"), News: []value.Instance{live("b")}}.Apply(s, start)
-	assert.Equal(t, standing(s, "b"), value.InstanceSuspected)
+	assert.Equal(t, stateOf(s, "b"), value.InstanceSuspected)
 	s, _ = cmds.Heard{From: live("b").WithIncarnation(1)}.Apply(s, start)
-	assert.Equal(t, standing(s, "b"), value.InstanceLive)
-	// The old accusation arrives late, and a probe of the old incarnation fails late.
+	assert.Equal(t, stateOf(s, "b"), value.InstanceLive)
+	// An update about the old incarnation arrives late, and so does a failed probe of it.
 	s, _ = cmds.Heard{From: live("c"), News: []value.Instance{live("b").WithState(value.InstanceGone)}}.Apply(s, start)
 	s, _ = cmds.Suspect{ID: "b"}.Apply(s, start)
-	assert.Equal(t, standing(s, "b"), value.InstanceLive)
+	assert.Equal(t, stateOf(s, "b"), value.InstanceLive)
 }
 
-func TestAccusedInstanceRaisesItsIncarnationOnce(t *testing.T) {
+func TestInstanceReportedGoneRaisesItsIncarnationOnce(t *testing.T) {
 	s := state.New(live("a"))
-	accusation := cmds.Heard{From: live("b"), News: []value.Instance{live("a").WithState(value.InstanceGone).WithIncarnation(4)}}
+	report := cmds.Heard{From: live("b"), News: []value.Instance{live("a").WithState(value.InstanceGone).WithIncarnation(4)}}
 	for range 3 {
-		s, _ = accusation.Apply(s, start)
+		s, _ = report.Apply(s, start)
 	}
 	assert.Equal(t, s.Self.Incarnation, int64(5))
 	assert.Equal(t, s.Self.State, value.InstanceLive)
 }
 
-func TestLeavingInstanceStaysLeavingWhenAccused(t *testing.T) {
+func TestLeavingInstanceReportedGoneStaysLeaving(t *testing.T) {
 	s, _ := cmds.Leave{}.Apply(state.New(live("a")), start)
 	s, _ = cmds.Heard{From: live("b"), News: []value.Instance{live("a").WithState(value.InstanceGone).WithIncarnation(1)}}.Apply(s, start)
 	assert.Equal(t, s.Self.State, value.InstanceLeaving)
 	assert.Equal(t, s.Self.Incarnation, int64(2))
 }
 
-func TestListAddsAndTellsOfLeavingButRevivesNoOne(t *testing.T) {
-	s := suspecting(t)
+func TestInstanceListAddsInstancesAndMarksLeavingButRevivesNone(t *testing.T) {
+	s := stateWithSuspect(t)
 	s, _ = cmds.Tick{Timing: timing}.Apply(s, start.Add(timing.Period))
 	s, _ = cmds.Replaced{ID: "b"}.Apply(s, start)
 	s, _ = cmds.SyncInstances{Instances: []value.Instance{live("a"), live("b"), live("c")}}.Apply(s, start)
-	assert.Equal(t, standing(s, "b"), value.InstanceGone)
-	assert.Equal(t, standing(s, "c"), value.InstanceLive)
+	assert.Equal(t, stateOf(s, "b"), value.InstanceGone)
+	assert.Equal(t, stateOf(s, "c"), value.InstanceLive)
 	leaving := live("c").WithState(value.InstanceLeaving)
 	s, _ = cmds.SyncInstances{Instances: []value.Instance{leaving}}.Apply(s, start)
-	assert.Equal(t, standing(s, "c"), value.InstanceLeaving)
+	assert.Equal(t, stateOf(s, "c"), value.InstanceLeaving)
 	b, _ := s.Instance("b")
 	assert.Assert(t, !b.Listed)
 }
 
-func TestNewsIsPassedOnSoOften(t *testing.T) {
-	s := suspecting(t)
+func TestUpdateIsNoLongerPendingAfterItsMessages(t *testing.T) {
+	s := stateWithSuspect(t)
 	left, ok := s.Rumours().Get("b")
 	assert.Assert(t, ok)
 	for range left {
@@ -127,11 +127,11 @@
 	assert.Equal(t, s.Rumours().Len(), 0)
 }
 
-func TestOldRevisionsAreIgnoredAndLagIsMeasuredFromTheFirstHearing(t *testing.T) {
+func TestOlderRevisionIsIgnoredAndLagCountsFromTheFirstReport(t *testing.T) {
 	s := state.New(live("a"))
 	document := value.Accepted{Digest: "d7", Revision: 7}
 	s, effects := cmds.Spread{Revision: 7, Accepted: document}.Apply(s, start)
-	assert.Equal(t, len(effects), 3, "peers are told once")
+	assert.Equal(t, len(effects), 3, "peers must be notified once")
 	assert.Equal(t, effects[2].(state.Announce).Config.Digest, "d7")
 	s, _ = cmds.Spread{Revision: 6, Accepted: value.Accepted{Digest: "d6", Revision: 6}}.Apply(s, start)
 	assert.Equal(t, s.Config.Digest, "d7")
--- a/core/cmds/passed.go
+++ b/core/cmds/passed.go
@@ -7,16 +7,16 @@
 	"endivehitch/core/value"
 )
 
-// Passed notes that news of the instances went out in one message.
+// Passed records that one message carried the updates on the instances.
 type Passed struct {
 	IDs []value.InstanceID
 }
 
-// Apply counts the news down.
+// Apply lowers the number of messages in which each update is still to be sent.
 func (c Passed) Apply(s state.State, _ time.Time) (state.State, []state.Effect) {
 	for _, id := range c.IDs {
-		if left, ok := s.Rumours().Get(id); ok {
-			s = s.WithPendingUpdate(id, left-1)
+		if sends, ok := s.Rumours().Get(id); ok {
+			s = s.WithPendingUpdate(id, sends-1)
 		}
 	}
 	return s, nil
--- a/core/cmds/rating.go
+++ b/core/cmds/rating.go
@@ -8,12 +8,12 @@
 	"endivehitch/core/value"
 )
 
-// ObserveRatings feeds ratings to the estimates of quality and to the tests of roll-outs.
+// ObserveRatings adds ratings to the estimates of quality and to the tests of roll-outs.
 type ObserveRatings struct {
 	Ratings []value.Rating
 }
 
-// Apply withdraws a version whose ratings break the limit of its roll-out.
+// Apply withdraws a version if its ratings break the quality limit of its roll-out.
 func (c ObserveRatings) Apply(s state.State, now time.Time) (state.State, []state.Effect) {
 	var effects []state.Effect
 	var kinds []value.KindName
@@ -27,7 +27,7 @@
 			continue
 		}
 		var more []state.Effect
-		s, more = judged(s.WithRollOutRating(r, rating), r, now)
+		s, more = withdrawOnAlarm(s.WithRollOutRating(r, rating), r, now)
 		effects = append(effects, more...)
 	}
 	for _, k := range kinds {
--- a/core/cmds/replaced.go
+++ b/core/cmds/replaced.go
@@ -8,16 +8,16 @@
 	"endivehitch/core/value"
 )
 
-// Replaced notes that another process answers at an instance's address, so that the instance is gone.
+// Replaced records that another process answers at an instance's address, so that the instance is gone.
 type Replaced struct {
 	ID value.InstanceID
 }
 
-// Apply is idempotent.
+// Apply marks the instance as gone; it is idempotent.
 func (c Replaced) Apply(s state.State, now time.Time) (state.State, []state.Effect) {
 	known, ok := s.Instance(c.ID)
 	if !ok || known.State == value.InstanceGone || c.ID == s.Self.ID {
 		return s, nil
 	}
-	return settle(s, fleet.Merge(known, known.WithState(value.InstanceGone), now))
+	return updateAndDisseminate(s, fleet.Merge(known, known.WithState(value.InstanceGone), now))
 }
--- a/core/cmds/rollout_install.go
+++ b/core/cmds/rollout_install.go
@@ -7,19 +7,20 @@
 	"endivehitch/core/value"
 )
 
-// InstallProgress puts in force where a roll-out stands by the key-value service or a peer.
+// InstallProgress puts a roll-out's position from the key-value service or a peer in force.
 type InstallProgress struct {
 	Progress value.Progress
 }
 
-// Apply never goes back to an older position, and never away from a withdrawal.
+// Apply ignores a position that does not supersede the known one: one that is not newer, or any that
+// follows a withdrawal.
 func (c InstallProgress) Apply(s state.State, _ time.Time) (state.State, []state.Effect) {
 	p := c.Progress
 	if r, ok := s.RollOut(p.Name); ok && p.Version == "" {
 		p.Version = r.ToKey()
 	}
-	was, known := s.Progress(p.Name)
-	if known && !p.Supersedes(was) {
+	present, known := s.Progress(p.Name)
+	if known && !p.Supersedes(present) {
 		return s, nil
 	}
 	return s.WithProgress(p), []state.Effect{
--- a/core/cmds/rollout_runs.go
+++ b/core/cmds/rollout_runs.go
@@ -7,12 +7,12 @@
 	"endivehitch/core/value"
 )
 
-// ObserveRuns feeds finished runs to the tests of the roll-outs that bring their versions in.
+// ObserveRuns adds finished attempts to the tests of the roll-outs whose new versions they used.
 type ObserveRuns struct {
 	Runs []value.Runs
 }
 
-// Apply withdraws a version whose runs break a limit of its roll-out.
+// Apply withdraws a version if its attempts break a limit of its roll-out.
 func (c ObserveRuns) Apply(s state.State, now time.Time) (state.State, []state.Effect) {
 	var effects []state.Effect
 	for _, runs := range c.Runs {
@@ -21,18 +21,18 @@
 			continue
 		}
 		var more []state.Effect
-		s, more = judged(s.WithRuns(r, runs), r, now)
+		s, more = withdrawOnAlarm(s.WithRuns(r, runs), r, now)
 		effects = append(effects, more...)
 	}
 	return s, effects
 }
 
-// judged withdraws the roll-out's new version where its tests raise the alarm.
-func judged(s state.State, r value.RollOut, now time.Time) (state.State, []state.Effect) {
-	why, alarm := s.Watch(r).Tests.Alarm()
-	// All instances see the same ratings; one of them writes the withdrawal.
+// withdrawOnAlarm withdraws the roll-out's new version if its tests raise an alarm.
+func withdrawOnAlarm(s state.State, r value.RollOut, now time.Time) (state.State, []state.Effect) {
+	reason, alarm := s.Watch(r).Tests.Alarm()
+	// All instances receive the same ratings; only the owner of the version's hash slot withdraws it.
 	if !alarm || !s.Watches(r.ToKey()) {
 		return s, nil
 	}
-	return WithdrawVersion{Version: r.ToKey(), Reason: why}.Apply(s, now)
+	return WithdrawVersion{Version: r.ToKey(), Reason: reason}.Apply(s, now)
 }
--- a/core/cmds/rollout_test.go
+++ b/core/cmds/rollout_test.go
@@ -20,7 +20,7 @@
 	rollOut = value.RollOutName("sprog-new")
 )
 
-var began = time.Date(2026, 3, 1, 8, 0, 0, 0, time.UTC)
+var testTime = time.Date(2026, 3, 1, 8, 0, 0, 0, time.UTC)
 
 type command = loop.Command[state.State, state.Effect]
 
@@ -40,15 +40,15 @@
 }
 
 func install(s state.State, d value.Document, revision int64) state.State {
-	next, _ := cmds.InstallConfig{Accepted: value.Accepted{Document: d, Revision: revision}}.Apply(s, began)
+	next, _ := cmds.InstallConfig{Accepted: value.Accepted{Document: d, Revision: revision}}.Apply(s, testTime)
 	return next
 }
 
-func fresh() state.State {
+func initialState() state.State {
 	return install(state.New(value.Instance{ID: "a"}), document(), 1)
 }
 
-func apply(s state.State, now time.Time, list ...command) (state.State, []state.Effect) {
+func applyAll(s state.State, now time.Time, list ...command) (state.State, []state.Effect) {
 	var all []state.Effect
 	for _, c := range list {
 		var effects []state.Effect
@@ -61,20 +61,20 @@
 func ratings(good, bad int) cmds.ObserveRatings {
 	var list []value.Rating
 	for i := range good + bad {
-		list = append(list, value.Rating{Kind: "quote", Version: newKey, Accepted: i < good, At: began})
+		list = append(list, value.Rating{Kind: "quote", Version: newKey, Accepted: i < good, At: testTime})
 	}
 	return cmds.ObserveRatings{Ratings: list}
 }
 
-// share returns how many of 1,000 new sessions the new version gets.
-func share(t *testing.T, s state.State, account value.AccountName, pin value.VersionKey) int {
+// newVersionSessions returns how many of 1,000 sessions the new version receives.
+func newVersionSessions(t *testing.T, s state.State, account value.AccountName, pin value.VersionKey) int {
 	t.Helper()
 	n := 0
 	for i := range 1000 {
-		r := value.Request{Account: account, Kind: "quote", Session: value.SessionID(fmt.Sprint(i)), Pinned: pin, Deadline: began.Add(time.Hour)}
-		a, err := query.Admit(s, r, began)
+		r := value.Request{Account: account, Kind: "quote", Session: value.SessionID(fmt.Sprint(i)), Pinned: pin, Deadline: testTime.Add(time.Hour)}
+		a, err := query.Admit(s, r, testTime)
 		assert.NilError(t, err)
-		p, err := query.Choose(s, a, r, began)
+		p, err := query.Choose(s, a, r, testTime)
 		assert.NilError(t, err)
 		if p.Last() == newKey {
 			n++
@@ -83,124 +83,124 @@
 	return n
 }
 
-func phase(s state.State) value.Phase {
+func phaseOf(s state.State) value.Phase {
 	p, _ := s.Progress(rollOut)
 	return p.Phase
 }
 
-func TestRollOutFromPlanToEnd(t *testing.T) {
-	s := fresh()
-	assert.Equal(t, share(t, s, "gates", ""), 0, "a planned roll-out takes no session")
-	s, effects := apply(s, began, cmds.StartRollOut{Name: rollOut})
+func TestRollOutMovesSessionsByStageUntilDone(t *testing.T) {
+	s := initialState()
+	assert.Equal(t, newVersionSessions(t, s, "gates", ""), 0, "a planned roll-out received sessions")
+	s, effects := applyAll(s, testTime, cmds.StartRollOut{Name: rollOut})
 	assert.Equal(t, len(effects), 2)
-	tenth := share(t, s, "gates", "")
+	tenth := newVersionSessions(t, s, "gates", "")
 	assert.Assert(t, tenth > 60 && tenth < 140, "%d", tenth)
-	assert.Equal(t, share(t, s, "doors", ""), 0, "a client account got a version that it is not allowed")
-	assert.Equal(t, share(t, s, "gates", newKey), 1000, "a session lost its version")
+	assert.Equal(t, newVersionSessions(t, s, "doors", ""), 0, "a client account got a version that it is not allowed")
+	assert.Equal(t, newVersionSessions(t, s, "gates", newKey), 1000, "a session lost its version")
 
-	s, _ = apply(s, began, ratings(4, 0), cmds.AdvanceRollOut{Name: rollOut})
-	assert.Equal(t, share(t, s, "gates", ""), tenth, "moved on without enough ratings")
-	s, _ = apply(s, began, ratings(1, 0), cmds.AdvanceRollOut{Name: rollOut}, cmds.AdvanceRollOut{Name: rollOut})
-	half := share(t, s, "gates", "")
+	s, _ = applyAll(s, testTime, ratings(4, 0), cmds.AdvanceRollOut{Name: rollOut})
+	assert.Equal(t, newVersionSessions(t, s, "gates", ""), tenth, "the roll-out advanced without enough ratings")
+	s, _ = applyAll(s, testTime, ratings(1, 0), cmds.AdvanceRollOut{Name: rollOut}, cmds.AdvanceRollOut{Name: rollOut})
+	half := newVersionSessions(t, s, "gates", "")
 	assert.Assert(t, half > 420 && half < 580, "%d", half)
-	assert.Equal(t, len(query.Due(s, began)), 0)
+	assert.Equal(t, len(query.Due(s, testTime)), 0)
 
-	later := began.Add(time.Hour)
+	later := testTime.Add(time.Hour)
 	assert.DeepEqual(t, query.Due(s, later), []query.DueStep{{RollOut: rollOut, Stage: 1}})
-	s, _ = apply(s, later, cmds.AdvanceRollOut{Name: rollOut, Stage: 1})
-	assert.Equal(t, phase(s), value.PhaseDone)
-	assert.Equal(t, share(t, s, "gates", ""), 1000)
-	assert.Equal(t, share(t, s, "gates", oldKey), 0, "a session of the old version keeps it")
-	assert.Equal(t, share(t, s, "doors", ""), 0)
-}
-
-func TestBadRunsWithdrawTheVersion(t *testing.T) {
-	s, _ := apply(fresh(), began, cmds.StartRollOut{Name: rollOut})
-	s, effects := apply(s, began, cmds.ObserveRuns{Runs: []value.Runs{{Version: newKey, Total: 40, Failed: 12}}})
-	assert.Equal(t, phase(s), value.PhaseWithdrawn)
-	assert.Equal(t, share(t, s, "gates", ""), 0)
-	assert.Equal(t, share(t, s, "gates", newKey), 0, "a withdrawn version got new work of its session")
+	s, _ = applyAll(s, later, cmds.AdvanceRollOut{Name: rollOut, Stage: 1})
+	assert.Equal(t, phaseOf(s), value.PhaseDone)
+	assert.Equal(t, newVersionSessions(t, s, "gates", ""), 1000)
+	assert.Equal(t, newVersionSessions(t, s, "gates", oldKey), 0, "a session pinned to the old version lost it")
+	assert.Equal(t, newVersionSessions(t, s, "doors", ""), 0)
+}
+
+func TestFailedAttemptsWithdrawTheVersion(t *testing.T) {
+	s, _ := applyAll(initialState(), testTime, cmds.StartRollOut{Name: rollOut})
+	s, effects := applyAll(s, testTime, cmds.ObserveRuns{Runs: []value.Runs{{Version: newKey, Total: 40, Failed: 12}}})
+	assert.Equal(t, phaseOf(s), value.PhaseWithdrawn)
+	assert.Equal(t, newVersionSessions(t, s, "gates", ""), 0)
+	assert.Equal(t, newVersionSessions(t, s, "gates", newKey), 0, "a withdrawn version got new work of its session")
 	assert.Equal(t, effects[0], state.Decided{What: "VersionWithdrawn", Subject: string(newKey), Reason: value.ReasonErrorRate})
-	_, again := apply(s, began, cmds.ObserveRuns{Runs: []value.Runs{{Version: newKey, Total: 40, Failed: 12}}})
+	_, again := applyAll(s, testTime, cmds.ObserveRuns{Runs: []value.Runs{{Version: newKey, Total: 40, Failed: 12}}})
 	assert.Equal(t, len(again), 0)
 }
 
-func TestBadRatingsWithdrawAfterTheEndAsWell(t *testing.T) {
-	s, _ := apply(fresh(), began, cmds.StartRollOut{Name: rollOut})
-	s, _ = apply(s, began, cmds.AdvanceRollOut{Name: rollOut, Forced: true}, cmds.AdvanceRollOut{Name: rollOut, Stage: 1, Forced: true})
-	assert.Equal(t, phase(s), value.PhaseDone)
-	s, _ = apply(s, began, ratings(10, 40))
-	assert.Equal(t, phase(s), value.PhaseWithdrawn)
-	assert.Equal(t, share(t, s, "gates", ""), 0, "the old version takes the sessions back")
+func TestBadRatingsWithdrawTheVersionAfterTheRollOutIsDone(t *testing.T) {
+	s, _ := applyAll(initialState(), testTime, cmds.StartRollOut{Name: rollOut})
+	s, _ = applyAll(s, testTime, cmds.AdvanceRollOut{Name: rollOut, Forced: true}, cmds.AdvanceRollOut{Name: rollOut, Stage: 1, Forced: true})
+	assert.Equal(t, phaseOf(s), value.PhaseDone)
+	s, _ = applyAll(s, testTime, ratings(10, 40))
+	assert.Equal(t, phaseOf(s), value.PhaseWithdrawn)
+	assert.Equal(t, newVersionSessions(t, s, "gates", ""), 0, "the withdrawn version still received sessions")
 }
 
-func TestWithdrawalIsFinal(t *testing.T) {
-	s, _ := apply(fresh(), began, cmds.StartRollOut{Name: rollOut})
+func TestWithdrawnVersionStaysWithdrawn(t *testing.T) {
+	s, _ := applyAll(initialState(), testTime, cmds.StartRollOut{Name: rollOut})
 	staged, _ := s.Progress(rollOut)
-	s, _ = apply(s, began, cmds.WithdrawVersion{Version: newKey, Reason: value.ReasonOperator})
-	newer := staged.WithStage(1, began).WithStage(1, began).WithStage(1, began)
-	s, _ = apply(s, began, cmds.InstallProgress{Progress: newer}, cmds.StartRollOut{Name: rollOut})
-	assert.Equal(t, phase(s), value.PhaseWithdrawn)
+	s, _ = applyAll(s, testTime, cmds.WithdrawVersion{Version: newKey, Reason: value.ReasonOperator})
+	newer := staged.WithStage(1, testTime).WithStage(1, testTime).WithStage(1, testTime)
+	s, _ = applyAll(s, testTime, cmds.InstallProgress{Progress: newer}, cmds.StartRollOut{Name: rollOut})
+	assert.Equal(t, phaseOf(s), value.PhaseWithdrawn)
 	s = install(s, document(), 2)
-	assert.Equal(t, share(t, s, "gates", newKey), 0, "a new document brought a withdrawn version back")
+	assert.Equal(t, newVersionSessions(t, s, "gates", newKey), 0, "a new document brought a withdrawn version back")
 }
 
 func TestOlderProgressIsIgnored(t *testing.T) {
-	s, _ := apply(fresh(), began, cmds.StartRollOut{Name: rollOut})
+	s, _ := applyAll(initialState(), testTime, cmds.StartRollOut{Name: rollOut})
 	old, _ := s.Progress(rollOut)
-	s, _ = apply(s, began, cmds.AdvanceRollOut{Name: rollOut, Forced: true})
-	s, effects := apply(s, began, cmds.InstallProgress{Progress: old})
+	s, _ = applyAll(s, testTime, cmds.AdvanceRollOut{Name: rollOut, Forced: true})
+	s, effects := applyAll(s, testTime, cmds.InstallProgress{Progress: old})
 	now, _ := s.Progress(rollOut)
 	assert.Equal(t, now.Stage, 1)
 	assert.Equal(t, len(effects), 0)
 }
 
 func TestWithdrawalByDocumentEndsTheRollOut(t *testing.T) {
-	s, _ := apply(fresh(), began, cmds.StartRollOut{Name: rollOut})
+	s, _ := applyAll(initialState(), testTime, cmds.StartRollOut{Name: rollOut})
 	d := document()
 	d.Models[0].Versions[1] = d.Models[0].Versions[1].WithWithdrawn(true)
 	s = install(s, d, 2)
-	assert.Equal(t, share(t, s, "gates", newKey), 0)
-	due := query.Due(s, began)
+	assert.Equal(t, newVersionSessions(t, s, "gates", newKey), 0)
+	due := query.Due(s, testTime)
 	assert.Equal(t, due[0].Withdraw, newKey)
-	s, _ = apply(s, began, cmds.WithdrawVersion{Version: due[0].Withdraw, Reason: due[0].Reason})
-	assert.Equal(t, phase(s), value.PhaseWithdrawn)
+	s, _ = applyAll(s, testTime, cmds.WithdrawVersion{Version: due[0].Withdraw, Reason: due[0].Reason})
+	assert.Equal(t, phaseOf(s), value.PhaseWithdrawn)
 }
 
-func TestInterruptedRollOutResumesOrReturns(t *testing.T) {
-	s, _ := apply(fresh(), began, cmds.StartRollOut{Name: rollOut})
+func TestNewInstanceContinuesRollOutFromStoredPosition(t *testing.T) {
+	s, _ := applyAll(initialState(), testTime, cmds.StartRollOut{Name: rollOut})
 	p, _ := s.Progress(rollOut)
-	// A new instance knows only what the key-value service keeps.
-	other, _ := apply(fresh(), began, cmds.InstallProgress{Progress: p})
-	assert.Equal(t, share(t, other, "gates", ""), share(t, s, "gates", ""))
-	resumed, _ := apply(other, began, ratings(5, 0))
-	assert.Equal(t, query.Due(resumed, began)[0].Withdraw, value.VersionKey(""))
-	due := query.Due(other, began.Add(7*time.Hour))
+	// A new instance knows only what the key-value service stores.
+	other, _ := applyAll(initialState(), testTime, cmds.InstallProgress{Progress: p})
+	assert.Equal(t, newVersionSessions(t, other, "gates", ""), newVersionSessions(t, s, "gates", ""))
+	resumed, _ := applyAll(other, testTime, ratings(5, 0))
+	assert.Equal(t, query.Due(resumed, testTime)[0].Withdraw, value.VersionKey(""))
+	due := query.Due(other, testTime.Add(7*time.Hour))
 	assert.Equal(t, due[0].Reason, value.ReasonOverdue)
 
 	d := document()
 	d.RollOuts = nil
 	dropped := install(other, d, 2)
-	assert.Equal(t, share(t, dropped, "gates", ""), 0, "a dropped plan exposed its version to all")
+	assert.Equal(t, newVersionSessions(t, dropped, "gates", ""), 0, "a dropped plan exposed its version to all")
 }
 
-func TestWithdrawnElsewhere(t *testing.T) {
-	s, _ := apply(fresh(), began, cmds.StartRollOut{Name: rollOut})
-	s, effects := apply(s, began, cmds.InstallWithdrawal{Withdrawal: value.Withdrawal{Version: newKey, Reason: value.ReasonQuality}})
-	assert.Equal(t, phase(s), value.PhaseWithdrawn)
+func TestWithdrawalByAnotherInstanceIsNotStoredAgain(t *testing.T) {
+	s, _ := applyAll(initialState(), testTime, cmds.StartRollOut{Name: rollOut})
+	s, effects := applyAll(s, testTime, cmds.InstallWithdrawal{Withdrawal: value.Withdrawal{Version: newKey, Reason: value.ReasonQuality}})
+	assert.Equal(t, phaseOf(s), value.PhaseWithdrawn)
 	for _, e := range effects {
 		_, decided := e.(state.Decided)
-		assert.Assert(t, decided, "what was read must not be written again: %T", e)
+		assert.Assert(t, decided, "an installed withdrawal must not be stored again: %T", e)
 	}
 }
 
-func TestOnlyTheOwnerOfTheSlotWithdraws(t *testing.T) {
+func TestOnlyTheOwnerOfTheHashSlotWithdraws(t *testing.T) {
 	for _, self := range []value.InstanceID{"a", "b"} {
 		s := install(state.New(value.Instance{ID: self}), document(), 1)
 		for _, id := range []value.InstanceID{"a", "b"} {
 			s = s.WithInstance(value.Instance{ID: id, State: value.InstanceLive})
 		}
-		s, _ = apply(s, start, cmds.StartRollOut{Name: rollOut}, ratings(10, 40))
+		s, _ = applyAll(s, start, cmds.StartRollOut{Name: rollOut}, ratings(10, 40))
 		owner, ok := query.Owner(s, query.Slot(string(newKey)))
 		assert.Assert(t, ok)
 		assert.Equal(t, s.Withdrawn(newKey), owner.ID == self)
--- a/core/cmds/rollout_withdraw.go
+++ b/core/cmds/rollout_withdraw.go
@@ -9,13 +9,13 @@
 	"endivehitch/core/value"
 )
 
-// WithdrawVersion takes a version out of service for good and ends the roll-outs that bring it in.
+// WithdrawVersion takes a version out of service for good and ends the roll-outs that introduce it.
 type WithdrawVersion struct {
 	Version value.VersionKey
 	Reason  value.Reason
 }
 
-// Apply is idempotent; the version receives no new work from the next snapshot on.
+// Apply is idempotent. From the next snapshot on, the version receives no new work.
 func (c WithdrawVersion) Apply(s state.State, now time.Time) (state.State, []state.Effect) {
 	if _, done := s.Withdrawal(c.Version); done {
 		return s, nil
@@ -25,10 +25,10 @@
 		state.Decided{What: "VersionWithdrawn", Subject: string(c.Version), Reason: c.Reason},
 		state.KeepWithdrawal{Withdrawal: w},
 	}
-	for _, was := range s.Positions(c.Version) {
-		p, err := steps.Withdraw(was, c.Reason, now)
+	for _, position := range s.Positions(c.Version) {
+		p, err := steps.Withdraw(position, c.Reason, now)
 		if err != nil {
-			// It is withdrawn already.
+			// The roll-out is withdrawn already.
 			continue
 		}
 		s = s.WithProgress(p)
@@ -37,20 +37,20 @@
 	return s.WithWithdrawal(w), effects
 }
 
-// InstallWithdrawal puts in force what another instance has withdrawn.
+// InstallWithdrawal puts the withdrawal of a version by another instance in force.
 type InstallWithdrawal struct {
 	Withdrawal value.Withdrawal
 }
 
-// Apply ends the version's roll-outs as well, so that a lost position leaves none half done.
+// Apply ends the version's roll-outs as well, so that none stays staged if its position was lost.
 func (c InstallWithdrawal) Apply(s state.State, now time.Time) (state.State, []state.Effect) {
 	next, effects := WithdrawVersion{Version: c.Withdrawal.Version, Reason: c.Withdrawal.Reason}.Apply(s, now)
-	return next, onlyDecided(effects)
+	return next, onlyLogEffects(effects)
 }
 
-// onlyDecided drops the wishes to keep what another instance keeps already: a large fleet would
-// otherwise ask the key-value service at once.
-func onlyDecided(effects []state.Effect) []state.Effect {
+// onlyLogEffects drops the effects that store values, as another instance has stored them already: all
+// instances of a large fleet would otherwise write to the key-value service at the same time.
+func onlyLogEffects(effects []state.Effect) []state.Effect {
 	return slices.DeleteFunc(effects, func(e state.Effect) bool {
 		_, decided := e.(state.Decided)
 		return !decided
--- a/core/cmds/servers.go
+++ b/core/cmds/servers.go
@@ -7,12 +7,12 @@
 	"endivehitch/core/value"
 )
 
-// SyncServers replaces what the instance knows of backend servers by a whole reading of the list.
+// SyncServers replaces the known backend servers by the complete list.
 type SyncServers struct {
 	Servers []value.BackendServer
 }
 
-// Apply adds, changes and forgets servers, and keeps the time since when an unchanged one has its state.
+// Apply adds, changes and removes servers. A server in an unchanged state keeps its Since.
 func (c SyncServers) Apply(s state.State, now time.Time) (state.State, []state.Effect) {
 	listed := make(map[value.ServerID]bool, len(c.Servers))
 	changed := make([]value.BackendServer, 0, len(c.Servers))
@@ -31,7 +31,7 @@
 		changed = append(changed, b.WithState(b.State, now))
 		effects = append(effects, state.Decided{What: "Server" + string(b.State), Subject: string(b.ID)})
 	}
-	var gone []value.ServerID
+	var removed []value.ServerID
 	if known == s.Servers().Len() {
 		return s.WithServers(changed, nil), effects
 	}
@@ -39,8 +39,8 @@
 		if listed[id] {
 			continue
 		}
-		gone = append(gone, id)
+		removed = append(removed, id)
 		effects = append(effects, state.Decided{What: "ServerGone", Subject: string(id)})
 	}
-	return s.WithServers(changed, gone), effects
+	return s.WithServers(changed, removed), effects
 }
--- a/core/cmds/spread.go
+++ b/core/cmds/spread.go
@@ -8,29 +8,30 @@
 	"endivehitch/core/value"
 )
 
-// The reasons for which a revision is not put in force, or not whole.
+// The reasons for which a revision is not put in force, or not completely.
 const (
-	// ReasonOlderRevision says that a reading of the service or of a peer was older than what is in force.
+	// ReasonOlderRevision means that the key-value service or a peer returned a revision older than the
+	// one in force.
 	ReasonOlderRevision value.Reason = "OlderRevision"
-	// ReasonUndecodable says that entries of the revision could not be decoded.
+	// ReasonUndecodable means that entries of the revision could not be decoded.
 	ReasonUndecodable value.Reason = "Undecodable"
 )
 
-// Spread puts in force what changed in the configuration up to a revision.
+// Spread puts the changes of the configuration up to a revision in force.
 type Spread struct {
 	Revision int64
-	// Accepted is the document, or zero where it did not change.
+	// Accepted is the document, or the zero value if it did not change.
 	Accepted value.Accepted
-	// RollOuts are the roll-outs that moved.
+	// RollOuts are the changed positions of roll-outs.
 	RollOuts []value.Progress
-	// Withdrawals are the versions that were taken out of service.
+	// Withdrawals are the withdrawn versions.
 	Withdrawals []value.Withdrawal
-	// Rejected says that some entries could not be decoded; what they state stays as it was.
+	// Rejected reports that some entries could not be decoded; what they replace stays in force.
 	Rejected bool
 }
 
-// Apply ignores a revision that is not newer than the one in force, so that an old answer of the
-// key-value service or of a peer never turns the instance back.
+// Apply ignores a revision that is not newer than the one in force, so that an outdated read from the
+// key-value service or a peer never reverts the instance.
 func (c Spread) Apply(s state.State, now time.Time) (state.State, []state.Effect) {
 	if c.Revision == s.Self.Revision {
 		return s, nil
@@ -42,7 +43,7 @@
 	s, effects := installDocument(s, c.Accepted)
 	s, more := c.installRollOuts(s, now)
 	effects = append(effects, more...)
-	s = c.settle(s, now)
+	s = c.installRevision(s, now)
 	if c.Rejected {
 		effects = append(effects, state.Decided{What: "ConfigRejected", Subject: subject, Reason: ReasonUndecodable})
 	}
@@ -52,8 +53,9 @@
 	)
 }
 
-// settle keeps the instance lagging after a rejection until a later document is in force.
-func (c Spread) settle(s state.State, now time.Time) state.State {
+// installRevision sets the revision in force. After a rejection the instance counts as lagging until a
+// later document is in force.
+func (c Spread) installRevision(s state.State, now time.Time) state.State {
 	lagging := s.Self.Lagging
 	s = s.WithRevision(c.Revision)
 	switch {
@@ -71,7 +73,8 @@
 	return s.WithSelf(s.Self.WithLagging(lagging))
 }
 
-// installRollOuts takes in positions and withdrawals by their own rules: this instance may have moved on already.
+// installRollOuts applies the positions and withdrawals by their own rules for precedence, because this
+// instance may have newer ones already.
 func (c Spread) installRollOuts(s state.State, now time.Time) (state.State, []state.Effect) {
 	var effects, more []state.Effect
 	for _, p := range c.RollOuts {
--- a/core/cmds/suspect.go
+++ b/core/cmds/suspect.go
@@ -8,14 +8,14 @@
 	"endivehitch/core/value"
 )
 
-// Suspect notes that an instance answered neither a direct nor an indirect probe.
+// Suspect records that an instance answered neither a direct nor an indirect probe.
 type Suspect struct {
 	ID value.InstanceID
-	// Incarnation is the one that was probed; a newer one has refuted already.
+	// Incarnation is the one that was probed. An instance with a newer one has refuted the suspicion.
 	Incarnation int64
 }
 
-// Apply suspects a live instance; one that was leaving anyway is taken for gone.
+// Apply marks a live instance as suspected, and one that was leaving as gone.
 func (c Suspect) Apply(s state.State, now time.Time) (state.State, []state.Effect) {
 	known, ok := s.Instance(c.ID)
 	if !ok || known.Incarnation != c.Incarnation || c.ID == s.Self.ID {
@@ -25,9 +25,9 @@
 	if known.State == value.InstanceLeaving {
 		next = value.InstanceGone
 	}
-	news := known.WithState(next)
-	if !fleet.Supersedes(news, known) {
+	update := known.WithState(next)
+	if !fleet.Supersedes(update, known) {
 		return s, nil
 	}
-	return settle(s, fleet.Merge(known, news, now))
+	return updateAndDisseminate(s, fleet.Merge(known, update, now))
 }
--- a/core/cmds/tick.go
+++ b/core/cmds/tick.go
@@ -8,13 +8,13 @@
 	"endivehitch/core/value"
 )
 
-// Tick lets time pass for the membership: suspicions end and instances that are gone are forgotten.
+// Tick applies the membership time-outs: suspicions expire and instances that are gone are removed.
 type Tick struct {
 	Timing fleet.Timing
 }
 
-// Apply gives all suspicions their whole time anew after a pause of the instance itself,
-// because the refutations have not been heard meanwhile.
+// Apply restarts all suspicion time-outs after a pause of this instance, because it may have missed
+// refutations meanwhile.
 func (c Tick) Apply(s state.State, now time.Time) (state.State, []state.Effect) {
 	paused := c.Timing.Paused(s.LastTick, now)
 	s = s.WithTick(now)
@@ -29,13 +29,14 @@
 			continue
 		}
 		var more []state.Effect
-		s, more = c.age(s, i, now)
+		s, more = c.applyTimeouts(s, i, now)
 		effects = append(effects, more...)
 	}
 	return s, effects
 }
 
-func (c Tick) age(s state.State, i value.Instance, now time.Time) (state.State, []state.Effect) {
+// applyTimeouts removes the instance or moves it to the state that follows, if its time-out is over.
+func (c Tick) applyTimeouts(s state.State, i value.Instance, now time.Time) (state.State, []state.Effect) {
 	if c.Timing.Forgets(i, now) {
 		return s.WithoutInstance(i.ID), nil
 	}
@@ -43,5 +44,5 @@
 	if !ok {
 		return s, nil
 	}
-	return settle(s, fleet.Merge(i, i.WithState(next), now))
+	return updateAndDisseminate(s, fleet.Merge(i, i.WithState(next), now))
 }
