--- a/io/carry/board.go
+++ b/io/carry/board.go
@@ -8,100 +8,108 @@
 )
 
 const (
-	firstHalfLife = 5 * time.Second
-	firstWeight   = 20
-	// failuresInRow shun a server for shunFirst, and for up to shunMost when it fails again and again.
-	failuresInRow = 2
-	shunFirst     = 500 * time.Millisecond
-	shunMost      = 8 * time.Second
+	firstByteHalfLife  = 5 * time.Second
+	firstByteMaxWeight = 20
+	// ejectAfterFailures is how many failures in a row eject a server: for minEjection at first, and for up
+	// to maxEjection when it is ejected repeatedly.
+	ejectAfterFailures = 2
+	minEjection        = 500 * time.Millisecond
+	maxEjection        = 8 * time.Second
 )
 
-var firstByte = policy.SmoothConfig{HalfLife: firstHalfLife, MaxWeight: firstWeight}
+// firstByteConfig smooths the observed time until an answer's first byte.
+var firstByteConfig = policy.SmoothConfig{HalfLife: firstByteHalfLife, MaxWeight: firstByteMaxWeight}
 
-// board holds what this instance observes of each server.
-type board struct {
+// loadTable holds the load and health of each server as observed by this instance.
+type loadTable struct {
 	policy.Cells[relay.ServerID, relay.Load]
 }
 
-// retain forgets servers that are gone.
-func (b *board) retain(known func(relay.ServerID) bool) {
-	for id, load := range b.All() {
-		if !known(id) && load.InFlight == 0 {
-			b.Drop(id)
+// retain discards servers that are no longer known, except those with attempts in flight.
+func (t *loadTable) retain(isKnown func(relay.ServerID) bool) {
+	for id, load := range t.All() {
+		if !isKnown(id) && load.InFlight == 0 {
+			t.Drop(id)
 		}
 	}
 }
 
-// visit is one run's place on the board; each of its steps is counted once.
-type visit struct {
-	cell  *policy.Cell[relay.Load]
-	work  time.Duration
-	began time.Time
-	// took is the time until the first byte.
-	took  time.Duration
-	first bool
-	ended bool
+// loadTracker updates a server's load with the progress of one attempt. The first byte and the end are
+// counted once, however often they are recorded.
+type loadTracker struct {
+	cell         *policy.Cell[relay.Load]
+	expectedWork time.Duration
+	started      time.Time
+	// firstByteTime is the time from the start to the first byte.
+	firstByteTime     time.Duration
+	firstByteReceived bool
+	ended             bool
 }
 
-func (b *board) start(id relay.ServerID, work time.Duration, at time.Time) *visit {
-	v := &visit{cell: b.Of(id), work: work, began: at}
-	v.cell.Update(func(l relay.Load) relay.Load { return l.WithStart(work) })
-	return v
+func (t *loadTable) startAttempt(id relay.ServerID, work time.Duration, at time.Time) *loadTracker {
+	tracker := &loadTracker{cell: t.Of(id), expectedWork: work, started: at}
+	tracker.cell.Update(func(l relay.Load) relay.Load { return l.WithStart(work) })
+	return tracker
 }
 
-func (v *visit) begin(at time.Time) {
-	if v.first {
+func (t *loadTracker) recordFirstByte(at time.Time) {
+	if t.firstByteReceived {
 		return
 	}
-	v.first = true
-	v.took = at.Sub(v.began)
-	v.cell.Update(func(l relay.Load) relay.Load { return l.WithFirst(firstByte, v.work, at.Sub(v.began), at) })
+	t.firstByteReceived = true
+	t.firstByteTime = at.Sub(t.started)
+	t.cell.Update(func(l relay.Load) relay.Load {
+		return l.WithFirst(firstByteConfig, t.expectedWork, at.Sub(t.started), at)
+	})
 }
 
-// heard notes that the server has sent something.
-func (v *visit) heard(at time.Time) {
-	v.cell.Update(func(l relay.Load) relay.Load { return l.WithHeard(at) })
+// recordActivity records that the server has sent something.
+func (t *loadTracker) recordActivity(at time.Time) {
+	t.cell.Update(func(l relay.Load) relay.Load { return l.WithHeard(at) })
 }
 
-// silent returns how long the server has sent nothing on any run, counted from this run's start at most.
-func (v *visit) silent(at time.Time) time.Duration {
-	last := v.cell.Get().Heard
-	if last.Before(v.began) {
-		last = v.began
+// silence returns how long the server has sent nothing on any attempt, counted from this attempt's start
+// at the earliest.
+func (t *loadTracker) silence(at time.Time) time.Duration {
+	last := t.cell.Get().Heard
+	if last.Before(t.started) {
+		last = t.started
 	}
 	return at.Sub(last)
 }
 
-// lone reports whether this instance has no other run at the server.
-func (v *visit) lone() bool {
-	return v.cell.Get().InFlight <= 1
+// isOnlyAttempt reports whether this instance has no other attempt at the server.
+func (t *loadTracker) isOnlyAttempt() bool {
+	return t.cell.Get().InFlight <= 1
 }
 
-func (v *visit) report(r relay.Report, at time.Time) {
-	v.cell.Update(func(l relay.Load) relay.Load { return l.WithReport(r, at) })
+func (t *loadTracker) recordReport(r relay.Report, at time.Time) {
+	t.cell.Update(func(l relay.Load) relay.Load { return l.WithReport(r, at) })
 }
 
-func (v *visit) good(at time.Time) {
-	v.cell.Update(func(l relay.Load) relay.Load { return l.WithSuccess(at) })
+func (t *loadTracker) recordSuccess(at time.Time) {
+	t.cell.Update(func(l relay.Load) relay.Load { return l.WithSuccess(at) })
 }
 
-// failed notes an answer of the server's own that says that it failed; a request may be to blame.
-func (v *visit) failed(at time.Time) {
-	v.cell.Update(func(l relay.Load) relay.Load { return l.WithBadAnswer(at) })
+// recordErrorAnswer records that the server answered with an error. That does not count towards ejection,
+// since the request may be at fault.
+func (t *loadTracker) recordErrorAnswer(at time.Time) {
+	t.cell.Update(func(l relay.Load) relay.Load { return l.WithBadAnswer(at) })
 }
 
-func (v *visit) bad(at time.Time) {
-	v.cell.Update(func(l relay.Load) relay.Load { return l.WithFailure(failuresInRow, shunFirst, shunMost, at) })
+// recordFailure records an attempt without a valid answer, which counts towards ejection.
+func (t *loadTracker) recordFailure(at time.Time) {
+	t.cell.Update(func(l relay.Load) relay.Load { return l.WithFailure(ejectAfterFailures, minEjection, maxEjection, at) })
 }
 
-func (v *visit) end() {
-	if v.ended {
+func (t *loadTracker) finish() {
+	if t.ended {
 		return
 	}
-	v.ended = true
-	v.cell.Update(func(l relay.Load) relay.Load {
-		if !v.first {
-			l = l.WithoutWork(v.work)
+	t.ended = true
+	t.cell.Update(func(l relay.Load) relay.Load {
+		if !t.firstByteReceived {
+			l = l.WithoutWork(t.expectedWork)
 		}
 		return l.WithEnd()
 	})
--- a/io/carry/budget.go
+++ b/io/carry/budget.go
@@ -7,55 +7,59 @@
 	"endivehitch/core/relay"
 )
 
-// Repeats bounds the fleet's sends beyond each request's first.
+// Repeats limits the attempts of the whole fleet beyond each request's first.
 type Repeats struct {
-	// Window is the time that the bounds hold for.
+	// Window is the length of the sliding window in which the limits apply.
 	Window time.Duration
-	// Ratio is how many more sends each request allows.
+	// Ratio is how many further attempts each request allows.
 	Ratio float64
-	// Allowance is how many more sends the whole fleet may make besides.
+	// Allowance is how many further attempts the whole fleet may make on top.
 	Allowance float64
 }
 
-// purpose says what a further send is for.
-type purpose int
+// budgetUse is what a further attempt is for.
+type budgetUse int
 
 const (
-	// repeat is a send after a failure.
-	repeat purpose = iota
-	// stepUp is a send to a larger model, which leaves a part of the budget to failures.
-	stepUp
+	// useRetry is an attempt after a failure.
+	useRetry budgetUse = iota
+	// useStepUp is an attempt with a larger model; it may use only a part of the budget, so that the rest
+	// remains for retries.
+	useStepUp
 )
 
 const (
-	// budgetPart is the part of the fleet's bounds that the instances use, as their windows differ.
-	budgetPart = 0.92
-	// stepPart is the part of the budget that larger models may use.
-	stepPart = 0.65
+	// fleetLimitShare is the share of the fleet's limits that the instances use. The rest is a margin, since
+	// the instances' windows are not aligned.
+	fleetLimitShare = 0.92
+	// stepUpShare is the share of the budget that step-ups may use.
+	stepUpShare = 0.65
 )
 
-// bounds returns the budget's bounds for one instance of the fleet.
-func (c *Carrier[H]) bounds() policy.QuotaConfig {
-	members := max(1, len(c.config.Snapshot().Members()))
-	r := c.config.Repeats()
+// budgetLimits returns one instance's limits: the full ratio, since it applies to the instance's own
+// requests, and an equal part of the fleet's allowance.
+func (c *Carrier[H]) budgetLimits() policy.QuotaConfig {
+	instances := max(1, len(c.config.Snapshot().Members()))
+	limits := c.config.Repeats()
 	return policy.QuotaConfig{
-		Window: r.Window, Ratio: r.Ratio * budgetPart, Allowance: r.Allowance * budgetPart / float64(members), Optional: stepPart,
+		Window: limits.Window, Ratio: limits.Ratio * fleetLimitShare,
+		Allowance: limits.Allowance * fleetLimitShare / float64(instances), Optional: stepUpShare,
 	}
 }
 
-// paid reports whether the service's budget allows one more send, and counts it.
-func (c *Carrier[H]) paid(n relay.ServiceName, p purpose) bool {
-	bounds, now := c.bounds(), c.config.Now()
-	return c.budgets.Of(n).TryUpdate(func(q policy.Quota) (policy.Quota, bool) {
-		if p == stepUp {
+// spendBudget reports whether the service's budget allows a further attempt, and if so counts it.
+func (c *Carrier[H]) spendBudget(service relay.ServiceName, use budgetUse) bool {
+	bounds, now := c.budgetLimits(), c.config.Now()
+	return c.retryBudgets.Of(service).TryUpdate(func(q policy.Quota) (policy.Quota, bool) {
+		if use == useStepUp {
 			return q.WithOptional(bounds, now)
 		}
 		return q.WithExtra(bounds, now)
 	})
 }
 
-// counted counts a first send, which pays for a part of a further one.
-func (c *Carrier[H]) counted(n relay.ServiceName) {
-	bounds, now := c.bounds(), c.config.Now()
-	c.budgets.Of(n).Update(func(q policy.Quota) policy.Quota { return q.WithFirst(bounds, now) })
+// countFirstAttempt counts the first attempt of a request, which adds Ratio to the budget.
+func (c *Carrier[H]) countFirstAttempt(service relay.ServiceName) {
+	bounds, now := c.budgetLimits(), c.config.Now()
+	c.retryBudgets.Of(service).Update(func(q policy.Quota) policy.Quota { return q.WithFirst(bounds, now) })
 }
--- a/io/carry/carry.go
+++ b/io/carry/carry.go
@@ -10,30 +10,30 @@
 	"endivehitch/core/relay/query"
 )
 
-// Recorder takes in what was decided about a request.
+// Recorder receives the decisions about requests.
 type Recorder interface {
-	// Record notes the decision; it doesn't wait.
+	// Record stores the decision; it must not block.
 	Record(d Decision)
 }
 
-// What names a decision about a request.
+// What is the kind of a decision about a request.
 type What string
 
-// The decisions about a request.
+// The kinds of decisions about a request.
 const (
-	// WhatAnswered is the end of a request whose whole answer has gone to its caller.
+	// WhatAnswered means that the complete answer was written to the caller.
 	WhatAnswered What = "Answered"
-	// WhatSteppedUp is the choice of a larger model, as the answer's confidence was low.
+	// WhatSteppedUp means that an answer of low confidence was discarded and a larger model is asked.
 	WhatSteppedUp What = "SteppedUp"
-	// WhatRunFailed is the end of a run that brought no answer for the caller.
+	// WhatRunFailed means that an attempt yielded no answer for the caller.
 	WhatRunFailed What = "RunFailed"
-	// WhatRefused is the end of a request that no server has run.
+	// WhatRefused means that the request ended without any server running it.
 	WhatRefused What = "Refused"
-	// WhatFailed is the end of a request that may have run and has no whole answer.
+	// WhatFailed means that the request may have run and ended without a complete answer.
 	WhatFailed What = "Failed"
 )
 
-// Decision is one decision about one request, with the inputs that decided it.
+// Decision is one decision about a request, with the inputs that led to it.
 type Decision struct {
 	Request string
 	What    What
@@ -42,58 +42,60 @@
 	Server  relay.ServerID
 	Release relay.Release
 	Model   relay.ModelName
-	// Candidates is how many servers could have taken the request.
+	// Candidates is how many servers were eligible for the request.
 	Candidates int
 	// Score is the chosen server's score.
 	Score float64
-	// Reason says why.
+	// Reason is the cause, as one word.
 	Reason string
-	// Status is the server's status, or zero.
+	// Status is the status of the server's answer; zero means that there is none.
 	Status int
-	// Confidence is the model's opinion of its answer, where it gave one.
+	// Confidence is the model's confidence in its answer, where it stated one.
 	Confidence int
-	// Revision is the store's revision that the decision rests on.
+	// Revision is the store revision of the control state that the decision is based on.
 	Revision int64
-	// ReportAge is the age of the server's last load report.
+	// ReportAge is the age of the server's last load report; zero means that there is none.
 	ReportAge time.Duration
-	// Throttle is what a larger model's threshold was scaled by, from 0 to 1; 0 means that none was asked.
+	// Throttle is the factor from 0 to 1 on the confidence threshold for stepping up; 0 means that no
+	// larger model was asked.
 	Throttle float64
-	// First is the time from the send to the answer's first byte; zero means that it isn't known.
+	// First is the time from the send to the answer's first byte; zero means unknown.
 	First time.Duration
-	// Unread is how many prompt tokens the server was expected to read.
+	// Unread is how many prompt tokens the server was expected to process, as it had not cached them.
 	Unread int
 	// Elapsed is the time since the request arrived.
 	Elapsed time.Duration
-	Detail  string
+	// Detail is a message for operators.
+	Detail string
 }
 
-// Config sets up a Carrier.
+// Config holds the dependencies and settings of a Carrier.
 type Config[H any] struct {
 	Backend  Backend[H]
 	Snapshot func() relay.State
 	Now      func() time.Time
 	Recorder Recorder
-	// Repeats bounds the sends beyond each request's first.
+	// Repeats returns the limits on retries and step-ups.
 	Repeats func() Repeats
-	// Session is how long a session lasts without a request.
+	// Session is the idle time after which a session expires.
 	Session time.Duration
 }
 
-// Carrier sees requests through.
+// Carrier relays requests to backend servers and the answers to their callers.
 type Carrier[H any] struct {
 	config Config[H]
-	board  *board
-	// budgets count the sends of each service.
-	budgets  policy.Cells[relay.ServiceName, policy.Quota]
-	sessions *sessions
-	tallies  *tallies
-	paces    *paces
-	gains    policy.Cell[map[modelPair]relay.Gain]
-	// throttles are how readily larger models are asked, by service.
+	loads  *loadTable
+	// retryBudgets count the attempts of each service.
+	retryBudgets    policy.Cells[relay.ServiceName, policy.Quota]
+	sessions        *sessions
+	tallies         *tallies
+	prefillRates    *prefillRates
+	confidenceGains policy.Cell[map[modelPair]relay.Gain]
+	// throttles lower the step-up threshold of a service while larger models answer late.
 	throttles policy.Cells[relay.ServiceName, relay.Throttle]
 }
 
-// New returns a carrier, or an error that names what the configuration lacks.
+// New returns a carrier, or an error that names what is missing from the configuration.
 func New[H any](c Config[H]) (*Carrier[H], error) {
 	switch {
 	case c.Backend == nil:
@@ -105,18 +107,21 @@
 	case c.Recorder == nil:
 		return nil, errors.New("carrier: no recorder")
 	case c.Repeats == nil:
-		return nil, errors.New("carrier: no bounds of repeats")
+		return nil, errors.New("carrier: no retry limits")
 	}
-	return &Carrier[H]{config: c, board: new(board), sessions: newSessions(c.Session), tallies: new(tallies), paces: new(paces)}, nil
+	return &Carrier[H]{
+		config: c, loads: new(loadTable), sessions: newSessions(c.Session), tallies: new(tallies),
+		prefillRates: new(prefillRates),
+	}, nil
 }
 
-// Serve sees the request through; the error is a relay.Refusal while the sink has taken nothing, and
-// wraps ErrCut afterwards.
+// Serve relays the request and its answer. The error is a relay.Refusal as long as nothing was written
+// to the sink, and wraps ErrCut afterwards.
 func (c *Carrier[H]) Serve(ctx context.Context, j Job[H], sink Sink[H]) error {
 	s := c.config.Snapshot()
 	admitted, err := query.Admit(s, j.Request)
 	if err != nil {
-		c.refused(j.Request, admitted, s, err)
+		c.recordRefused(j.Request, admitted, s, err)
 		return err
 	}
 	if at := j.Request.Deadline(admitted.Route); !at.IsZero() {
@@ -124,30 +129,30 @@
 		ctx, cancel = context.WithDeadline(ctx, at)
 		defer cancel()
 	}
-	l := &life[H]{carrier: c, job: j, admitted: admitted, sink: sink}
-	return l.run(ctx)
+	handler := &requestHandler[H]{carrier: c, job: j, admitted: admitted, writer: sink}
+	return handler.serve(ctx)
 }
 
-// Retain forgets what was observed of servers that are gone.
+// Retain discards the load data of servers that are not in the state, and expired sessions.
 func (c *Carrier[H]) Retain(s relay.State) {
-	c.board.retain(func(id relay.ServerID) bool {
+	c.loads.retain(func(id relay.ServerID) bool {
 		_, ok := s.Server(id)
 		return ok
 	})
-	c.sessions.trim(c.config.Now())
+	c.sessions.removeExpired(c.config.Now())
 }
 
-// Tallies returns what this instance has seen of each release so far.
+// Tallies returns this instance's counts of attempts by release.
 func (c *Carrier[H]) Tallies() []relay.Tally {
 	return c.tallies.all()
 }
 
-func (c *Carrier[H]) refused(q relay.Request, a query.Admitted, s relay.State, err error) {
-	var r relay.Refusal
-	errors.As(err, &r)
+func (c *Carrier[H]) recordRefused(request relay.Request, admitted query.Admitted, s relay.State, err error) {
+	var refusal relay.Refusal
+	errors.As(err, &refusal)
 	c.config.Recorder.Record(Decision{
-		Request: q.ID, What: WhatRefused, Route: a.Route.Name, Account: a.Account.Name,
-		Reason: string(r.Reason), Detail: r.Detail, Revision: s.Revision,
-		Elapsed: c.config.Now().Sub(q.Arrived),
+		Request: request.ID, What: WhatRefused, Route: admitted.Route.Name, Account: admitted.Account.Name,
+		Reason: string(refusal.Reason), Detail: refusal.Detail, Revision: s.Revision,
+		Elapsed: c.config.Now().Sub(request.Arrived),
 	})
 }
--- a/io/carry/doc.go
+++ b/io/carry/doc.go
@@ -1,6 +1,11 @@
-// Package carry sees one request through: it picks backend servers, sends the request, tries again
-// where that is allowed, steps up to larger models, and goes on with streams that break off.
+// Package carry relays a request to backend servers and its answer to the caller. It selects a server,
+// retries on another one where the route allows it, steps up from a smaller to a larger model, and
+// resumes interrupted event streams.
 //
-// It knows no encoding: a Backend sends runs and a Sink takes the answer, both for head values of
-// the front end's own type.
+// A Carrier serves each Job on its caller's goroutine. For each attempt it sends a Run through the
+// Backend and writes the Answer to the Sink. The control state comes from Config.Snapshot, and each
+// decision goes to the Recorder.
+//
+// The package encodes no messages: the type parameter H is the front end's own type of message heads,
+// which only the Backend and the Sink interpret.
 package carry
--- a/io/carry/gains.go
+++ b/io/carry/gains.go
@@ -6,35 +6,39 @@
 	"endivehitch/core/relay"
 )
 
-// modelPair is a smaller and a larger model.
+// modelPair names a smaller and a larger model of a cascade.
 type modelPair struct {
 	smaller, larger relay.ModelName
 }
 
-// doubt is an answer that was dropped: which model gave it, and how sure of it that model was.
-type doubt struct {
+// discardedAnswer is an answer that was discarded for its low confidence; step is the index of the model
+// that gave it.
+type discardedAnswer struct {
 	step       int
 	confidence int
 }
 
-// gains looks up what this instance has learned of the route's models.
-func (l *life[H]) gains(from, to int) relay.Gain {
-	models := l.admitted.Route.Models
-	return l.carrier.gains.Get()[modelPair{models[from], models[to]}]
+// confidenceGain returns how much more confident the larger model is than the smaller one, as observed by
+// this instance; both are indexes in the route's models.
+func (h *requestHandler[H]) confidenceGain(smaller, larger int) relay.Gain {
+	models := h.admitted.Route.Models
+	return h.carrier.confidenceGains.Get()[modelPair{models[smaller], models[larger]}]
 }
 
-// surer learns how much surer the present model is than the one whose answer was dropped for it.
-func (r *run[H]) surer(a *Answer[H]) {
-	r.last.Confidence = a.Confidence
-	if a.Confidence < 0 || r.begun || r.step <= r.doubt.step {
+// learnConfidenceGain records how much more confident the current model is than the one whose answer was
+// discarded. It does nothing for the first model, without a stated confidence, or once the response has
+// started.
+func (a *attempt[H]) learnConfidenceGain(answer *Answer[H]) {
+	a.decision.Confidence = answer.Confidence
+	if answer.Confidence < 0 || a.responseStarted || a.step <= a.discarded.step {
 		return
 	}
-	models := r.admitted.Route.Models
-	pair := modelPair{models[r.doubt.step], models[r.step]}
-	r.carrier.gains.Update(func(all map[modelPair]relay.Gain) map[modelPair]relay.Gain {
+	models := a.admitted.Route.Models
+	pair := modelPair{models[a.discarded.step], models[a.step]}
+	a.carrier.confidenceGains.Update(func(all map[modelPair]relay.Gain) map[modelPair]relay.Gain {
 		next := make(map[modelPair]relay.Gain, len(all)+1)
 		maps.Copy(next, all)
-		next[pair] = all[pair].With(r.doubt.confidence, a.Confidence)
+		next[pair] = all[pair].With(a.discarded.confidence, answer.Confidence)
 		return next
 	})
 }
--- a/io/carry/life.go
+++ b/io/carry/life.go
@@ -13,209 +13,213 @@
 	"endivehitch/io/clock"
 )
 
-// ErrCut is returned when an answer that had begun could not be finished.
+// ErrCut is returned when an answer of which a part was written could not be completed.
 var ErrCut = errors.New("answer was cut off")
 
-// life is the life of one request, on its caller's goroutine.
-type life[H any] struct {
+// requestHandler serves one request on its caller's goroutine, in one or more attempts.
+type requestHandler[H any] struct {
 	carrier  *Carrier[H]
 	job      Job[H]
 	admitted query.Admitted
-	sink     Sink[H]
+	writer   Sink[H]
 
-	target relay.ServiceName
-	sends  query.Sends
-	tried  []relay.ServerID
-	// step is the position of the model asked among the route's models; the smallest is asked first.
+	service  relay.ServiceName
+	attempts query.Sends
+	tried    []relay.ServerID
+	// step is the index of the current model in the route's models, which start with the smallest.
 	step int
-	// doubt is the answer that was dropped for the present model's.
-	doubt doubt
-	// begun is set once the sink has taken the answer's head.
-	begun bool
-	// after is the last event that the sink has taken.
-	after string
-	// prepaid is set once the budget has paid for the next send.
-	prepaid bool
-	last    Decision
+	// discarded is the answer that was discarded in favour of the current model's.
+	discarded discardedAnswer
+	// responseStarted is set once an answer's head was written to the caller.
+	responseStarted bool
+	// lastEventID is the ID of the last event that was written to the caller.
+	lastEventID string
+	// retryPaid is set when the next attempt has already been charged to the retry budget.
+	retryPaid bool
+	// decision holds the inputs of the current attempt, for the records about it.
+	decision Decision
 }
 
-func (l *life[H]) run(ctx context.Context) error {
-	c := l.carrier
-	l.target = query.Spread(l.admitted.Route, l.spread())
-	c.counted(l.target)
+func (h *requestHandler[H]) serve(ctx context.Context) error {
+	c := h.carrier
+	h.service = query.Spread(h.admitted.Route, h.requestHash())
+	c.countFirstAttempt(h.service)
 	for {
-		ending, done, err := l.attempt(ctx)
+		ending, done, err := h.tryOnce(ctx)
 		if done {
 			return err
 		}
-		if err := l.again(ctx, ending); err != nil {
+		if err := h.checkRetry(ctx, ending); err != nil {
 			return err
 		}
 	}
 }
 
-// spread is a number that is even over requests and the same for each send of one.
-func (l *life[H]) spread() uint64 {
-	return xxhash.Sum64String(l.job.Request.ID)
+// requestHash returns a number that is evenly distributed over requests and the same for each attempt
+// of one.
+func (h *requestHandler[H]) requestHash() uint64 {
+	return xxhash.Sum64String(h.job.Request.ID)
 }
 
-// attempt sends the request once and gives the answer to the sink if it is good.
-func (l *life[H]) attempt(ctx context.Context) (query.Ending, bool, error) {
-	c := l.carrier
+// tryOnce selects a server and makes one attempt there; its results are those of attempt.send.
+func (h *requestHandler[H]) tryOnce(ctx context.Context) (query.Ending, bool, error) {
+	c := h.carrier
 	state := c.config.Snapshot()
 	now := c.config.Now()
-	choice, ok := l.pick(state, now)
+	choice, ok := h.selectServer(state, now)
 	if !ok {
-		return query.EndedUnsent, true, l.end(l.none(ctx))
-	}
-	l.tried = append(l.tried, choice.Server.ID)
-	tokens := l.prefill(choice)
-	l.note(state, choice, tokens, now)
-	v := c.board.start(choice.Server.ID, time.Duration(tokens)*c.paces.perToken(l.model()), now)
-	defer v.end()
-	r := &run[H]{life: l, visit: v, server: choice.Server, began: now, tokens: tokens}
-	ending, done, err := r.do(ctx)
-	// A session lasts from its request's end on.
-	c.sessions.keep(l.target, l.job.Request.Session, choice.Server.Release, c.config.Now())
+		return query.EndedUnsent, true, h.fail(h.noServerRefusal(ctx))
+	}
+	h.tried = append(h.tried, choice.Server.ID)
+	prefillTokens := h.countPrefillTokens(choice)
+	h.prepareDecision(state, choice, prefillTokens, now)
+	load := c.loads.startAttempt(choice.Server.ID, time.Duration(prefillTokens)*c.prefillRates.timePerToken(h.model()), now)
+	defer load.finish()
+	current := &attempt[H]{requestHandler: h, load: load, server: choice.Server, started: now, prefillTokens: prefillTokens}
+	ending, done, err := current.send(ctx)
+	// A session expires counted from the end of its last request, however long that took.
+	c.sessions.remember(h.service, h.job.Request.Session, choice.Server.Release, c.config.Now())
 	if !done {
-		l.sends = l.sends.With(ending)
-		if len(l.tried) > 0 && ending == query.EndedDropped {
-			// A larger model may run on the same server.
-			l.tried = l.tried[:len(l.tried)-1]
+		h.attempts = h.attempts.With(ending)
+		if len(h.tried) > 0 && ending == query.EndedDropped {
+			// The larger model may be asked on the same server.
+			h.tried = h.tried[:len(h.tried)-1]
 		}
 	}
 	return ending, done, err
 }
 
-func (l *life[H]) pick(s relay.State, now time.Time) (query.Choice, bool) {
-	q := l.job.Request
-	last := l.carrier.sessions.release(l.target, q.Session, now)
+func (h *requestHandler[H]) selectServer(state relay.State, now time.Time) (query.Choice, bool) {
+	request := h.job.Request
+	lastRelease := h.carrier.sessions.release(h.service, request.Session, now)
 	want := query.Want{
-		Service: l.target, Tried: l.tried, ReadTime: l.carrier.paces.perToken(l.model()),
-		Release: query.Release(s, l.target, q.Session, last, l.spread(), now),
+		Service: h.service, Tried: h.tried, ReadTime: h.carrier.prefillRates.timePerToken(h.model()),
+		Release: query.Release(state, h.service, request.Session, lastRelease, h.requestHash(), now),
 	}
-	if part, ok := q.Shared(); ok {
-		want.Shared = part.ID
-		for _, p := range q.Prompt[:len(q.Prompt)-1] {
-			want.SharedTokens += p.Tokens
+	if prefix, ok := request.Shared(); ok {
+		want.Shared = prefix.ID
+		for _, part := range request.Prompt[:len(request.Prompt)-1] {
+			want.SharedTokens += part.Tokens
 		}
 	}
-	choice, ok := query.Pick(s, want, l.carrier.board.Get, clock.Random{}, now)
+	choice, ok := query.Pick(state, want, h.carrier.loads.Get, clock.Random{}, now)
 	if ok {
-		l.carrier.sessions.keep(l.target, q.Session, choice.Server.Release, now)
+		h.carrier.sessions.remember(h.service, request.Session, choice.Server.Release, now)
 	}
 	return choice, ok
 }
 
-// model returns the model that is asked, or empty where the caller names it.
-func (l *life[H]) model() relay.ModelName {
-	if !l.admitted.Route.Cascade() {
+// model returns the model to ask; it is empty where the route has no cascade and the caller names the
+// model.
+func (h *requestHandler[H]) model() relay.ModelName {
+	if !h.admitted.Route.Cascade() {
 		return ""
 	}
-	return l.admitted.Route.Models[l.step]
+	return h.admitted.Route.Models[h.step]
 }
 
-// prefill is how many prompt tokens the server has to read.
-func (l *life[H]) prefill(c query.Choice) int {
-	q := l.job.Request
-	if len(q.Prompt) == 0 || !c.Home {
-		return q.Input
+// countPrefillTokens returns how many prompt tokens the server has to process: only the last part of the
+// prompt when the server is expected to have the parts before it cached.
+func (h *requestHandler[H]) countPrefillTokens(choice query.Choice) int {
+	request := h.job.Request
+	if len(request.Prompt) == 0 || !choice.Home {
+		return request.Input
 	}
-	return q.Prompt[len(q.Prompt)-1].Tokens
+	return request.Prompt[len(request.Prompt)-1].Tokens
 }
 
-// left is how much time the request has; it is large for one without a deadline.
-func (l *life[H]) left(ctx context.Context) time.Duration {
+// timeLeft returns the time until the request's deadline, or one hour when it has none.
+func (h *requestHandler[H]) timeLeft(ctx context.Context) time.Duration {
 	at, ok := ctx.Deadline()
 	if !ok {
 		return time.Hour
 	}
-	return at.Sub(l.carrier.config.Now())
+	return at.Sub(h.carrier.config.Now())
 }
 
-// again returns nil when the request may be sent once more, and its final answer otherwise.
-func (l *life[H]) again(ctx context.Context, ending query.Ending) error {
+// checkRetry returns nil when another attempt is allowed, and otherwise the request's final error.
+func (h *requestHandler[H]) checkRetry(ctx context.Context, ending query.Ending) error {
 	if err := context.Cause(ctx); errors.Is(err, context.Canceled) {
-		return l.end(l.callerGone())
+		return h.fail(h.callerGoneRefusal())
 	}
-	left := l.left(ctx)
+	left := h.timeLeft(ctx)
 	if ending == query.EndedDropped {
 		return nil
 	}
-	if !query.Again(l.admitted.Route, ending, l.sends, left) {
-		return l.end(query.Verdict(ending, l.sends, left))
+	if !query.Again(h.admitted.Route, ending, h.attempts, left) {
+		return h.fail(query.Verdict(ending, h.attempts, left))
 	}
-	if l.prepaid {
-		l.prepaid = false
+	if h.retryPaid {
+		h.retryPaid = false
 		return nil
 	}
 	if ending == query.EndedUnsent {
-		// Nothing has arrived at a server, so nothing is repeated there.
+		// No server has received the request, so the next attempt is not charged to the retry budget.
 		return nil
 	}
-	if !l.carrier.paid(l.target, repeat) {
-		r := query.Verdict(ending, l.sends, left)
-		r.Detail = "the retry budget is spent"
-		return l.end(r)
+	if !h.carrier.spendBudget(h.service, useRetry) {
+		refusal := query.Verdict(ending, h.attempts, left)
+		refusal.Detail = "the retry budget is spent"
+		return h.fail(refusal)
 	}
 	return nil
 }
 
-// callerGone is the end of a request whose connection was closed; an instance that leaves closes the
-// connections of requests that its time to finish did not suffice for.
-func (l *life[H]) callerGone() relay.Refusal {
-	if l.carrier.config.Snapshot().Leaving {
+// callerGoneRefusal returns the final answer of a request whose connection was closed. An instance that
+// leaves closes the connections of requests that did not finish within its grace period.
+func (h *requestHandler[H]) callerGoneRefusal() relay.Refusal {
+	if h.carrier.config.Snapshot().Leaving {
 		return relay.Refusal{Reason: relay.ReasonCallerLeft, Detail: "the connection was closed while the instance was leaving"}
 	}
 	return relay.Refusal{Reason: relay.ReasonCallerLeft, Detail: "the caller closed its connection"}
 }
 
-// none is the final answer when there is no server left to try.
-func (l *life[H]) none(ctx context.Context) relay.Refusal {
-	if l.sends.All == 0 {
-		return relay.Refusal{Reason: relay.ReasonNoServer, NotRun: true, RetryAfter: time.Second, Detail: "no server of " + string(l.target)}
+// noServerRefusal returns the final answer when there is no server left to try.
+func (h *requestHandler[H]) noServerRefusal(ctx context.Context) relay.Refusal {
+	if h.attempts.All == 0 {
+		return relay.Refusal{Reason: relay.ReasonNoServer, NotRun: true, RetryAfter: time.Second, Detail: "no server of " + string(h.service)}
 	}
-	return query.Verdict(query.EndedUnknown, l.sends, l.left(ctx))
+	return query.Verdict(query.EndedUnknown, h.attempts, h.timeLeft(ctx))
 }
 
-// end records the final answer of the router's own and returns it as an error.
-func (l *life[H]) end(r relay.Refusal) error {
-	l.answered(false)
-	d := l.last
-	d.What, d.Reason, d.Detail = WhatFailed, string(r.Reason), r.Detail
-	if r.NotRun {
-		d.What = WhatRefused
-	}
-	d.Elapsed = l.elapsed()
-	d.Route, d.Account, d.Request = l.admitted.Route.Name, l.admitted.Account.Name, l.job.Request.ID
-	l.carrier.config.Recorder.Record(d)
-	if l.begun {
-		return fmt.Errorf("%w: %w", ErrCut, r)
-	}
-	return r
+// fail records that the request ended without a server's answer, and returns the refusal as an error.
+func (h *requestHandler[H]) fail(refusal relay.Refusal) error {
+	h.updateThrottle(false)
+	decision := h.decision
+	decision.What, decision.Reason, decision.Detail = WhatFailed, string(refusal.Reason), refusal.Detail
+	if refusal.NotRun {
+		decision.What = WhatRefused
+	}
+	decision.Elapsed = h.elapsed()
+	decision.Route, decision.Account, decision.Request = h.admitted.Route.Name, h.admitted.Account.Name, h.job.Request.ID
+	h.carrier.config.Recorder.Record(decision)
+	if h.responseStarted {
+		return fmt.Errorf("%w: %w", ErrCut, refusal)
+	}
+	return refusal
 }
 
-func (l *life[H]) elapsed() time.Duration {
-	return l.carrier.config.Now().Sub(l.job.Request.Arrived)
+func (h *requestHandler[H]) elapsed() time.Duration {
+	return h.carrier.config.Now().Sub(h.job.Request.Arrived)
 }
 
-// note keeps what decided the send, for the lines that follow it.
-func (l *life[H]) note(s relay.State, c query.Choice, unread int, now time.Time) {
-	load := l.carrier.board.Get(c.Server.ID)
-	l.last = Decision{
-		Request: l.job.Request.ID, Route: l.admitted.Route.Name, Account: l.admitted.Account.Name,
-		Server: c.Server.ID, Release: c.Server.Release, Model: l.model(), Candidates: c.Candidates,
-		Score: c.Score, Revision: s.Revision, Unread: unread,
+// prepareDecision stores the inputs of the server's selection, for the records about this attempt.
+func (h *requestHandler[H]) prepareDecision(state relay.State, choice query.Choice, prefillTokens int, now time.Time) {
+	load := h.carrier.loads.Get(choice.Server.ID)
+	h.decision = Decision{
+		Request: h.job.Request.ID, Route: h.admitted.Route.Name, Account: h.admitted.Account.Name,
+		Server: choice.Server.ID, Release: choice.Server.Release, Model: h.model(), Candidates: choice.Candidates,
+		Score: choice.Score, Revision: state.Revision, Unread: prefillTokens,
 	}
 	if !load.Reported.IsZero() {
-		l.last.ReportAge = now.Sub(load.Reported)
+		h.decision.ReportAge = now.Sub(load.Reported)
 	}
 }
 
-// record writes a line about the present send.
-func (l *life[H]) record(what What, reason string, status int, detail string) {
-	d := l.last
-	d.What, d.Reason, d.Status, d.Detail = what, reason, status, detail
-	d.Elapsed = l.elapsed()
-	l.carrier.config.Recorder.Record(d)
+// record passes a decision about the current attempt to the recorder.
+func (h *requestHandler[H]) record(what What, reason string, status int, detail string) {
+	decision := h.decision
+	decision.What, decision.Reason, decision.Status, decision.Detail = what, reason, status, detail
+	decision.Elapsed = h.elapsed()
+	h.carrier.config.Recorder.Record(decision)
 }
--- a/io/carry/pace.go
+++ b/io/carry/pace.go
@@ -9,40 +9,41 @@
 )
 
 const (
-	// paceTokens is the least prompt that tells how fast a model reads.
-	paceTokens = 1000
-	// usualPace is taken for the time that a model reads a token in until some are known.
-	usualPace = 20 * time.Microsecond
+	// minObservedTokens is the length of the shortest prompt that is observed; the times of shorter ones
+	// say too little about the model's speed.
+	minObservedTokens = 1000
+	// defaultTimePerToken is assumed until times of the model have been observed.
+	defaultTimePerToken = 20 * time.Microsecond
 )
 
-// readTime follows the time per token of runs that hardly had to wait.
-var readTime = policy.QuantileConfig{Of: 0.2, Step: 0.1, MinSeen: 3}
+// timePerTokenConfig takes a low quantile, the time per token of attempts that hardly had to queue.
+var timePerTokenConfig = policy.QuantileConfig{Of: 0.2, Step: 0.1, MinSeen: 3}
 
-// paces learns how fast each model reads a prompt.
-type paces struct {
-	mu   sync.Mutex
-	seen map[relay.ModelName]policy.Quantile
+// prefillRates estimates how long each model takes to process a prompt token.
+type prefillRates struct {
+	mu      sync.Mutex
+	byModel map[relay.ModelName]policy.Quantile
 }
 
-// saw notes that the first byte of a run with so many tokens to read came after the time.
-func (p *paces) saw(m relay.ModelName, tokens int, after time.Duration) {
-	if tokens < paceTokens {
+// observe records the time until the first byte of an attempt that had the tokens to process.
+func (p *prefillRates) observe(model relay.ModelName, tokens int, elapsed time.Duration) {
+	if tokens < minObservedTokens {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.seen == nil {
-		p.seen = make(map[relay.ModelName]policy.Quantile)
+	if p.byModel == nil {
+		p.byModel = make(map[relay.ModelName]policy.Quantile)
 	}
-	p.seen[m] = p.seen[m].With(readTime, after/time.Duration(tokens))
+	p.byModel[model] = p.byModel[model].With(timePerTokenConfig, elapsed/time.Duration(tokens))
 }
 
-// perToken returns the time that the model reads one token in.
-func (p *paces) perToken(m relay.ModelName) time.Duration {
+// timePerToken returns the time that the model takes to process one prompt token.
+func (p *prefillRates) timePerToken(model relay.ModelName) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if v := p.seen[m].Value(readTime); v > 0 {
-		return v
+	if perToken := p.byModel[model].Value(timePerTokenConfig); perToken > 0 {
+		return perToken
 	}
-	return usualPace
+	return defaultTimePerToken
 }
--- a/io/carry/run.go
+++ b/io/carry/run.go
@@ -12,166 +12,175 @@
 )
 
 const (
-	// wholeBytes is the largest body that is read whole before the caller gets any of it.
-	wholeBytes = 1 << 20
-	// eventBytes bounds one event of a stream.
-	eventBytes = 1 << 20
-	readBytes  = 16 << 10
+	// bufferedBodyBytes is how much of a body is read before any of it is written to the caller. A body
+	// up to this size that breaks off can still be retried.
+	bufferedBodyBytes = 1 << 20
+	// maxEventBytes bounds one event of a stream.
+	maxEventBytes   = 1 << 20
+	readBufferBytes = 16 << 10
 )
 
-// run is one send of a request.
-type run[H any] struct {
-	*life[H]
-	visit  *visit
-	server relay.Server
-	began  time.Time
-	// tokens is how much of the prompt the server is expected to read.
-	tokens int
+// attempt is one attempt to have a server answer a request.
+type attempt[H any] struct {
+	*requestHandler[H]
+	load    *loadTracker
+	server  relay.Server
+	started time.Time
+	// prefillTokens is how many prompt tokens the server is expected to process.
+	prefillTokens int
 }
 
-// do sends the request and handles its answer; done says that err is the request's end.
-func (r *run[H]) do(ctx context.Context) (query.Ending, bool, error) {
+// send sends the request and handles the answer. It reports whether the request is done, in which case
+// the error is its result; otherwise the ending says how the attempt failed.
+func (a *attempt[H]) send(ctx context.Context) (query.Ending, bool, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	watch := r.watch(ctx, cancel)
-	defer func() { r.prepaid = watch.stop() }()
-	answer, err := r.carrier.config.Backend.Send(ctx, r.request(ctx))
+	watch := a.startWatchdog(ctx, cancel)
+	defer func() { a.retryPaid = watch.stop() }()
+	answer, err := a.carrier.config.Backend.Send(ctx, a.buildRun(ctx))
 	if err != nil {
-		return r.broken(ctx, err), false, nil
+		return a.handleError(ctx, err), false, nil
 	}
 	defer func() { _ = answer.Body.Close() }()
 	if answer.Confidence >= 0 || answer.Stream {
-		r.carrier.paces.saw(r.model(), r.tokens, r.carrier.config.Now().Sub(r.began))
+		a.carrier.prefillRates.observe(a.model(), a.prefillTokens, a.carrier.config.Now().Sub(a.started))
 	}
-	r.surer(answer)
+	a.learnConfidenceGain(answer)
 	if answer.Reported {
-		r.visit.report(answer.Report, r.carrier.config.Now())
+		a.load.recordReport(answer.Report, a.carrier.config.Now())
 	}
-	ending, ok := r.judge(answer)
+	ending, ok := a.checkAnswer(answer)
 	if !ok {
-		return r.declined(ctx, answer, ending)
+		return a.handleRejected(ctx, answer, ending)
 	}
-	if r.stepUp(ctx, answer) {
+	if a.tryStepUp(ctx, answer) {
 		return query.EndedDropped, false, nil
 	}
 	if answer.Stream && answer.Status < 300 {
-		return r.stream(ctx, answer, watch)
+		return a.relayStream(ctx, answer, watch)
 	}
-	return r.whole(ctx, answer)
+	return a.relayBody(ctx, answer)
 }
 
-var errSlow = errors.New("no answer in time")
+var errSilenceTimeout = errors.New("no answer in time")
 
-func (r *run[H]) request(ctx context.Context) Run[H] {
+func (a *attempt[H]) buildRun(ctx context.Context) Run[H] {
 	return Run[H]{
-		Server: r.server, Request: r.job.Request, Account: r.admitted.Account, Head: r.job.Head, Body: r.job.Body,
-		Left: r.left(ctx), Model: r.model(), Rank: query.Priority(r.admitted.Rank, r.step), After: r.after,
-		Fresh: r.sends.Run > 0,
+		Server: a.server, Request: a.job.Request, Account: a.admitted.Account, Head: a.job.Head, Body: a.job.Body,
+		Left: a.timeLeft(ctx), Model: a.model(), Rank: query.Priority(a.admitted.Rank, a.step), After: a.lastEventID,
+		Fresh: a.attempts.Run > 0,
 	}
 }
 
-// broken says how a run ended that brought no answer, and counts it against the server.
-func (r *run[H]) broken(ctx context.Context, err error) query.Ending {
-	now := r.carrier.config.Now()
+// handleError returns how an attempt ended that failed with the error, and counts the failure against
+// the server unless the caller cancelled the request.
+func (a *attempt[H]) handleError(ctx context.Context, err error) query.Ending {
+	now := a.carrier.config.Now()
 	ending := query.EndedUnknown
 	switch {
 	case errors.Is(err, ErrUnsent):
 		ending = query.EndedUnsent
-	case errors.Is(context.Cause(ctx), errSlow):
+	case errors.Is(context.Cause(ctx), errSilenceTimeout):
 		ending = query.EndedSlow
 	}
 	if !errors.Is(context.Cause(ctx), context.Canceled) {
-		r.visit.bad(now)
-		r.record(WhatRunFailed, endingName(ending), 0, err.Error())
+		a.load.recordFailure(now)
+		a.record(WhatRunFailed, endingName(ending), 0, err.Error())
 	}
 	return ending
 }
 
-// judge reports whether the answer may go to the caller, and how the run ended otherwise.
-func (r *run[H]) judge(a *Answer[H]) (query.Ending, bool) {
+// checkAnswer reports whether the answer may be relayed to the caller, and otherwise how the attempt
+// ended.
+func (a *attempt[H]) checkAnswer(answer *Answer[H]) (query.Ending, bool) {
 	switch {
-	case a.NotRun:
+	case answer.NotRun:
 		return query.EndedNotRun, false
-	case a.Encoded, !a.Signed:
+	case answer.Encoded, !answer.Signed:
 		return query.EndedUnknown, false
-	case a.Status >= 500:
+	case answer.Status >= 500:
 		return query.EndedFailed, false
 	}
 	return 0, true
 }
 
-// declined handles an answer that isn't good: another server is asked where that is allowed, else
-// the server's own failure goes to the caller.
-func (r *run[H]) declined(ctx context.Context, a *Answer[H], ending query.Ending) (query.Ending, bool, error) {
-	now := r.carrier.config.Now()
-	r.record(WhatRunFailed, endingName(ending), a.Status, "")
+// handleRejected handles an answer that checkAnswer rejected. A server's own error is relayed to the
+// caller when no retry is allowed; in every other case the returned ending decides on a retry.
+func (a *attempt[H]) handleRejected(ctx context.Context, answer *Answer[H], ending query.Ending) (query.Ending, bool, error) {
+	now := a.carrier.config.Now()
+	a.record(WhatRunFailed, endingName(ending), answer.Status, "")
 	switch ending {
 	case query.EndedNotRun:
 	case query.EndedFailed:
-		r.visit.failed(now)
-		r.tally(true)
+		a.load.recordErrorAnswer(now)
+		a.recordTally(true)
 	default:
-		r.visit.bad(now)
+		a.load.recordFailure(now)
 	}
-	final := ending == query.EndedFailed && !r.begun
-	if final && !query.Again(r.admitted.Route, ending, r.sends.With(ending), r.left(ctx)) {
-		return r.whole(ctx, a)
+	final := ending == query.EndedFailed && !a.responseStarted
+	if final && !query.Again(a.admitted.Route, ending, a.attempts.With(ending), a.timeLeft(ctx)) {
+		return a.relayBody(ctx, answer)
 	}
 	return ending, false, nil
 }
 
-// stepUp reports whether the answer is dropped for a larger model's.
-func (r *run[H]) stepUp(ctx context.Context, a *Answer[H]) bool {
-	route := r.admitted.Route
-	if !route.Cascade() || r.begun {
+// tryStepUp reports whether the answer is discarded because its confidence is low, so that a larger
+// model is asked next.
+func (a *attempt[H]) tryStepUp(ctx context.Context, answer *Answer[H]) bool {
+	route := a.admitted.Route
+	if !route.Cascade() || a.responseStarted {
 		return false
 	}
-	seen := query.Answered{Step: r.step, Confidence: a.Confidence, Sends: r.sends.With(query.EndedDropped), Left: r.left(ctx), Throttle: r.carrier.throttles.Get(r.target).Value()}
-	next, ok := query.StepUp(route, seen, r.gains)
-	if !ok || !r.carrier.paid(r.target, stepUp) {
+	observed := query.Answered{
+		Step: a.step, Confidence: answer.Confidence, Sends: a.attempts.With(query.EndedDropped),
+		Left: a.timeLeft(ctx), Throttle: a.carrier.throttles.Get(a.service).Value(),
+	}
+	next, ok := query.StepUp(route, observed, a.confidenceGain)
+	if !ok || !a.carrier.spendBudget(a.service, useStepUp) {
 		return false
 	}
-	r.last.Throttle = seen.Throttle
-	r.doubt = doubt{step: r.step, confidence: a.Confidence}
-	r.visit.begin(r.carrier.config.Now())
-	r.last.First = r.visit.took
-	r.record(WhatSteppedUp, "LowConfidence", a.Status, "")
-	r.step = next
+	a.decision.Throttle = observed.Throttle
+	a.discarded = discardedAnswer{step: a.step, confidence: answer.Confidence}
+	a.load.recordFirstByte(a.carrier.config.Now())
+	a.decision.First = a.load.firstByteTime
+	a.record(WhatSteppedUp, "LowConfidence", answer.Status, "")
+	a.step = next
 	return true
 }
 
-// whole reads a body to its end before the caller gets any of it, unless it is large.
-func (r *run[H]) whole(ctx context.Context, a *Answer[H]) (query.Ending, bool, error) {
-	body, err := io.ReadAll(io.LimitReader(a.Body, wholeBytes))
+// relayBody relays an answer that is not an event stream. It buffers up to bufferedBodyBytes before it
+// writes any of the body, and copies the rest of a larger one as it arrives.
+func (a *attempt[H]) relayBody(ctx context.Context, answer *Answer[H]) (query.Ending, bool, error) {
+	body, err := io.ReadAll(io.LimitReader(answer.Body, bufferedBodyBytes))
 	if err != nil {
-		return r.broken(ctx, err), false, nil
+		return a.handleError(ctx, err), false, nil
 	}
-	r.visit.begin(r.carrier.config.Now())
-	r.begun = true
-	if err := r.sink.Begin(a); err != nil {
-		return 0, true, r.callerLeft(err)
+	a.load.recordFirstByte(a.carrier.config.Now())
+	a.responseStarted = true
+	if err := a.writer.Begin(answer); err != nil {
+		return 0, true, a.failCallerGone(err)
 	}
-	if err := r.sink.Write(body); err != nil {
-		return 0, true, r.callerLeft(err)
+	if err := a.writer.Write(body); err != nil {
+		return 0, true, a.failCallerGone(err)
 	}
-	if len(body) == wholeBytes {
-		if err := r.copyRest(a.Body); err != nil {
-			return 0, true, r.end(relay.Refusal{Reason: relay.ReasonUnknown, Detail: err.Error()})
+	if len(body) == bufferedBodyBytes {
+		if err := a.copyBody(answer.Body); err != nil {
+			return 0, true, a.fail(relay.Refusal{Reason: relay.ReasonUnknown, Detail: err.Error()})
 		}
 	}
-	if a.Status < 500 {
-		r.good()
+	if answer.Status < 500 {
+		a.recordSuccess()
 	}
-	r.finish(a.Status)
+	a.recordAnswered(answer.Status)
 	return 0, true, nil
 }
 
-func (r *run[H]) copyRest(body io.Reader) error {
-	buf := make([]byte, readBytes)
+func (a *attempt[H]) copyBody(body io.Reader) error {
+	buf := make([]byte, readBufferBytes)
 	for {
 		n, err := body.Read(buf)
 		if n > 0 {
-			if err := r.sink.Write(buf[:n]); err != nil {
+			if err := a.writer.Write(buf[:n]); err != nil {
 				return err
 			}
 		}
@@ -184,74 +193,76 @@
 	}
 }
 
-// stream relays whole events as they come, and ends early when the next one doesn't.
-func (r *run[H]) stream(ctx context.Context, a *Answer[H], watch *watchdog) (query.Ending, bool, error) {
-	events := event.NewSplitter(eventBytes)
-	buf := make([]byte, readBytes)
+// relayStream writes complete events to the caller as they arrive. The watchdog cancels the attempt when
+// the stream stalls, and lastEventID lets another server resume it.
+func (a *attempt[H]) relayStream(ctx context.Context, answer *Answer[H], watch *watchdog) (query.Ending, bool, error) {
+	splitter := event.NewSplitter(maxEventBytes)
+	buf := make([]byte, readBufferBytes)
 	for {
-		n, err := a.Body.Read(buf)
+		n, err := answer.Body.Read(buf)
 		if n > 0 {
-			whole, split := events.Feed(buf[:n])
-			if split != nil {
-				return r.broken(ctx, split), false, nil
+			complete, splitErr := splitter.Feed(buf[:n])
+			if splitErr != nil {
+				return a.handleError(ctx, splitErr), false, nil
 			}
-			r.visit.heard(r.carrier.config.Now())
-			if len(whole) > 0 {
-				r.visit.begin(r.carrier.config.Now())
-				if err := r.relay(a, whole); err != nil {
-					return 0, true, r.callerLeft(err)
+			a.load.recordActivity(a.carrier.config.Now())
+			if len(complete) > 0 {
+				a.load.recordFirstByte(a.carrier.config.Now())
+				if err := a.writeEvents(answer, complete); err != nil {
+					return 0, true, a.failCallerGone(err)
 				}
-				if id := events.LastID(); id != "" {
-					r.after = id
+				if id := splitter.LastID(); id != "" {
+					a.lastEventID = id
 				}
-				watch.fed()
+				watch.recordActivity()
 			}
 		}
-		if errors.Is(err, io.EOF) && len(events.Rest()) == 0 && r.begun {
-			r.good()
-			r.finish(a.Status)
+		if errors.Is(err, io.EOF) && len(splitter.Rest()) == 0 && a.responseStarted {
+			a.recordSuccess()
+			a.recordAnswered(answer.Status)
 			return 0, true, nil
 		}
 		if err != nil {
-			return r.broken(ctx, err), false, nil
+			return a.handleError(ctx, err), false, nil
 		}
 	}
 }
 
-func (r *run[H]) relay(a *Answer[H], whole []byte) error {
-	if !r.begun {
-		r.begun = true
-		r.answered(true)
-		r.last.First = r.visit.took
-		if err := r.sink.Begin(a); err != nil {
+// writeEvents writes the events, preceded by the answer's head unless an earlier attempt has written one.
+func (a *attempt[H]) writeEvents(answer *Answer[H], events []byte) error {
+	if !a.responseStarted {
+		a.responseStarted = true
+		a.updateThrottle(true)
+		a.decision.First = a.load.firstByteTime
+		if err := a.writer.Begin(answer); err != nil {
 			return err
 		}
 	}
-	return r.sink.Write(whole)
+	return a.writer.Write(events)
 }
 
-// callerLeft records that the caller is gone.
-func (r *run[H]) callerLeft(err error) error {
-	return r.end(relay.Refusal{Reason: relay.ReasonCallerLeft, Detail: err.Error()})
+// failCallerGone ends a request whose answer could not be written to the caller.
+func (a *attempt[H]) failCallerGone(err error) error {
+	return a.fail(relay.Refusal{Reason: relay.ReasonCallerLeft, Detail: err.Error()})
 }
 
-func (r *run[H]) good() {
-	r.visit.good(r.carrier.config.Now())
-	r.tally(false)
+func (a *attempt[H]) recordSuccess() {
+	a.load.recordSuccess(a.carrier.config.Now())
+	a.recordTally(false)
 }
 
-func (r *run[H]) tally(failed bool) {
-	now := r.carrier.config.Now()
-	r.carrier.tallies.add(r.server, kindKey{r.admitted.Route.Name, r.model()}, failed, now.Sub(r.began), now)
+func (a *attempt[H]) recordTally(failed bool) {
+	now := a.carrier.config.Now()
+	a.carrier.tallies.add(a.server, usualTimeKey{a.admitted.Route.Name, a.model()}, failed, now.Sub(a.started), now)
 }
 
-func (r *run[H]) finish(status int) {
-	r.last.First = r.visit.took
-	r.record(WhatAnswered, "", status, "")
+func (a *attempt[H]) recordAnswered(status int) {
+	a.decision.First = a.load.firstByteTime
+	a.record(WhatAnswered, "", status, "")
 }
 
-func endingName(e query.Ending) string {
-	switch e {
+func endingName(ending query.Ending) string {
+	switch ending {
 	case query.EndedUnsent:
 		return "Unsent"
 	case query.EndedNotRun:
--- a/io/carry/session.go
+++ b/io/carry/session.go
@@ -7,11 +7,11 @@
 	"endivehitch/core/relay"
 )
 
-// sessions remembers which release each session ran on last.
+// sessions holds the release that each session's last request was sent to.
 type sessions struct {
-	life time.Duration
-	mu   sync.Mutex
-	last map[sessionKey]sessionPlace
+	lifetime time.Duration
+	mu       sync.Mutex
+	releases map[sessionKey]sessionRelease
 }
 
 type sessionKey struct {
@@ -19,46 +19,46 @@
 	session string
 }
 
-type sessionPlace struct {
-	release relay.Release
-	used    time.Time
+type sessionRelease struct {
+	release  relay.Release
+	lastUsed time.Time
 }
 
 func newSessions(life time.Duration) *sessions {
-	return &sessions{life: life, last: make(map[sessionKey]sessionPlace)}
+	return &sessions{lifetime: life, releases: make(map[sessionKey]sessionRelease)}
 }
 
-// release returns the session's release while the session lasts.
-func (m *sessions) release(n relay.ServiceName, session string, now time.Time) relay.Release {
+// release returns the session's release, or empty when the session is unknown or has expired.
+func (s *sessions) release(service relay.ServiceName, session string, now time.Time) relay.Release {
 	if session == "" {
 		return ""
 	}
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	p := m.last[sessionKey{n, session}]
-	if now.Sub(p.used) > m.life {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	last := s.releases[sessionKey{service, session}]
+	if now.Sub(last.lastUsed) > s.lifetime {
 		return ""
 	}
-	return p.release
+	return last.release
 }
 
-// keep notes the release that runs the session's request.
-func (m *sessions) keep(n relay.ServiceName, session string, r relay.Release, now time.Time) {
+// remember stores the release for the session and renews the session.
+func (s *sessions) remember(service relay.ServiceName, session string, release relay.Release, now time.Time) {
 	if session == "" {
 		return
 	}
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.last[sessionKey{n, session}] = sessionPlace{r, now}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.releases[sessionKey{service, session}] = sessionRelease{release, now}
 }
 
-// trim forgets sessions that have ended.
-func (m *sessions) trim(now time.Time) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	for k, p := range m.last {
-		if now.Sub(p.used) > m.life {
-			delete(m.last, k)
+// removeExpired removes the expired sessions.
+func (s *sessions) removeExpired(now time.Time) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for key, last := range s.releases {
+		if now.Sub(last.lastUsed) > s.lifetime {
+			delete(s.releases, key)
 		}
 	}
 }
--- a/io/carry/session_test.go
+++ b/io/carry/session_test.go
@@ -15,7 +15,7 @@
 	"endivehitch/io/carry"
 )
 
-// canarySession returns a session that a new one would make part of the canary.
+// canarySession returns a session name that would be assigned to the canary if it were a new session.
 func canarySession(s relay.State) string {
 	for i := 0; ; i++ {
 		name := fmt.Sprint("session-", i)
@@ -25,11 +25,11 @@
 	}
 }
 
-func TestASessionIsRememberedFromTheEndOfItsRequest(t *testing.T) {
+func TestSessionLifetimeCountsFromTheEndOfItsRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const life, lasts = 5 * time.Second, 7 * time.Second
+		const lifetime, requestTime = 5 * time.Second, 7 * time.Second
 		entries := []relay.Entry{
-			{Config: &relay.Config{Version: 1, Routes: []relay.Route{streamed(relay.RepeatNever)}, Services: []relay.Service{{Name: "app"}}}},
+			{Config: &relay.Config{Version: 1, Routes: []relay.Route{streamRoute(relay.RepeatNever)}, Services: []relay.Service{{Name: "app"}}}},
 			{Server: &relay.Server{ID: "old", Service: "app", Release: "v1", Slots: 4}},
 		}
 		state := func() relay.State {
@@ -42,17 +42,17 @@
 		s := state()
 		c, err := carry.New(carry.Config[head]{
 			Repeats: func() carry.Repeats { return carry.Repeats{Window: time.Second} },
-			Backend: &script{turns: []func(context.Context, run) (*answer, error){
-				func(ctx context.Context, r run) (*answer, error) {
-					time.Sleep(lasts)
-					return events(first, io.EOF)(ctx, r)
+			Backend: &scriptedBackend{answers: []func(context.Context, attempt) (*answer, error){
+				func(ctx context.Context, r attempt) (*answer, error) {
+					time.Sleep(requestTime)
+					return streamAnswer(firstEvent, io.EOF)(ctx, r)
 				},
-				func(ctx context.Context, r run) (*answer, error) {
-					assert.Check(t, r.Server.Release == "v1", "the session moved to %s", r.Server.Release)
-					return events(first, io.EOF)(ctx, r)
+				func(ctx context.Context, r attempt) (*answer, error) {
+					assert.Check(t, r.Server.Release == "v1", "the session must stay on v1, but moved to %s", r.Server.Release)
+					return streamAnswer(firstEvent, io.EOF)(ctx, r)
 				},
 			}},
-			Snapshot: func() relay.State { return s }, Now: time.Now, Recorder: new(recorder), Session: life,
+			Snapshot: func() relay.State { return s }, Now: time.Now, Recorder: new(recorder), Session: lifetime,
 		})
 		assert.NilError(t, err)
 		next := append(entries,
@@ -65,11 +65,11 @@
 		serve := func() {
 			assert.NilError(t, c.Serve(t.Context(), carry.Job[head]{Request: relay.Request{
 				ID: "q", Host: "h", Path: "/x", Arrived: time.Now(), Session: session,
-			}}, new(sink)))
+			}}, new(responseWriter)))
 		}
 		serve()
 		s = state()
-		time.Sleep(life - time.Second)
+		time.Sleep(lifetime - time.Second)
 		serve()
 	})
 }
--- a/io/carry/tally.go
+++ b/io/carry/tally.go
@@ -10,54 +10,56 @@
 	"endivehitch/core/relay"
 )
 
-// slowFactor is how many times the usual time until an answer makes a run slow.
+// slowFactor is the multiple of the usual answer time above which an attempt counts as slow.
 const slowFactor = 3
 
-// usualTime follows the time until an answer, by kind of request, whatever the release.
-var usualTime = policy.SmoothConfig{HalfLife: 20 * time.Second, MaxWeight: 50}
+// usualTimeConfig smooths the answer time of each kind of request over all releases.
+var usualTimeConfig = policy.SmoothConfig{HalfLife: 20 * time.Second, MaxWeight: 50}
 
 type releaseKey struct {
 	service relay.ServiceName
 	release relay.Release
 }
 
-type kindKey struct {
+// usualTimeKey is a kind of request, whose answer times are comparable.
+type usualTimeKey struct {
 	route relay.RouteName
 	model relay.ModelName
 }
 
-// tallies counts runs by release.
+// tallies counts attempts by release.
 type tallies struct {
-	mu    sync.Mutex
-	count map[releaseKey]relay.Tally
-	usual map[kindKey]policy.Smooth
+	mu         sync.Mutex
+	byRelease  map[releaseKey]relay.Tally
+	usualTimes map[usualTimeKey]policy.Smooth
 }
 
-// add counts a run; took is zero for one that failed.
-func (t *tallies) add(v relay.Server, k kindKey, failed bool, took time.Duration, at time.Time) {
+// add counts an attempt. An attempt that failed or was slow does not change the usual time.
+func (t *tallies) add(server relay.Server, kind usualTimeKey, failed bool, took time.Duration, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.count == nil {
-		t.count = make(map[releaseKey]relay.Tally)
-		t.usual = make(map[kindKey]policy.Smooth)
+	if t.byRelease == nil {
+		t.byRelease = make(map[releaseKey]relay.Tally)
+		t.usualTimes = make(map[usualTimeKey]policy.Smooth)
 	}
-	usual := t.usual[k]
+	usual := t.usualTimes[kind]
 	slow := !failed && usual.Weight > 5 && took > slowFactor*usual.Mean
 	if !failed && !slow {
-		t.usual[k] = usual.With(usualTime, took, at)
+		t.usualTimes[kind] = usual.With(usualTimeConfig, took, at)
 	}
-	key := releaseKey{v.Service, v.Release}
-	n := t.count[key]
-	n.Service, n.Release = v.Service, v.Release
-	t.count[key] = n.With(failed, slow)
+	key := releaseKey{server.Service, server.Release}
+	tally := t.byRelease[key]
+	tally.Service, tally.Release = server.Service, server.Release
+	t.byRelease[key] = tally.With(failed, slow)
 }
 
+// all returns the tallies, ordered by service and release.
 func (t *tallies) all() []relay.Tally {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	list := make([]relay.Tally, 0, len(t.count))
-	for _, n := range t.count {
-		list = append(list, n)
+	list := make([]relay.Tally, 0, len(t.byRelease))
+	for _, tally := range t.byRelease {
+		list = append(list, tally)
 	}
 	slices.SortFunc(list, func(a, b relay.Tally) int {
 		return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Release, b.Release))
--- a/io/carry/throttle.go
+++ b/io/carry/throttle.go
@@ -2,11 +2,12 @@
 
 import "endivehitch/core/relay"
 
-// answered learns whether a larger model's answer began within the objective; false for none at all.
-func (l *life[H]) answered(begun bool) {
-	if l.step == 0 {
+// updateThrottle adjusts the service's throttle by whether a larger model's answer started within the
+// route's objective; responseStarted is false when there was no answer.
+func (h *requestHandler[H]) updateThrottle(responseStarted bool) {
+	if h.step == 0 {
 		return
 	}
-	inTime := begun && l.elapsed() <= l.admitted.Route.Objective
-	l.carrier.throttles.Of(l.target).Update(func(t relay.Throttle) relay.Throttle { return t.WithAnswer(inTime) })
+	inTime := responseStarted && h.elapsed() <= h.admitted.Route.Objective
+	h.carrier.throttles.Of(h.service).Update(func(t relay.Throttle) relay.Throttle { return t.WithAnswer(inTime) })
 }
--- a/io/carry/watch.go
+++ b/io/carry/watch.go
@@ -8,82 +8,93 @@
 	"endivehitch/core/relay/query"
 )
 
-// watchdog gives up a run that has been silent for too long, where another server can go on and the
-// budget allows it.
+// watchdog cancels an attempt that has been silent for too long, provided that another server may take
+// over and the retry budget allows it.
 type watchdog struct {
-	mu    sync.Mutex
-	timer *time.Timer
-	last  time.Time
-	over  bool
-	// begun is set once the caller has received a part of the answer.
-	begun  bool
-	check  func(begun bool, silent time.Duration) (time.Duration, bool)
-	now    func() time.Time
-	giveUp func()
-	gaveUp bool
+	mu           sync.Mutex
+	timer        *time.Timer
+	lastActivity time.Time
+	stopped      bool
+	// responseStarted is set once a part of the answer was written to the caller.
+	responseStarted bool
+	// check returns whether to cancel the attempt, or else the time until the next check.
+	check         func(responseStarted bool, silent time.Duration) (time.Duration, bool)
+	now           func() time.Time
+	cancelAttempt func()
+	cancelled     bool
 }
 
-// watch starts a watchdog over the run.
-func (r *run[H]) watch(ctx context.Context, cancel context.CancelCauseFunc) *watchdog {
-	w := &watchdog{now: r.carrier.config.Now, last: r.began, begun: r.begun, giveUp: func() { cancel(errSlow) }}
-	w.check = func(begun bool, silent time.Duration) (time.Duration, bool) { return r.silence(ctx, begun, silent) }
-	first, _ := w.check(w.begun, 0)
+// startWatchdog starts a watchdog for the attempt.
+func (a *attempt[H]) startWatchdog(ctx context.Context, cancel context.CancelCauseFunc) *watchdog {
+	w := &watchdog{
+		now: a.carrier.config.Now, lastActivity: a.started, responseStarted: a.responseStarted,
+		cancelAttempt: func() { cancel(errSilenceTimeout) },
+	}
+	w.check = func(responseStarted bool, silent time.Duration) (time.Duration, bool) {
+		return a.checkSilence(ctx, responseStarted, silent)
+	}
+	first, _ := w.check(w.responseStarted, 0)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.timer = time.AfterFunc(min(first, lookLeast), w.look)
+	w.timer = time.AfterFunc(min(first, maxCheckInterval), w.checkNow)
 	return w
 }
 
-// silence says whether the run is given up after the silence, or else when to look again.
-func (r *run[H]) silence(ctx context.Context, begun bool, silent time.Duration) (time.Duration, bool) {
-	left := r.left(ctx)
-	if !query.Again(r.admitted.Route, query.EndedSlow, r.sends.With(query.EndedSlow), left) {
+// checkSilence reports whether to cancel the attempt after it was silent for the time, or else returns the
+// time until the next check. A true result has been charged to the retry budget.
+func (a *attempt[H]) checkSilence(ctx context.Context, responseStarted bool, silent time.Duration) (time.Duration, bool) {
+	left := a.timeLeft(ctx)
+	if !query.Again(a.admitted.Route, query.EndedSlow, a.attempts.With(query.EndedSlow), left) {
 		return left + time.Second, false
 	}
-	now := r.carrier.config.Now()
-	patience := query.Patience(r.admitted.Route, begun, r.visit.lone(), r.visit.silent(now), silent)
-	if patience > 0 {
-		return patience, false
+	now := a.carrier.config.Now()
+	remaining := query.Patience(a.admitted.Route, responseStarted, a.load.isOnlyAttempt(), a.load.silence(now), silent)
+	if remaining > 0 {
+		return remaining, false
 	}
-	if !r.carrier.paid(r.target, repeat) {
-		return unpaidPause, false
+	if !a.carrier.spendBudget(a.service, useRetry) {
+		return noBudgetPause, false
 	}
 	return 0, true
 }
 
-// lookLeast is how often a run is looked at; what other runs see of its server may shorten its time.
-const lookLeast = 1200 * time.Millisecond
+// maxCheckInterval is the longest time between two checks. The remaining time may shrink between them, as
+// it also depends on what other attempts observe of the server.
+const maxCheckInterval = 1200 * time.Millisecond
 
-// unpaidPause is when a run is looked at again that the budget doesn't allow to be given up.
-const unpaidPause = 100 * time.Millisecond
+// noBudgetPause is the time until the next check of an attempt that is due to be cancelled but for which
+// the retry budget is exhausted.
+const noBudgetPause = 100 * time.Millisecond
 
-// fed notes that the run has brought something.
-func (w *watchdog) fed() {
+// recordActivity records that a complete event was received and written to the caller.
+func (w *watchdog) recordActivity() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.last, w.begun = w.now(), true
+	w.lastActivity, w.responseStarted = w.now(), true
 }
 
-// stop ends the watch and reports whether the run was given up, which the budget has paid for.
+// stop stops the watchdog and reports whether it cancelled the attempt, in which case the next attempt
+// has been charged to the retry budget.
 func (w *watchdog) stop() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.over = true
+	w.stopped = true
 	w.timer.Stop()
-	return w.gaveUp
+	return w.cancelled
 }
 
-func (w *watchdog) look() {
+// checkNow runs when the timer fires.
+func (w *watchdog) checkNow() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.over {
+	if w.stopped {
 		return
 	}
-	next, give := w.check(w.begun, w.now().Sub(w.last))
-	if give {
-		w.over, w.gaveUp = true, true
-		w.giveUp()
+	next, giveUp := w.check(w.responseStarted, w.now().Sub(w.lastActivity))
+	if giveUp {
+		w.stopped, w.cancelled = true, true
+		w.cancelAttempt()
 		return
 	}
-	w.timer.Reset(min(max(next, time.Millisecond), lookLeast))
+	w.timer.Reset(min(max(next, time.Millisecond), maxCheckInterval))
 }
