--- a/io/feeds/doc.go
+++ b/io/feeds/doc.go
@@ -1,3 +1,8 @@
-// Package feeds keeps the control state up to date from the platform's store, and from other
-// instances while the store is out of reach, and keeps the instance registered there.
+// Package feeds synchronizes the control state with the platform's store, and keeps this instance
+// registered there.
+//
+// A Follower applies the store's changes to the Control loop. In each failure domain only a few
+// instances, its readers, read the store themselves; the others get the changes from them through
+// Peers. While the store is unreachable, every instance pulls changes from other instances. Offer
+// serves such calls, and Net makes them. A Registry holds the lease on this instance's entry.
 package feeds
--- a/io/feeds/follow.go
+++ b/io/feeds/follow.go
@@ -15,177 +15,182 @@
 )
 
 const (
-	// watchWait is how long the store holds a call that waits for changes; a store that falls silent
-	// is noticed after that time.
-	watchWait = 2 * time.Second
-	// settle gathers changes that come shortly after one another into one call.
-	settle = 250 * time.Millisecond
-	// peerSettle does so for calls to other instances, which are asked in turn.
-	peerSettle = 100 * time.Millisecond
-	// storeRetry is the first pause after a failed call, and storeRetryMost the longest.
-	storeRetry     = 200 * time.Millisecond
-	storeRetryMost = time.Second
-	// peerWait is how long another instance holds a call that waits for news.
-	peerWait    = 300 * time.Millisecond
-	peerTimeout = 500 * time.Millisecond
-	// bulkTimeout bounds an answer that holds everything.
-	bulkTimeout = 3 * time.Second
-	peerPause   = 200 * time.Millisecond
-	// suspectFor is how long a reader that did not answer is passed over.
-	suspectFor = 5 * time.Second
-	tickEvery  = 500 * time.Millisecond
+	// storeLongPoll is how long the store may hold a call that waits for changes. A store that stops
+	// answering is noticed only after that time.
+	storeLongPoll = 2 * time.Second
+	// storeCoalescePause is the pause between calls to the store, so that changes in quick succession
+	// are read in one call.
+	storeCoalescePause = 250 * time.Millisecond
+	// peerCoalescePause is that pause for calls to other instances. It is shorter, since several instances
+	// are asked in turn.
+	peerCoalescePause = 100 * time.Millisecond
+	// minStoreRetryPause is the first pause after a failed call; it doubles up to maxStoreRetryPause.
+	minStoreRetryPause = 200 * time.Millisecond
+	maxStoreRetryPause = time.Second
+	// peerLongPoll is how long another instance may hold a call that waits for changes.
+	peerLongPoll = 300 * time.Millisecond
+	peerTimeout  = 500 * time.Millisecond
+	// bulkTimeout is the time-out of a call whose answer may be a full snapshot.
+	bulkTimeout    = 3 * time.Second
+	peerRetryPause = 200 * time.Millisecond
+	// readerSuspicionTime is how long a reader that failed is not asked again.
+	readerSuspicionTime = 5 * time.Second
+	tickInterval        = 500 * time.Millisecond
 )
 
-// Config sets up a Follower.
+// Config holds the dependencies and settings of a Follower.
 type Config struct {
 	Store   Reader
 	Peers   Peers
 	Control Control
-	// Seeds returns addresses of other instances that the settings name; they may be stale.
+	// Seeds returns the addresses of other instances from the settings; they may be stale.
 	Seeds func() []string
-	// Grace is how long a live server that vanished while the store was away still counts.
+	// Grace is how long after an outage of the store a server is kept whose entry the store has lost,
+	// since a live server writes its entry again.
 	Grace time.Duration
 	Now   func() time.Time
 }
 
-// Follower keeps the control state up to date.
+// Follower keeps the control state up to date with the store.
 type Follower struct {
 	config Config
-	// suspects are readers that did not answer, until when they are passed over; only Run uses it.
-	suspects map[relay.MemberName]time.Time
-	// trusted is set while the store answered this instance's last call; until then it is asked for an
-	// answer at once, since a call that waits tells too late that it is lost. Only Run uses it.
-	trusted bool
-	// turn counts the calls to other instances; only Run uses it.
-	turn int
+	// suspectedUntil holds readers that failed, and until when they are not asked; only Run uses it.
+	suspectedUntil map[relay.MemberName]time.Time
+	// storeConfirmed is set while the store answered this instance's last call. Until then calls don't
+	// wait for changes, because a lost call that waits would be noticed too late. Only Run uses it.
+	storeConfirmed bool
+	// peerCalls counts the calls to readers, which are asked in turn; only Run uses it.
+	peerCalls int
 }
 
-// New returns a follower, or an error that names what the configuration lacks.
+// New returns a follower, or an error when the configuration is incomplete.
 func New(c Config) (*Follower, error) {
 	if c.Store == nil || c.Peers == nil || c.Control == nil || c.Seeds == nil || c.Now == nil {
 		return nil, errors.New("follower: store, peers, control, seeds and clock are needed")
 	}
-	return &Follower{config: c, suspects: make(map[relay.MemberName]time.Time)}, nil
+	return &Follower{config: c, suspectedUntil: make(map[relay.MemberName]time.Time)}, nil
 }
 
-// Run follows the store until the context ends.
+// Run follows the store, directly or through its readers, until the context ends.
 func (f *Follower) Run(ctx context.Context) error {
-	pause := storeRetry
+	pause := minStoreRetryPause
 	for {
-		err := f.read(ctx)
+		err := f.readNext(ctx)
 		if ctx.Err() != nil {
 			return nil
 		}
 		if err == nil {
-			pause = storeRetry
-			if !clock.Passed(ctx, f.rest()) {
+			pause = minStoreRetryPause
+			if !clock.Passed(ctx, f.pauseAfterRead()) {
 				return nil
 			}
 			continue
 		}
-		if err := f.do(ctx, cmds.StoreAway{Cause: err.Error()}); err != nil {
+		if err := f.apply(ctx, cmds.StoreAway{Cause: err.Error()}); err != nil {
 			return err
 		}
 		if !clock.Passed(ctx, jitter(pause)) {
 			return nil
 		}
-		pause = min(storeRetryMost, pause*2)
+		pause = min(maxStoreRetryPause, pause*2)
 	}
 }
 
-// rest returns the pause after a call that was answered, which gathers further changes.
-func (f *Follower) rest() time.Duration {
-	if f.trusted {
-		return settle
+// pauseAfterRead returns the pause after a successful call, in which further changes accumulate.
+func (f *Follower) pauseAfterRead() time.Duration {
+	if f.storeConfirmed {
+		return storeCoalescePause
 	}
-	return peerSettle
+	return peerCoalescePause
 }
 
-// read takes in the next changes, or everything when there is nothing to start from.
-func (f *Follower) read(ctx context.Context) error {
+// readNext applies the next changes, or a full snapshot when the state is still empty.
+func (f *Follower) readNext(ctx context.Context) error {
 	s := f.config.Control.Snapshot()
 	if s.Revision == 0 {
-		return f.image(ctx)
+		return f.readSnapshot(ctx)
 	}
-	if _, other := query.Reader(s, f.suspected); other && s.Away.IsZero() {
-		f.turn++
-		return f.readOther(ctx, s, query.Teller(s, f.turn, f.suspected))
+	if _, hasOtherReader := query.Reader(s, f.isSuspected); hasOtherReader && s.Away.IsZero() {
+		f.peerCalls++
+		return f.readFromPeer(ctx, s, query.Teller(s, f.peerCalls, f.isSuspected))
 	}
 	wait := time.Duration(0)
-	if f.trusted && s.Away.IsZero() {
-		wait = watchWait
+	if f.storeConfirmed && s.Away.IsZero() {
+		wait = storeLongPoll
 	}
-	return f.changes(ctx, s, wait)
+	return f.readChanges(ctx, s, wait)
 }
 
-// changes takes in what the store itself tells.
-func (f *Follower) changes(ctx context.Context, s relay.State, wait time.Duration) error {
+// readChanges applies the changes that the store returns.
+func (f *Follower) readChanges(ctx context.Context, s relay.State, wait time.Duration) error {
 	feed, err := f.config.Store.Changes(ctx, s.Revision, wait)
-	f.trusted = err == nil
+	f.storeConfirmed = err == nil
 	if errors.Is(err, ErrForgotten) {
-		return f.image(ctx)
+		return f.readSnapshot(ctx)
 	}
 	if err != nil {
 		return fmt.Errorf("follow the store: %w", err)
 	}
-	return f.learn(ctx, feed, "store", true)
+	return f.applyFeed(ctx, feed, "store", true)
 }
 
-// readOther takes in what another instance has read; one that doesn't answer, or can't reach
-// the store, is passed over for a while.
-func (f *Follower) readOther(ctx context.Context, s relay.State, m relay.Member) error {
-	limited, cancel := context.WithTimeout(ctx, peerWait+peerTimeout)
+// readFromPeer applies the changes that another instance has read. One that fails, or can't reach the
+// store, is suspected for a while; one that has too many changes to send is bypassed this time.
+func (f *Follower) readFromPeer(ctx context.Context, s relay.State, peer relay.Member) error {
+	limited, cancel := context.WithTimeout(ctx, peerLongPoll+peerTimeout)
 	defer cancel()
-	f.trusted = false
-	feed, err := f.config.Peers.Since(limited, m.Address, Ask{Revision: s.Revision, Wait: peerWait})
+	f.storeConfirmed = false
+	feed, err := f.config.Peers.Since(limited, peer.Address, Ask{Revision: s.Revision, Wait: peerLongPoll})
 	if err == nil && feed.TooMuch && !feed.Away {
-		return f.changes(ctx, s, 0)
+		return f.readChanges(ctx, s, 0)
 	}
 	if err == nil && !feed.Away {
-		return f.learn(ctx, feed, string(m.Name), false)
+		return f.applyFeed(ctx, feed, string(peer.Name), false)
 	}
-	f.suspects[m.Name] = f.config.Now().Add(suspectFor)
+	f.suspectedUntil[peer.Name] = f.config.Now().Add(readerSuspicionTime)
 	return nil
 }
 
-func (f *Follower) suspected(n relay.MemberName) bool {
-	return f.config.Now().Before(f.suspects[n])
+// isSuspected reports whether the instance is currently not to be asked.
+func (f *Follower) isSuspected(name relay.MemberName) bool {
+	return f.config.Now().Before(f.suspectedUntil[name])
 }
 
-func (f *Follower) image(ctx context.Context) error {
+// readSnapshot applies a full snapshot of the store.
+func (f *Follower) readSnapshot(ctx context.Context) error {
 	feed, err := f.config.Store.Image(ctx)
-	f.trusted = err == nil
+	f.storeConfirmed = err == nil
 	if err != nil {
 		return fmt.Errorf("read the store: %w", err)
 	}
-	return f.learn(ctx, feed, "store", true)
+	return f.applyFeed(ctx, feed, "store", true)
 }
 
-func (f *Follower) learn(ctx context.Context, feed relay.Feed, from string, direct bool) error {
-	return f.do(ctx, cmds.Learn{Feed: feed, From: from, Direct: direct, Grace: f.config.Grace})
+func (f *Follower) applyFeed(ctx context.Context, feed relay.Feed, source string, direct bool) error {
+	return f.apply(ctx, cmds.Learn{Feed: feed, From: source, Direct: direct, Grace: f.config.Grace})
 }
 
-func (f *Follower) do(ctx context.Context, c loop.Command[relay.State, relay.Effect]) error {
-	if err := f.config.Control.Do(ctx, c); err != nil && ctx.Err() == nil {
+func (f *Follower) apply(ctx context.Context, command loop.Command[relay.State, relay.Effect]) error {
+	if err := f.config.Control.Do(ctx, command); err != nil && ctx.Err() == nil {
 		return fmt.Errorf("change control state: %w", err)
 	}
 	return nil
 }
 
-// Tick drops what has outlived its grace, until the context ends.
+// Tick removes the servers whose grace period has ended, until the context ends.
 func (f *Follower) Tick(ctx context.Context) error {
-	for clock.Passed(ctx, tickEvery) {
+	for clock.Passed(ctx, tickInterval) {
 		if f.config.Control.Snapshot().Missing() == 0 {
 			continue
 		}
-		if err := f.do(ctx, cmds.Tick{}); err != nil {
+		if err := f.apply(ctx, cmds.Tick{}); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// RunPeers asks other instances for news while the store is out of reach, until the context ends.
+// RunPeers pulls changes from other instances while the store is unreachable, until the context ends.
 func (f *Follower) RunPeers(ctx context.Context) error {
 	for {
 		s, changed := f.config.Control.Watch()
@@ -197,47 +202,48 @@
 			}
 			continue
 		}
-		address, ok := f.other(s)
-		if !ok || !f.ask(ctx, address, s.Revision) {
-			if !clock.Passed(ctx, jitter(peerPause)) {
+		address, ok := f.randomPeer(s)
+		if !ok || !f.pullFromPeer(ctx, address, s.Revision) {
+			if !clock.Passed(ctx, jitter(peerRetryPause)) {
 				return nil
 			}
 		}
 	}
 }
 
-// ask reports whether the instance answered.
-func (f *Follower) ask(ctx context.Context, address string, revision int64) bool {
-	limited, cancel := context.WithTimeout(ctx, peerWait+bulkTimeout)
+// pullFromPeer applies the changes of the instance at the address, and reports whether it succeeded.
+func (f *Follower) pullFromPeer(ctx context.Context, address string, revision int64) bool {
+	limited, cancel := context.WithTimeout(ctx, peerLongPoll+bulkTimeout)
 	defer cancel()
-	feed, err := f.config.Peers.Since(limited, address, Ask{Revision: revision, Wait: peerWait, Bulk: true})
+	feed, err := f.config.Peers.Since(limited, address, Ask{Revision: revision, Wait: peerLongPoll, Bulk: true})
 	if err != nil {
-		// Any instance may be gone; the next one is asked after a pause.
+		// Instances may depart at any time; another one is asked after a pause.
 		return false
 	}
-	return f.learn(ctx, feed, address, false) == nil
+	return f.applyFeed(ctx, feed, address, false) == nil
 }
 
-// other returns another instance's address at random.
-func (f *Follower) other(s relay.State) (string, bool) {
-	var known []string
+// randomPeer returns the address of a randomly chosen other instance.
+func (f *Follower) randomPeer(s relay.State) (string, bool) {
+	var addresses []string
 	for _, m := range s.Members() {
 		if m.Name != s.Self.Name {
-			known = append(known, m.Address)
+			addresses = append(addresses, m.Address)
 		}
 	}
 	for _, seed := range f.config.Seeds() {
 		if seed != s.Self.Address {
-			known = append(known, seed)
+			addresses = append(addresses, seed)
 		}
 	}
-	if len(known) == 0 {
+	if len(addresses) == 0 {
 		return "", false
 	}
-	return known[rand.IntN(len(known))], true
+	return addresses[rand.IntN(len(addresses))], true
 }
 
-// jitter spreads the calls of instances that were all disturbed at the same moment.
+// jitter returns a random pause from half to one and a half of d, so that instances that failed at the
+// same moment don't retry at the same moment.
 func jitter(d time.Duration) time.Duration {
 	return d/2 + rand.N(d)
 }
--- a/io/feeds/follow_test.go
+++ b/io/feeds/follow_test.go
@@ -13,10 +13,12 @@
 	"endivehitch/core/relay/query"
 )
 
-// inForce is how soon a configuration must be in force at an instance that the store serves.
-const inForce = 2 * time.Second
+// maxInstallTime is the limit on the time until a new configuration is in force at an instance while the
+// store is available.
+const maxInstallTime = 2 * time.Second
 
-func play(t *testing.T, test func(t *testing.T, ctx context.Context, f *fleet)) {
+// runFleet runs the test with an empty fleet and a fake clock.
+func runFleet(t *testing.T, test func(t *testing.T, ctx context.Context, f *fleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -27,189 +29,189 @@
 	})
 }
 
-func TestAConfigurationIsInForceSoon(t *testing.T) {
-	play(t, func(t *testing.T, ctx context.Context, f *fleet) {
-		s := newStore()
-		s.config(1)
+func TestNewConfigurationIsInForceWithinTheLimit(t *testing.T) {
+	runFleet(t, func(t *testing.T, ctx context.Context, f *fleet) {
+		s := newFakeStore()
+		s.putConfig(1)
 		i := f.start(ctx, member("a", "d"), s)
-		i.knows(ctx, 1)
+		i.waitForVersion(ctx, 1)
 		time.Sleep(10 * time.Second)
-		s.config(2)
-		assert.Assert(t, i.knows(ctx, 2) < inForce)
+		s.putConfig(2)
+		assert.Assert(t, i.waitForVersion(ctx, 2) < maxInstallTime)
 	})
 }
 
-func TestADroppedHistoryIsReadWhole(t *testing.T) {
-	play(t, func(t *testing.T, ctx context.Context, f *fleet) {
-		s := newStore()
-		s.config(1)
-		s.server("x")
+func TestFullSnapshotIsReadAfterTheStoreDroppedItsHistory(t *testing.T) {
+	runFleet(t, func(t *testing.T, ctx context.Context, f *fleet) {
+		s := newFakeStore()
+		s.putConfig(1)
+		s.putServer("x")
 		i := f.start(ctx, member("a", "d"), s)
-		i.knows(ctx, 1)
-		s.deaf = true
-		s.remove("x")
-		s.config(2)
-		s.set(func() { s.floor, s.deaf = s.revision, false })
-		assert.Assert(t, i.knows(ctx, 2) < 4*time.Second)
-		assert.Equal(t, len(i.loop.Snapshot().Servers("app")), 0, "the server left in the gap")
-		assert.Equal(t, s.images, 2)
+		i.waitForVersion(ctx, 1)
+		s.stalledWatch = true
+		s.removeKey("x")
+		s.putConfig(2)
+		s.update(func() { s.compactedTo, s.stalledWatch = s.revision, false })
+		assert.Assert(t, i.waitForVersion(ctx, 2) < 4*time.Second)
+		assert.Equal(t, len(i.loop.Snapshot().Servers("app")), 0, "the server was removed among the dropped changes")
+		assert.Equal(t, s.snapshotReads, 2)
 	})
 }
 
-func TestWhileTheStoreIsDownWhatIsKnownHolds(t *testing.T) {
-	play(t, func(t *testing.T, ctx context.Context, f *fleet) {
-		s := newStore()
-		s.config(1)
-		s.server("x")
+func TestKnownStateIsKeptWhileTheStoreIsUnreachable(t *testing.T) {
+	runFleet(t, func(t *testing.T, ctx context.Context, f *fleet) {
+		s := newFakeStore()
+		s.putConfig(1)
+		s.putServer("x")
 		i := f.start(ctx, member("a", "d"), s)
-		i.knows(ctx, 1)
-		s.set(func() { s.away = true })
+		i.waitForVersion(ctx, 1)
+		s.update(func() { s.unreachable = true })
 		time.Sleep(30 * time.Second)
 		assert.Equal(t, i.loop.Snapshot().Config.Version, int64(1))
 		assert.Equal(t, len(i.loop.Snapshot().Servers("app")), 1)
 		assert.Assert(t, !i.loop.Snapshot().Away.IsZero())
-		s.set(func() { s.away = false })
-		s.config(2)
-		assert.Assert(t, i.knows(ctx, 2) < 3*time.Second)
+		s.update(func() { s.unreachable = false })
+		s.putConfig(2)
+		assert.Assert(t, i.waitForVersion(ctx, 2) < 3*time.Second)
 		assert.Assert(t, i.loop.Snapshot().Away.IsZero())
 	})
 }
 
-func TestEntriesThatLapsedWithTheStoreAreKeptForAWhile(t *testing.T) {
-	play(t, func(t *testing.T, ctx context.Context, f *fleet) {
-		s := newStore()
-		s.config(1)
-		s.server("x")
-		s.server("y")
+func TestEntriesThatExpiredDuringAnOutageAreKeptForTheGracePeriod(t *testing.T) {
+	runFleet(t, func(t *testing.T, ctx context.Context, f *fleet) {
+		s := newFakeStore()
+		s.putConfig(1)
+		s.putServer("x")
+		s.putServer("y")
 		i := f.start(ctx, member("a", "d"), s)
-		i.knows(ctx, 1)
-		s.set(func() { s.away = true })
+		i.waitForVersion(ctx, 1)
+		s.update(func() { s.unreachable = true })
 		time.Sleep(5 * time.Second)
-		s.remove("x")
-		s.remove("y")
-		s.set(func() { s.away = false })
+		s.removeKey("x")
+		s.removeKey("y")
+		s.update(func() { s.unreachable = false })
 		time.Sleep(1700 * time.Millisecond)
 		assert.Equal(t, len(i.loop.Snapshot().Servers("app")), 2)
-		s.server("y")
+		s.putServer("y")
 		time.Sleep(4 * time.Second)
-		assert.Equal(t, len(i.loop.Snapshot().Servers("app")), 1, "one of them did not come back")
+		assert.Equal(t, len(i.loop.Snapshot().Servers("app")), 1, "only the server that registered again must remain")
 	})
 }
 
-func TestAnInstanceThatTheStoreRefusesHearsFromOthers(t *testing.T) {
-	play(t, func(t *testing.T, ctx context.Context, f *fleet) {
+func TestInstanceWithoutStoreAccessGetsChangesFromPeers(t *testing.T) {
+	runFleet(t, func(t *testing.T, ctx context.Context, f *fleet) {
 		a, b := member("a", "d1"), member("b", "d2")
-		s, refused := newStore(), newStore()
-		both := func(change func(*store)) {
+		s, ownStore := newFakeStore(), newFakeStore()
+		both := func(change func(*fakeStore)) {
 			change(s)
-			change(refused)
+			change(ownStore)
 		}
-		both(func(s *store) {
-			s.put("ma", relay.Entry{Member: &a})
-			s.put("mb", relay.Entry{Member: &b})
-			s.config(1)
+		both(func(s *fakeStore) {
+			s.putEntry("ma", relay.Entry{Member: &a})
+			s.putEntry("mb", relay.Entry{Member: &b})
+			s.putConfig(1)
 		})
-		f.start(ctx, a, s).knows(ctx, 1)
-		i := f.start(ctx, b, refused)
-		i.knows(ctx, 1)
-		refused.set(func() { refused.silent = true })
+		f.start(ctx, a, s).waitForVersion(ctx, 1)
+		i := f.start(ctx, b, ownStore)
+		i.waitForVersion(ctx, 1)
+		ownStore.update(func() { ownStore.hanging = true })
 		time.Sleep(8 * time.Second)
-		s.config(2)
-		assert.Assert(t, i.knows(ctx, 2) < inForce)
+		s.putConfig(2)
+		assert.Assert(t, i.waitForVersion(ctx, 2) < maxInstallTime)
 	})
 }
 
-func TestNobodyWaitsForReadersThatAreCutOff(t *testing.T) {
-	for deafDomains := 1; deafDomains <= 2; deafDomains++ {
-		play(t, func(t *testing.T, ctx context.Context, f *fleet) {
+func TestReadersWithStalledWatchesDoNotDelayFollowers(t *testing.T) {
+	for stalledDomains := 1; stalledDomains <= 2; stalledDomains++ {
+		runFleet(t, func(t *testing.T, ctx context.Context, f *fleet) {
 			members := []relay.Member{
 				member("a1", "d1"), member("a2", "d1"), member("b1", "d2"), member("b2", "d2"), member("c1", "d3"), member("c2", "d3"),
 			}
-			s, deaf := newStore(), newStore()
-			for _, kept := range []*store{s, deaf} {
+			s, stalled := newFakeStore(), newFakeStore()
+			for _, each := range []*fakeStore{s, stalled} {
 				for _, m := range members {
-					kept.put(string(m.Name), relay.Entry{Member: &m})
+					each.putEntry(string(m.Name), relay.Entry{Member: &m})
 				}
-				kept.config(1)
+				each.putConfig(1)
 			}
 			image, err := s.Image(ctx)
 			assert.NilError(t, err)
 			var followers []*instance
 			for n, m := range members {
 				own := relay.New(m).WithFeed(image, time.Now(), 0)
-				_, other := query.Reader(own, func(relay.MemberName) bool { return false })
-				kept := s
-				if !other && n/2 < deafDomains {
-					kept = deaf
+				_, isFollower := query.Reader(own, func(relay.MemberName) bool { return false })
+				readFrom := s
+				if !isFollower && n/2 < stalledDomains {
+					readFrom = stalled
 				}
-				i := f.start(ctx, m, kept)
-				i.knows(ctx, 1)
-				if other {
+				i := f.start(ctx, m, readFrom)
+				i.waitForVersion(ctx, 1)
+				if isFollower {
 					followers = append(followers, i)
 				}
 			}
 			time.Sleep(5 * time.Second)
-			// The deaf readers' waiting calls hear nothing, and nothing tells them so.
-			s.config(2)
+			// The stalled readers' waiting calls return no changes, and the readers get no error from them.
+			s.putConfig(2)
 			began := time.Now()
 			for _, i := range followers {
-				i.knows(ctx, 2)
+				i.waitForVersion(ctx, 2)
 			}
 			assert.Equal(t, len(followers), 3)
-			assert.Assert(t, time.Since(began) < inForce, "%v with %d deaf readers", time.Since(began), deafDomains)
+			assert.Assert(t, time.Since(began) < maxInstallTime, "took %v with %d readers stalled", time.Since(began), stalledDomains)
 		})
 	}
 }
 
-func TestAFewReadersServeAll(t *testing.T) {
-	play(t, func(t *testing.T, ctx context.Context, f *fleet) {
-		s := newStore()
+func TestFewReadersServeAllInstances(t *testing.T) {
+	runFleet(t, func(t *testing.T, ctx context.Context, f *fleet) {
+		s := newFakeStore()
 		var members []relay.Member
 		for _, n := range []string{"a1", "a2", "a3", "a4", "b1", "b2", "b3", "b4"} {
 			m := member(n, n[:1])
 			members = append(members, m)
-			s.put(n, relay.Entry{Member: &m})
+			s.putEntry(n, relay.Entry{Member: &m})
 		}
-		s.config(1)
+		s.putConfig(1)
 		for _, m := range members {
-			f.start(ctx, m, s).knows(ctx, 1)
+			f.start(ctx, m, s).waitForVersion(ctx, 1)
 		}
 		time.Sleep(10 * time.Second)
 		s.mu.Lock()
-		before := s.watches
+		before := s.changeReads
 		s.mu.Unlock()
 		time.Sleep(20 * time.Second)
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		assert.Assert(t, s.watches-before <= 2*12, "%d calls of two readers in 20 s", s.watches-before)
+		assert.Assert(t, s.changeReads-before <= 2*12, "two readers made %d calls in 20 s", s.changeReads-before)
 	})
 }
 
-func TestManyChangesComeFromTheStoreItself(t *testing.T) {
-	play(t, func(t *testing.T, ctx context.Context, f *fleet) {
+func TestManyChangesAreReadFromTheStoreDirectly(t *testing.T) {
+	runFleet(t, func(t *testing.T, ctx context.Context, f *fleet) {
 		const followers, servers = 12, 1500
-		s := newStore()
+		s := newFakeStore()
 		for n := range followers {
 			m := member(fmt.Sprintf("m%02d", n), "d1")
-			s.put(string(m.Name), relay.Entry{Member: &m})
+			s.putEntry(string(m.Name), relay.Entry{Member: &m})
 		}
-		s.config(1)
+		s.putConfig(1)
 		var all []*instance
 		for n := range followers {
 			i := f.start(ctx, member(fmt.Sprintf("m%02d", n), "d1"), s)
-			i.knows(ctx, 1)
+			i.waitForVersion(ctx, 1)
 			all = append(all, i)
 		}
 		for n := range servers {
-			s.server(relay.ServerID(fmt.Sprint("s", n)))
+			s.putServer(relay.ServerID(fmt.Sprint("s", n)))
 		}
-		s.config(2)
+		s.putConfig(2)
 		began := time.Now()
 		for _, i := range all {
-			i.knows(ctx, 2)
+			i.waitForVersion(ctx, 2)
 			assert.Equal(t, len(i.loop.Snapshot().Servers("app")), servers)
 		}
-		assert.Assert(t, time.Since(began) < inForce, "%v", time.Since(began))
-		assert.Equal(t, f.bulky.Load(), int64(0), "a reader's link would be full for long")
+		assert.Assert(t, time.Since(began) < maxInstallTime, "took %v", time.Since(began))
+		assert.Equal(t, f.largeAnswers.Load(), int64(0), "large answers between instances would saturate a reader's link")
 	})
 }
--- a/io/feeds/peers.go
+++ b/io/feeds/peers.go
@@ -21,93 +21,95 @@
 	orderMethod = peer.Method[orderArgs, []relay.OrderAge]{Name: "OrderAges"}
 )
 
-// Offer serves what this instance knows to others.
-func Offer(r peer.Registrar, control Control, tallies func() []relay.Tally, now func() time.Time) error {
-	err := sinceMethod.Serve(r, func(a Ask) (relay.Feed, error) {
-		return since(control, a, now), nil
+// Offer registers the methods that serve this instance's changes, tallies and order ages to others.
+func Offer(registrar peer.Registrar, control Control, tallies func() []relay.Tally, now func() time.Time) error {
+	err := sinceMethod.Serve(registrar, func(request Ask) (relay.Feed, error) {
+		return waitForChanges(control, request, now), nil
 	})
 	if err != nil {
-		return fmt.Errorf("offer news: %w", err)
+		return fmt.Errorf("register method for changes: %w", err)
 	}
-	err = tallyMethod.Serve(r, func(tallyArgs) ([]relay.Tally, error) { return tallies(), nil })
+	err = tallyMethod.Serve(registrar, func(tallyArgs) ([]relay.Tally, error) { return tallies(), nil })
 	if err != nil {
-		return fmt.Errorf("offer tallies: %w", err)
+		return fmt.Errorf("register method for tallies: %w", err)
 	}
-	err = orderMethod.Serve(r, func(orderArgs) ([]relay.OrderAge, error) { return control.Snapshot().OrderAges(now()), nil })
+	err = orderMethod.Serve(registrar, func(orderArgs) ([]relay.OrderAge, error) { return control.Snapshot().OrderAges(now()), nil })
 	if err != nil {
-		return fmt.Errorf("offer order ages: %w", err)
+		return fmt.Errorf("register method for order ages: %w", err)
 	}
 	return nil
 }
 
-// since waits until there is something newer than the revision.
-func since(control Control, a Ask, now func() time.Time) relay.Feed {
-	timer := time.NewTimer(min(a.Wait, watchWait))
+// waitForChanges waits for a revision newer than the requested one, and returns no changes when there is
+// none in time.
+func waitForChanges(control Control, request Ask, now func() time.Time) relay.Feed {
+	timer := time.NewTimer(min(request.Wait, storeLongPoll))
 	defer timer.Stop()
 	for {
 		s, changed := control.Watch()
-		if s.Revision > a.Revision {
-			return told(s, Bounded(s.Since(a.Revision), a), now())
+		if s.Revision > request.Revision {
+			return withStoreStatus(s, LimitFeed(s.Since(request.Revision), request), now())
 		}
 		select {
 		case <-changed:
 		case <-timer.C:
-			return told(s, relay.Feed{After: a.Revision, Revision: a.Revision}, now())
+			return withStoreStatus(s, relay.Feed{After: request.Revision, Revision: request.Revision}, now())
 		}
 	}
 }
 
-// mostTold is how many changes an instance sends in one answer that wasn't asked for in bulk: what the
-// followers of one reader together get is bounded by its own link, while the store has a wide one.
-const mostTold = 128
+// maxChangesPerAnswer is how many changes an instance sends in an answer that was not asked for in bulk.
+// All followers of a reader share its network link, while the store's has more bandwidth.
+const maxChangesPerAnswer = 128
 
-// Bounded returns the feed, or in its place that it is too much for the asking instance.
-func Bounded(f relay.Feed, a Ask) relay.Feed {
-	if a.Bulk || (!f.Whole && len(f.Changes) <= mostTold) {
-		return f
+// LimitFeed returns the feed, or an empty one marked TooMuch when the requesting instance should read
+// the store itself.
+func LimitFeed(feed relay.Feed, request Ask) relay.Feed {
+	if request.Bulk || (!feed.Whole && len(feed.Changes) <= maxChangesPerAnswer) {
+		return feed
 	}
-	return relay.Feed{TooMuch: true, After: a.Revision, Revision: a.Revision}
+	return relay.Feed{TooMuch: true, After: request.Revision, Revision: request.Revision}
 }
 
-// told adds what the instance itself knows of the store.
-func told(s relay.State, f relay.Feed, now time.Time) relay.Feed {
-	f.Away = !s.Away.IsZero()
-	if !s.Back.IsZero() {
-		f.Back = now.Sub(s.Back)
+// withStoreStatus adds to the feed whether and since when this instance can reach the store.
+func withStoreStatus(state relay.State, feed relay.Feed, now time.Time) relay.Feed {
+	feed.Away = !state.Away.IsZero()
+	if !state.Back.IsZero() {
+		feed.Back = now.Sub(state.Back)
 	}
-	if !s.Served.IsZero() {
-		// An answer of this very moment must not look like none.
-		f.Served = max(1, now.Sub(s.Served))
+	if !state.Served.IsZero() {
+		// Zero would mean that the time is not known.
+		feed.Served = max(1, now.Sub(state.Served))
 	}
-	return f
+	return feed
 }
 
-// Net asks other instances over the peers' connections.
+// Net calls other instances over the peer connections; it implements Peers.
 type Net struct {
-	// Client holds the connections.
+	// Client holds the connections to other instances.
 	Client *peer.Client
 }
 
-// Since asks the instance at the address for what follows a revision.
-func (n Net) Since(ctx context.Context, address string, a Ask) (relay.Feed, error) {
-	feed, err := sinceMethod.Call(ctx, n.Client, instanceAt(address), a)
+// Since requests the changes after a revision from the instance at the address.
+func (n Net) Since(ctx context.Context, address string, request Ask) (relay.Feed, error) {
+	feed, err := sinceMethod.Call(ctx, n.Client, instanceAt(address), request)
 	if err == nil && feed.Revision == 0 {
-		return relay.Feed{}, errNothing
+		return relay.Feed{}, errNoState
 	}
 	return feed, err
 }
 
-// Tallies asks the instance at the address for its tallies.
+// Tallies requests the tallies of the instance at the address.
 func (n Net) Tallies(ctx context.Context, address string) ([]relay.Tally, error) {
 	return tallyMethod.Call(ctx, n.Client, instanceAt(address), tallyArgs{})
 }
 
-// OrderAges asks the instance at the address how old the roll-outs' orders are.
+// OrderAges requests the ages of the roll-out orders from the instance at the address.
 func (n Net) OrderAges(ctx context.Context, address string) ([]relay.OrderAge, error) {
 	return orderMethod.Call(ctx, n.Client, instanceAt(address), orderArgs{})
 }
 
-var errNothing = errors.New("the instance knows nothing yet")
+var errNoState = errors.New("instance has no control state yet")
 
 func instanceAt(address string) value.Instance {
 	return value.Instance{ID: value.InstanceID(address), PeerAddress: address}
--- a/io/feeds/ports.go
+++ b/io/feeds/ports.go
@@ -11,58 +11,59 @@
 
 // Errors of a Store.
 var (
-	// ErrAway is returned when the store did not answer, or answered that it can't at present.
-	ErrAway = errors.New("store is out of reach")
-	// ErrForgotten is returned when the store has dropped the changes that were asked for.
-	ErrForgotten = errors.New("store has dropped this history")
+	// ErrAway is returned when the store did not answer, or answered that it is unavailable.
+	ErrAway = errors.New("store is unreachable")
+	// ErrForgotten is returned when the store no longer has the changes that were asked for.
+	ErrForgotten = errors.New("store no longer has the requested changes")
 	// ErrConflict is returned when a write's condition does not hold.
-	ErrConflict = errors.New("condition of the write does not hold")
-	// ErrLapsed is returned when a lease has ended.
-	ErrLapsed = errors.New("lease has ended")
+	ErrConflict = errors.New("write condition does not hold")
+	// ErrLapsed is returned when a lease has expired.
+	ErrLapsed = errors.New("lease has expired")
 )
 
-// Reader reads what the store keeps.
+// Reader reads the entries of the store.
 type Reader interface {
-	// Image reads everything.
+	// Image reads a full snapshot of the store.
 	Image(ctx context.Context) (relay.Feed, error)
-	// Changes waits for changes after the revision; the error may wrap ErrForgotten.
+	// Changes returns the changes after the revision, and waits up to the time for the first of them; the
+	// error may wrap ErrForgotten.
 	Changes(ctx context.Context, after int64, wait time.Duration) (relay.Feed, error)
 }
 
-// Leaser holds leases and what depends on them.
+// Leaser holds leases and the instance's entry, which is removed with its lease.
 type Leaser interface {
-	// Lease takes a lease for the time.
+	// Lease acquires a lease with the lifetime, and returns its ID.
 	Lease(ctx context.Context, life time.Duration) (int64, error)
-	// Keep renews the lease; the error wraps ErrLapsed when it has ended.
+	// Keep renews the lease; the error wraps ErrLapsed when it has expired.
 	Keep(ctx context.Context, lease int64) error
-	// Release ends the lease.
+	// Release ends the lease before it expires.
 	Release(ctx context.Context, lease int64) error
 	// Register writes the instance's entry under the lease.
 	Register(ctx context.Context, m relay.Member, lease int64) error
 }
 
-// Ask is what an instance asks another one.
+// Ask is the request of one instance to another for changes.
 type Ask struct {
-	// Revision is the newest one that the asking instance has.
+	// Revision is the latest revision that the requesting instance has.
 	Revision int64
-	// Wait is how long the other one waits for news at most.
+	// Wait is how long the answering instance may wait for a newer revision.
 	Wait time.Duration
-	// Bulk asks for all there is, however much; without it the answer may be that it is too much.
+	// Bulk asks for all changes, however many; without it the answer may be that there are too many.
 	Bulk bool
 }
 
-// Peers asks other instances.
+// Peers requests changes from other instances.
 type Peers interface {
-	// Since asks the instance at the address for what follows a revision.
+	// Since requests the changes after a revision from the instance at the address.
 	Since(ctx context.Context, address string, a Ask) (relay.Feed, error)
 }
 
-// Control is the control loop, as its workers use it.
+// Control is the control loop that owns the state.
 type Control interface {
 	// Snapshot returns the latest state.
 	Snapshot() relay.State
 	// Watch returns the latest state and a channel that is closed once there is a newer one.
 	Watch() (relay.State, <-chan struct{})
-	// Do applies the command.
+	// Do applies the command to the state.
 	Do(ctx context.Context, c loop.Command[relay.State, relay.Effect]) error
 }
--- a/io/feeds/register.go
+++ b/io/feeds/register.go
@@ -11,21 +11,22 @@
 )
 
 const (
-	memberLife  = 30 * time.Second
-	memberRenew = 10 * time.Second
-	memberRetry = time.Second
+	// memberLeaseTTL is how long the entry of an instance that crashed remains; it spans several renewals.
+	memberLeaseTTL      = 30 * time.Second
+	memberRenewInterval = 10 * time.Second
+	memberRetryPause    = time.Second
 )
 
-// Registry keeps the instance's entry in the store.
+// Registry keeps the instance's entry in the store while the instance runs.
 type Registry struct {
-	// Store holds the lease that the entry depends on.
+	// Store holds the entry and its lease.
 	Store Leaser
 	Self  relay.Member
-	// Failed is told of calls that failed; they are tried again.
+	// Failed is called with the error of each failed call, which is then retried.
 	Failed func(error)
 }
 
-// Run keeps the entry until the context ends, and removes it then.
+// Run keeps the entry registered until the context ends, and removes it then.
 func (r Registry) Run(ctx context.Context) error {
 	var lease int64
 	for {
@@ -34,45 +35,47 @@
 			break
 		}
 		lease = next
-		pause := memberRenew
+		pause := memberRenewInterval
 		if err != nil {
 			r.Failed(err)
-			pause = jitter(memberRetry)
+			pause = jitter(memberRetryPause)
 		}
 		if !clock.Passed(ctx, pause) {
 			break
 		}
 	}
-	return r.leave(context.WithoutCancel(ctx), lease)
+	return r.deregister(context.WithoutCancel(ctx), lease)
 }
 
-// renew returns the lease under which the entry stands, or zero.
+// renew renews the lease, or acquires one and registers the entry when lease is zero. It returns the lease
+// that holds the entry, or zero.
 func (r Registry) renew(ctx context.Context, lease int64) (int64, error) {
 	if lease != 0 {
 		err := r.Store.Keep(ctx, lease)
 		if errors.Is(err, ErrLapsed) {
-			return 0, fmt.Errorf("renew registration: %w", err)
+			return 0, fmt.Errorf("renew registration lease: %w", err)
 		}
 		return lease, err
 	}
-	lease, err := r.Store.Lease(ctx, memberLife)
+	lease, err := r.Store.Lease(ctx, memberLeaseTTL)
 	if err != nil {
-		return 0, fmt.Errorf("take registration's lease: %w", err)
+		return 0, fmt.Errorf("acquire registration lease: %w", err)
 	}
 	if err := r.Store.Register(ctx, r.Self, lease); err != nil {
-		return 0, fmt.Errorf("register: %w", err)
+		return 0, fmt.Errorf("write registration entry: %w", err)
 	}
 	return lease, nil
 }
 
-func (r Registry) leave(ctx context.Context, lease int64) error {
+// deregister releases the lease, with which the entry is removed.
+func (r Registry) deregister(ctx context.Context, lease int64) error {
 	if lease == 0 {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, memberRetry)
+	ctx, cancel := context.WithTimeout(ctx, memberRetryPause)
 	defer cancel()
 	if err := r.Store.Release(ctx, lease); err != nil {
-		r.Failed(fmt.Errorf("end registration: %w", err))
+		r.Failed(fmt.Errorf("release registration lease: %w", err))
 	}
 	return nil
 }
--- a/io/feeds/rig_test.go
+++ b/io/feeds/rig_test.go
@@ -15,23 +15,24 @@
 	"endivehitch/io/feeds"
 )
 
-// store is a small stand-in of the metadata store with one series of changes.
-type store struct {
-	mu       sync.Mutex
-	changes  []relay.Change
-	revision int64
-	floor    int64
-	changed  chan struct{}
-	// silent makes calls hang, away makes them fail, deaf makes waiting calls hear nothing.
-	silent, away, deaf bool
-	images, watches    int
+// fakeStore is an in-memory metadata store with one sequence of changes.
+type fakeStore struct {
+	mu          sync.Mutex
+	changes     []relay.Change
+	revision    int64
+	compactedTo int64
+	changed     chan struct{}
+	// hanging delays calls until they time out, unreachable makes them fail, and stalledWatch makes calls
+	// that wait return no changes.
+	hanging, unreachable, stalledWatch bool
+	snapshotReads, changeReads         int
 }
 
-func newStore() *store {
-	return &store{changed: make(chan struct{}), revision: 1}
+func newFakeStore() *fakeStore {
+	return &fakeStore{changed: make(chan struct{}), revision: 1}
 }
 
-func (s *store) set(change func()) {
+func (s *fakeStore) update(change func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change()
@@ -39,52 +40,53 @@
 	s.changed = make(chan struct{})
 }
 
-func (s *store) put(key string, e relay.Entry) {
-	s.set(func() {
+func (s *fakeStore) putEntry(key string, e relay.Entry) {
+	s.update(func() {
 		s.revision++
 		s.changes = append(s.changes, relay.Change{Key: key, Revision: s.revision, Entry: e})
 	})
 }
 
-func (s *store) config(version int64) {
-	s.put("config", relay.Entry{Config: &relay.Config{Version: version}})
+func (s *fakeStore) putConfig(version int64) {
+	s.putEntry("config", relay.Entry{Config: &relay.Config{Version: version}})
 }
 
-func (s *store) server(id relay.ServerID) {
-	s.put(string(id), relay.Entry{Server: &relay.Server{ID: id, Service: "app"}})
+func (s *fakeStore) putServer(id relay.ServerID) {
+	s.putEntry(string(id), relay.Entry{Server: &relay.Server{ID: id, Service: "app"}})
 }
 
-func (s *store) remove(key string) {
-	s.set(func() {
+func (s *fakeStore) removeKey(key string) {
+	s.update(func() {
 		s.revision++
 		s.changes = append(s.changes, relay.Change{Key: key, Revision: s.revision, Gone: true})
 	})
 }
 
-// reach waits as long as a client of the store would.
-func (s *store) reach(ctx context.Context) error {
+// simulateOutage fails while the store is hanging or unreachable; a hanging call takes as long as a real
+// client's time-out.
+func (s *fakeStore) simulateOutage(ctx context.Context) error {
 	s.mu.Lock()
-	silent, away := s.silent, s.away
+	hanging, unreachable := s.hanging, s.unreachable
 	s.mu.Unlock()
-	if silent {
+	if hanging {
 		if err := clock.Wait(ctx, time.Second); err != nil {
 			return err
 		}
 		return feeds.ErrAway
 	}
-	if away {
+	if unreachable {
 		return feeds.ErrAway
 	}
 	return nil
 }
 
-func (s *store) Image(ctx context.Context) (relay.Feed, error) {
-	if err := s.reach(ctx); err != nil {
+func (s *fakeStore) Image(ctx context.Context) (relay.Feed, error) {
+	if err := s.simulateOutage(ctx); err != nil {
 		return relay.Feed{}, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.images++
+	s.snapshotReads++
 	last := make(map[string]relay.Change)
 	for _, c := range s.changes {
 		last[c.Key] = c
@@ -98,33 +100,33 @@
 	return f, nil
 }
 
-func (s *store) Changes(ctx context.Context, after int64, wait time.Duration) (relay.Feed, error) {
+func (s *fakeStore) Changes(ctx context.Context, after int64, wait time.Duration) (relay.Feed, error) {
 	s.mu.Lock()
-	s.watches++
+	s.changeReads++
 	s.mu.Unlock()
 	deadline := time.Now().Add(wait)
 	for {
-		if err := s.reach(ctx); err != nil {
+		if err := s.simulateOutage(ctx); err != nil {
 			return relay.Feed{}, err
 		}
 		s.mu.Lock()
-		changed, deaf := s.changed, s.deaf && wait > 0
+		changed, stalled := s.changed, s.stalledWatch && wait > 0
 		f := relay.Feed{After: after, Revision: s.revision}
 		for _, c := range s.changes {
 			if c.Revision > after {
 				f.Changes = append(f.Changes, c)
 			}
 		}
-		forgotten := after < s.floor
+		compacted := after < s.compactedTo
 		s.mu.Unlock()
-		if forgotten {
+		if compacted {
 			return relay.Feed{}, feeds.ErrForgotten
 		}
 		left := time.Until(deadline)
-		if deaf {
+		if stalled {
 			f = relay.Feed{After: after, Revision: after}
 		}
-		if (len(f.Changes) > 0 && !deaf) || left <= 0 {
+		if (len(f.Changes) > 0 && !stalled) || left <= 0 {
 			return f, nil
 		}
 		timer := time.NewTimer(left)
@@ -138,47 +140,47 @@
 	}
 }
 
-// fleet has instances that tell one another what they know.
+// fleet is a set of instances that serve one another's Since calls in memory.
 type fleet struct {
 	t *testing.T
-	// bulky counts the large answers among instances.
-	bulky     atomic.Int64
-	mu        sync.Mutex
-	instances map[string]*instance
+	// largeAnswers counts the answers between instances that held more than 128 changes or a snapshot.
+	largeAnswers atomic.Int64
+	mu           sync.Mutex
+	instances    map[string]*instance
 }
 
 type instance struct {
 	loop  *loop.Loop[relay.State, relay.Effect]
-	store *store
+	store *fakeStore
 }
 
-func (f *fleet) Since(ctx context.Context, address string, a feeds.Ask) (relay.Feed, error) {
-	revision := a.Revision
+func (f *fleet) Since(ctx context.Context, address string, request feeds.Ask) (relay.Feed, error) {
+	revision := request.Revision
 	f.mu.Lock()
 	i, ok := f.instances[address]
 	f.mu.Unlock()
 	if !ok {
 		return relay.Feed{}, feeds.ErrAway
 	}
-	deadline := time.Now().Add(a.Wait)
+	deadline := time.Now().Add(request.Wait)
 	for {
 		s, changed := i.loop.Watch()
-		told := feeds.Bounded(s.Since(revision), a)
-		told.Away = !s.Away.IsZero()
+		feed := feeds.LimitFeed(s.Since(revision), request)
+		feed.Away = !s.Away.IsZero()
 		if !s.Back.IsZero() {
-			told.Back = time.Since(s.Back)
+			feed.Back = time.Since(s.Back)
 		}
 		if s.Revision > revision {
-			if told.Whole || len(told.Changes) > 128 {
-				f.bulky.Add(1)
+			if feed.Whole || len(feed.Changes) > 128 {
+				f.largeAnswers.Add(1)
 			}
-			return told, nil
+			return feed, nil
 		}
 		timer := time.NewTimer(time.Until(deadline))
 		select {
 		case <-changed:
 		case <-timer.C:
-			return relay.Feed{After: revision, Revision: revision, Away: told.Away, Back: told.Back}, nil
+			return relay.Feed{After: revision, Revision: revision, Away: feed.Away, Back: feed.Back}, nil
 		case <-ctx.Done():
 			return relay.Feed{}, ctx.Err()
 		}
@@ -186,10 +188,10 @@
 	}
 }
 
-const grace = 2200 * time.Millisecond
+const graceTime = 2200 * time.Millisecond
 
-// start starts an instance that reads the store; its address is its name.
-func (f *fleet) start(ctx context.Context, self relay.Member, s *store) *instance {
+// start starts an instance with the store.
+func (f *fleet) start(ctx context.Context, self relay.Member, s *fakeStore) *instance {
 	f.t.Helper()
 	l, err := loop.New(loop.Config[relay.State, relay.Effect]{Initial: relay.New(self), Now: time.Now, Mailbox: 8})
 	assert.NilError(f.t, err)
@@ -198,7 +200,7 @@
 	f.instances[self.Address] = i
 	f.mu.Unlock()
 	follow, err := feeds.New(feeds.Config{
-		Seeds: func() []string { return nil }, Store: s, Peers: f, Control: l, Grace: grace, Now: time.Now,
+		Seeds: func() []string { return nil }, Store: s, Peers: f, Control: l, Grace: graceTime, Now: time.Now,
 	})
 	assert.NilError(f.t, err)
 	go l.Run(ctx)
@@ -213,17 +215,18 @@
 	return i
 }
 
-// member registers the instance of that name in the failure domain.
+// member returns an instance of the failure domain, whose address is its name.
 func member(name, domain string) relay.Member {
 	return relay.Member{Name: relay.MemberName(name), Domain: relay.FailureDomain(domain), Address: name}
 }
 
-// longest bounds a test's waits, so that a failure ends.
-const longest = time.Minute
+// maxWait bounds each wait of a test, so that a failing one ends.
+const maxWait = time.Minute
 
-// knows returns how long it takes until the instance has the version, or the longest wait.
-func (i *instance) knows(ctx context.Context, version int64) time.Duration {
-	ctx, cancel := context.WithTimeout(ctx, longest)
+// waitForVersion waits until the instance has the configuration version, and returns the time it took, at
+// most maxWait.
+func (i *instance) waitForVersion(ctx context.Context, version int64) time.Duration {
+	ctx, cancel := context.WithTimeout(ctx, maxWait)
 	defer cancel()
 	began := time.Now()
 	for {
