--- a/io/rolls/ages.go
+++ b/io/rolls/ages.go
@@ -13,31 +13,32 @@
 )
 
 const (
-	// agePause is the time between two instances that are asked, and ageMost bounds how many are.
-	agePause = 100 * time.Millisecond
-	ageMost  = 8
+	// retryPause is the pause after an instance that did not answer, and maxAsked bounds how many of the
+	// instances are asked.
+	retryPause = 100 * time.Millisecond
+	maxAsked   = 8
 )
 
-// AgeTeller asks other instances how old the orders of roll-outs are.
-type AgeTeller interface {
-	// OrderAges asks the instance at the address.
+// AgeSource requests the ages of roll-out orders from other instances.
+type AgeSource interface {
+	// OrderAges requests them from the instance at the address.
 	OrderAges(ctx context.Context, address string) ([]relay.OrderAge, error)
 }
 
-// AgeLearner learns the age of orders that were given before this instance started.
+// AgeLearner finds out the age of roll-out orders that were given before this instance started.
 type AgeLearner struct {
-	Peers   AgeTeller
+	Peers   AgeSource
 	Control feeds.Control
 }
 
-// Run asks others whenever there is an order of unknown age, until the context ends.
-func (r AgeLearner) Run(ctx context.Context) error {
-	asked := int64(0)
+// Run asks other instances whenever there is a new order of unknown age, until the context ends.
+func (l AgeLearner) Run(ctx context.Context) error {
+	askedRevision := int64(0)
 	for {
-		s, changed := r.Control.Watch()
-		if s.AgeUnknown() && newest(s) > asked {
-			asked = newest(s)
-			if err := r.learn(ctx); err != nil {
+		s, changed := l.Control.Watch()
+		if s.AgeUnknown() && newestOrder(s) > askedRevision {
+			askedRevision = newestOrder(s)
+			if err := l.askInstances(ctx); err != nil {
 				return err
 			}
 			continue
@@ -50,42 +51,43 @@
 	}
 }
 
-// newest is the revision of the last order.
-func newest(s relay.State) int64 {
-	last := int64(0)
+// newestOrder returns the revision of the newest order.
+func newestOrder(s relay.State) int64 {
+	newest := int64(0)
 	for _, p := range s.Plans() {
-		last = max(last, p.Order.Revision)
+		newest = max(newest, p.Order.Revision)
 	}
-	return last
+	return newest
 }
 
-// learn asks instances in a random order until one has seen the orders being given; after a loss of
-// all instances none has, and the start of the release's servers is all there is to go by.
-func (r AgeLearner) learn(ctx context.Context) error {
-	members := r.Control.Snapshot().Members()
+// askInstances asks instances in random order until no order of unknown age is left. After all instances
+// were lost none of them knows the age, which is then estimated by the start of the release's servers.
+func (l AgeLearner) askInstances(ctx context.Context) error {
+	members := l.Control.Snapshot().Members()
 	for n, i := range rand.Perm(len(members)) {
-		s := r.Control.Snapshot()
-		if n >= ageMost || !s.AgeUnknown() || ctx.Err() != nil {
+		s := l.Control.Snapshot()
+		if n >= maxAsked || !s.AgeUnknown() || ctx.Err() != nil {
 			return nil
 		}
 		if members[i].Name == s.Self.Name {
 			continue
 		}
-		told, err := r.ask(ctx, members[i])
+		ages, err := l.orderAges(ctx, members[i])
 		if err != nil {
-			// An instance that is gone can't tell; the next one is asked.
-			clock.Passed(ctx, agePause)
+			// The instance may have departed; the next one is asked.
+			clock.Passed(ctx, retryPause)
 			continue
 		}
-		if err := r.Control.Do(ctx, cmds.LearnAges{OrderAges: told, From: string(members[i].Name)}); err != nil && ctx.Err() == nil {
+		if err := l.Control.Do(ctx, cmds.LearnAges{OrderAges: ages, From: string(members[i].Name)}); err != nil && ctx.Err() == nil {
 			return fmt.Errorf("change control state: %w", err)
 		}
 	}
 	return nil
 }
 
-func (r AgeLearner) ask(ctx context.Context, m relay.Member) ([]relay.OrderAge, error) {
+// orderAges requests the order ages of one instance.
+func (l AgeLearner) orderAges(ctx context.Context, instance relay.Member) ([]relay.OrderAge, error) {
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
-	return r.Peers.OrderAges(ctx, m.Address)
+	return l.Peers.OrderAges(ctx, instance.Address)
 }
--- a/io/rolls/ages_test.go
+++ b/io/rolls/ages_test.go
@@ -15,25 +15,26 @@
 	"endivehitch/io/rolls"
 )
 
-var errGone = errors.New("instance is gone")
+var errDeparted = errors.New("instance has departed")
 
-// witnesses answer by address; those that are missing are gone.
-type witnesses struct {
-	known map[string][]relay.OrderAge
-	asked atomic.Int64
+// fakePeers answers by address; an instance without an answer has departed.
+type fakePeers struct {
+	answers map[string][]relay.OrderAge
+	asked   atomic.Int64
 }
 
-func (w *witnesses) OrderAges(_ context.Context, address string) ([]relay.OrderAge, error) {
-	w.asked.Add(1)
-	told, ok := w.known[address]
+func (p *fakePeers) OrderAges(_ context.Context, address string) ([]relay.OrderAge, error) {
+	p.asked.Add(1)
+	ages, ok := p.answers[address]
 	if !ok {
-		return nil, errGone
+		return nil, errDeparted
 	}
-	return told, nil
+	return ages, nil
 }
 
-// recall runs a recaller that starts during a roll-out, and returns the plan two seconds later.
-func recall(t *testing.T, w *witnesses) (plan relay.Plan, took time.Time) {
+// learnAge starts an AgeLearner during a roll-out, and returns the plan two seconds later and the time of
+// the start.
+func learnAge(t *testing.T, peers *fakePeers) (plan relay.Plan, started time.Time) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -56,30 +57,30 @@
 				continue
 			}
 		}()
-		took = time.Now()
-		go func() { assert.Check(t, rolls.AgeLearner{Peers: w, Control: control}.Run(ctx)) }()
+		started = time.Now()
+		go func() { assert.Check(t, rolls.AgeLearner{Peers: peers, Control: control}.Run(ctx)) }()
 		time.Sleep(2 * time.Second)
 		plan, _ = control.Snapshot().Plan("app")
 		cancel()
 		synctest.Wait()
 	})
-	return plan, took
+	return plan, started
 }
 
-func TestARestartedInstanceAsksUntilOneKnowsTheOrdersAge(t *testing.T) {
-	w := &witnesses{known: map[string][]relay.OrderAge{
+func TestRestartedInstanceAsksUntilOneKnowsTheOrderAge(t *testing.T) {
+	peers := &fakePeers{answers: map[string][]relay.OrderAge{
 		"new": nil,
 		"old": {{Service: "app", Revision: 1, Age: 9 * time.Second}},
 	}}
-	p, took := recall(t, w)
+	p, started := learnAge(t, peers)
 	assert.Assert(t, p.AgeKnown)
-	age := took.Sub(p.Seen)
-	assert.Assert(t, age > 8*time.Second && age <= 9*time.Second, "%v", age)
+	age := started.Sub(p.Seen)
+	assert.Assert(t, age > 8*time.Second && age <= 9*time.Second, "age of the order is %v", age)
 }
 
-func TestNobodyIsAskedAgainWhenNoneKnows(t *testing.T) {
-	w := &witnesses{}
-	p, _ := recall(t, w)
+func TestEachInstanceIsAskedOnceWhenNoneKnowsTheOrderAge(t *testing.T) {
+	peers := &fakePeers{}
+	p, _ := learnAge(t, peers)
 	assert.Assert(t, !p.AgeKnown)
-	assert.Equal(t, w.asked.Load(), int64(3))
+	assert.Equal(t, peers.asked.Load(), int64(3))
 }
--- a/io/rolls/rolls.go
+++ b/io/rolls/rolls.go
@@ -15,50 +15,53 @@
 )
 
 const (
-	// dutyLife is how long the duty lasts without renewal, and dutyRenew how often it is renewed.
-	dutyLife  = 2 * time.Second
-	dutyRenew = 700 * time.Millisecond
-	// judgeEvery is the time between two looks at a roll-out.
-	judgeEvery = 400 * time.Millisecond
-	askTimeout = 400 * time.Millisecond
-	mostAtOnce = 16
-	idlePause  = 300 * time.Millisecond
+	// dutyLeaseTTL is the time after which the duty expires unless its lease is renewed, which happens
+	// every dutyRenewInterval.
+	dutyLeaseTTL      = 2 * time.Second
+	dutyRenewInterval = 700 * time.Millisecond
+	// judgeInterval is the time between two judgements of a roll-out.
+	judgeInterval      = 400 * time.Millisecond
+	askTimeout         = 400 * time.Millisecond
+	maxConcurrentCalls = 16
+	pauseBetweenHolds  = 300 * time.Millisecond
 )
 
-// Store records roll-outs.
+// Store holds the duties and the recorded progress of roll-outs.
 type Store interface {
 	feeds.Leaser
-	// TakeDuty returns the duty's fencing token; the error wraps feeds.ErrConflict while another holds it.
+	// TakeDuty takes the duty under the lease and returns its fencing token; the error wraps
+	// feeds.ErrConflict while another instance holds it.
 	TakeDuty(ctx context.Context, d relay.Duty, lease int64) (int64, error)
-	// Write records progress under the duty's fencing token, in place of the record of the revision.
+	// Write replaces the progress record of the revision by compare-and-swap, and only while the duty still
+	// has the fencing token; otherwise the error wraps feeds.ErrConflict.
 	Write(ctx context.Context, p relay.Progress, duty, revision int64) error
 }
 
-// Peers asks other instances what they have seen.
+// Peers requests tallies from other instances.
 type Peers interface {
-	// Tallies asks the instance at the address.
+	// Tallies requests the tallies of the instance at the address.
 	Tallies(ctx context.Context, address string) ([]relay.Tally, error)
 }
 
-// Runner takes up the duty whenever a roll-out is open.
+// Runner takes the duty of an open roll-out and judges the roll-out while it holds the duty.
 type Runner struct {
 	Store   Store
 	Peers   Peers
 	Control feeds.Control
-	// Own returns what this instance has seen.
+	// Own returns this instance's tallies.
 	Own func() []relay.Tally
 	Now func() time.Time
-	// Failed is told of what went wrong; it is tried again.
+	// Failed is called with each error; the work is retried.
 	Failed func(error)
-	// Judged is told of each change of a roll-out's phase.
+	// Judged is called after each recorded change of a roll-out's phase.
 	Judged func(p relay.Progress, detail string)
 }
 
-// Run looks after roll-outs until the context ends.
+// Run judges roll-outs until the context ends.
 func (r Runner) Run(ctx context.Context) error {
 	for {
 		s, changed := r.Control.Watch()
-		plan, open := openPlan(s)
+		plan, open := findOpenPlan(s)
 		if open {
 			_, open = query.Vacant(s, plan.Order.Service)
 		}
@@ -71,32 +74,33 @@
 			continue
 		}
 		turn, _ := query.Vacant(s, plan.Order.Service)
-		if r.moved(ctx, turn, plan.Order.Service) {
+		if r.waitTurn(ctx, turn, plan.Order.Service) {
 			continue
 		}
-		err := r.hold(ctx, plan)
+		err := r.holdDuty(ctx, plan)
 		if err != nil && ctx.Err() == nil && !errors.Is(err, feeds.ErrConflict) {
 			r.Failed(err)
 		}
-		if !clock.Passed(ctx, idlePause) {
+		if !clock.Passed(ctx, pauseBetweenHolds) {
 			return nil
 		}
 	}
 }
 
-// moved waits for this instance's turn, and reports whether another took the duty meanwhile, or ended it.
-func (r Runner) moved(ctx context.Context, turn time.Duration, n relay.ServiceName) bool {
+// waitTurn waits for this instance's turn to take the duty. It reports whether there is nothing left to
+// take: another instance took the duty meanwhile, the roll-out ended, or the context did.
+func (r Runner) waitTurn(ctx context.Context, turn time.Duration, service relay.ServiceName) bool {
 	if !clock.Passed(ctx, turn) {
 		return true
 	}
 	s := r.Control.Snapshot()
-	plan, ok := s.Plan(n)
-	_, vacant := query.Vacant(s, n)
+	plan, ok := s.Plan(service)
+	_, vacant := query.Vacant(s, service)
 	return !vacant || !ok || plan.Phase().Final()
 }
 
-// openPlan returns a roll-out that has not come to its end.
-func openPlan(s relay.State) (relay.Plan, bool) {
+// findOpenPlan returns a roll-out that has not ended.
+func findOpenPlan(s relay.State) (relay.Plan, bool) {
 	for _, p := range s.Plans() {
 		if p.Order.Target != "" && !p.Phase().Final() {
 			return p, true
@@ -105,81 +109,83 @@
 	return relay.Plan{}, false
 }
 
-// hold takes the duty and looks after the roll-out until its end, or until the duty is lost.
-func (r Runner) hold(ctx context.Context, p relay.Plan) error {
-	lease, err := r.Store.Lease(ctx, dutyLife)
+// holdDuty takes the duty and judges the roll-out until it has ended or the duty is lost.
+func (r Runner) holdDuty(ctx context.Context, plan relay.Plan) error {
+	lease, err := r.Store.Lease(ctx, dutyLeaseTTL)
 	if err != nil {
-		return fmt.Errorf("take the duty's lease: %w", err)
+		return fmt.Errorf("acquire lease of the duty: %w", err)
 	}
 	defer func() {
 		if err := r.Store.Release(context.WithoutCancel(ctx), lease); err != nil && !errors.Is(err, feeds.ErrLapsed) {
-			r.Failed(fmt.Errorf("end the duty: %w", err))
+			r.Failed(fmt.Errorf("release lease of the duty: %w", err))
 		}
 	}()
-	service := p.Order.Service
-	duty, err := r.Store.TakeDuty(ctx, relay.Duty{Service: service, Holder: r.Control.Snapshot().Self.Name}, lease)
+	service := plan.Order.Service
+	token, err := r.Store.TakeDuty(ctx, relay.Duty{Service: service, Holder: r.Control.Snapshot().Self.Name}, lease)
 	if err != nil {
 		return fmt.Errorf("take the duty: %w", err)
 	}
 	renewed := r.Now()
 	for {
-		done, err := r.look(ctx, service, duty)
+		done, err := r.judge(ctx, service, token)
 		if err != nil || done {
 			return err
 		}
-		if !clock.Passed(ctx, judgeEvery) {
+		if !clock.Passed(ctx, judgeInterval) {
 			return nil
 		}
-		if now := r.Now(); now.Sub(renewed) >= dutyRenew {
+		if now := r.Now(); now.Sub(renewed) >= dutyRenewInterval {
 			if err := r.Store.Keep(ctx, lease); err != nil {
-				return fmt.Errorf("renew the duty: %w", err)
+				return fmt.Errorf("renew lease of the duty: %w", err)
 			}
 			renewed = now
 		}
 	}
 }
 
-// look judges the roll-out once and records a change of its phase.
-func (r Runner) look(ctx context.Context, n relay.ServiceName, duty int64) (bool, error) {
-	seen := r.gather(ctx)
+// judge judges the roll-out once, records a change of its phase, and reports whether the roll-out has
+// ended.
+func (r Runner) judge(ctx context.Context, service relay.ServiceName, token int64) (bool, error) {
+	tallies := r.collectTallies(ctx)
 	s := r.Control.Snapshot()
-	p, ok := s.Plan(n)
-	if !ok || p.Phase().Final() {
+	plan, ok := s.Plan(service)
+	if !ok || plan.Phase().Final() {
 		return true, nil
 	}
-	phase, detail := query.Judge(s, p, seen, r.Now())
-	if phase == p.Phase() {
+	phase, detail := query.Judge(s, plan, tallies, r.Now())
+	if phase == plan.Phase() {
 		return false, nil
 	}
-	progress := relay.Progress{Service: n, Target: p.Order.Target, Phase: phase}
-	if err := r.Store.Write(ctx, progress, duty, p.ProgressRevision); err != nil {
-		return false, fmt.Errorf("record the roll-out of %s: %w", n, err)
+	progress := relay.Progress{Service: service, Target: plan.Order.Target, Phase: phase}
+	if err := r.Store.Write(ctx, progress, token, plan.ProgressRevision); err != nil {
+		return false, fmt.Errorf("record progress of the roll-out of %s: %w", service, err)
 	}
 	r.Judged(progress, detail)
 	return phase.Final(), nil
 }
 
-// gather asks all instances at once; one that doesn't answer in time is left out this time.
-func (r Runner) gather(ctx context.Context) []relay.Tally {
+// collectTallies requests the tallies of all instances concurrently. One that doesn't answer in time is
+// left out this time.
+func (r Runner) collectTallies(ctx context.Context) []relay.Tally {
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	s := r.Control.Snapshot()
-	found := make([][]relay.Tally, len(s.Members()))
-	var g errgroup.Group
-	g.SetLimit(mostAtOnce)
+	answers := make([][]relay.Tally, len(s.Members()))
+	var group errgroup.Group
+	group.SetLimit(maxConcurrentCalls)
 	for i, m := range s.Members() {
 		if m.Name == s.Self.Name {
 			continue
 		}
-		g.Go(func() error {
-			// Tallies only grow, so what one answer lacks comes with the next.
-			found[i], _ = r.Peers.Tallies(ctx, m.Address)
+		group.Go(func() error {
+			// Tallies are cumulative, so what is missing now is in the next answer.
+			answers[i], _ = r.Peers.Tallies(ctx, m.Address)
 			return nil
 		})
 	}
-	_ = g.Wait()
+	_ = group.Wait()
 	all := r.Own()
-	for _, list := range found {
+	for _, list := range answers {
 		all = append(all, list...)
 	}
 	return all
--- a/io/rolls/rolls_test.go
+++ b/io/rolls/rolls_test.go
@@ -16,8 +16,8 @@
 	"endivehitch/io/rolls"
 )
 
-// record is a stand-in of what the store keeps of one roll-out.
-type record struct {
+// fakeStore holds the duty and the progress of one roll-out in memory.
+type fakeStore struct {
 	mu       sync.Mutex
 	control  *loop.Loop[relay.State, relay.Effect]
 	revision int64
@@ -25,83 +25,84 @@
 	holder   int64
 	token    int64
 	progress int64
-	written  []relay.Phase
-	// lapse ends the lease of the holder unseen.
-	lapse bool
-	lost  int
+	recorded []relay.Phase
+	// expireLease makes the holder's next renewal fail.
+	expireLease   bool
+	expiredLeases int
 }
 
-func (r *record) Lease(context.Context, time.Duration) (int64, error) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.leases++
-	return r.leases, nil
+func (s *fakeStore) Lease(context.Context, time.Duration) (int64, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.leases++
+	return s.leases, nil
 }
 
-func (r *record) Keep(_ context.Context, lease int64) error {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.lapse && lease == r.holder {
-		r.lapse, r.holder, r.token = false, 0, 0
-		r.lost++
+func (s *fakeStore) Keep(_ context.Context, lease int64) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.expireLease && lease == s.holder {
+		s.expireLease, s.holder, s.token = false, 0, 0
+		s.expiredLeases++
 		return feeds.ErrLapsed
 	}
 	return nil
 }
 
-func (r *record) Release(_ context.Context, lease int64) error {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.holder == lease {
-		r.holder, r.token = 0, 0
+func (s *fakeStore) Release(_ context.Context, lease int64) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.holder == lease {
+		s.holder, s.token = 0, 0
 	}
 	return nil
 }
 
-func (r *record) Register(context.Context, relay.Member, int64) error { return nil }
+func (s *fakeStore) Register(context.Context, relay.Member, int64) error { return nil }
 
-func (r *record) TakeDuty(_ context.Context, _ relay.Duty, lease int64) (int64, error) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.holder != 0 {
+func (s *fakeStore) TakeDuty(_ context.Context, _ relay.Duty, lease int64) (int64, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.holder != 0 {
 		return 0, feeds.ErrConflict
 	}
-	r.revision++
-	r.holder, r.token = lease, r.revision
-	return r.token, nil
+	s.revision++
+	s.holder, s.token = lease, s.revision
+	return s.token, nil
 }
 
-func (r *record) Write(ctx context.Context, p relay.Progress, duty, revision int64) error {
-	r.mu.Lock()
-	if duty != r.token || revision != r.progress {
-		r.mu.Unlock()
+func (s *fakeStore) Write(ctx context.Context, p relay.Progress, duty, revision int64) error {
+	s.mu.Lock()
+	if duty != s.token || revision != s.progress {
+		s.mu.Unlock()
 		return feeds.ErrConflict
 	}
-	r.revision++
-	before := r.control.Snapshot().Revision
-	r.progress = r.revision
-	r.written = append(r.written, p.Phase)
-	r.mu.Unlock()
-	return r.control.Do(ctx, cmds.Learn{Feed: relay.Feed{After: before, Revision: r.progress, Changes: []relay.Change{
-		{Key: "progress", Revision: r.progress, Entry: relay.Entry{Progress: &p}},
+	s.revision++
+	before := s.control.Snapshot().Revision
+	s.progress = s.revision
+	s.recorded = append(s.recorded, p.Phase)
+	s.mu.Unlock()
+	return s.control.Do(ctx, cmds.Learn{Feed: relay.Feed{After: before, Revision: s.progress, Changes: []relay.Change{
+		{Key: "progress", Revision: s.progress, Entry: relay.Entry{Progress: &p}},
 	}}})
 }
 
-func (r *record) phases() []relay.Phase {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return append([]relay.Phase(nil), r.written...)
+func (s *fakeStore) recordedPhases() []relay.Phase {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return append([]relay.Phase(nil), s.recorded...)
 }
 
-// told is what another instance answers.
-type told func() []relay.Tally
+// peerTallies returns the tallies of the other instance.
+type peerTallies func() []relay.Tally
 
-func (f told) Tallies(context.Context, string) ([]relay.Tally, error) { return f(), nil }
+func (f peerTallies) Tallies(context.Context, string) ([]relay.Tally, error) { return f(), nil }
 
 const within = 20 * time.Second
 
-// play runs the duty of an instance that sees nothing itself, beside one that answers as given.
-func play(t *testing.T, others told, test func(ctx context.Context, r *record)) {
+// runDuty runs a Runner without tallies of its own beside one other instance with the given tallies, on a
+// fake clock.
+func runDuty(t *testing.T, peers peerTallies, test func(ctx context.Context, r *fakeStore)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -118,7 +119,7 @@
 		s := relay.New(relay.Member{Name: "me", Address: "me"}).WithFeed(f, time.Now(), 0)
 		control, err := loop.New(loop.Config[relay.State, relay.Effect]{Initial: s, Now: time.Now, Mailbox: 4})
 		assert.NilError(t, err)
-		r := &record{control: control, revision: 100}
+		store := &fakeStore{control: control, revision: 100}
 		go control.Run(ctx)
 		go func() {
 			for range control.Effects() {
@@ -126,85 +127,85 @@
 			}
 		}()
 		runner := rolls.Runner{
-			Store: r, Peers: others, Control: control, Now: time.Now, Failed: func(error) {},
+			Store: store, Peers: peers, Control: control, Now: time.Now, Failed: func(error) {},
 			Own: func() []relay.Tally { return nil }, Judged: func(relay.Progress, string) {},
 		}
 		go func() { assert.Check(t, runner.Run(ctx)) }()
-		test(ctx, r)
+		test(ctx, store)
 		cancel()
 		synctest.Wait()
 	})
 }
 
-func tallies(failed int) told {
+func talliesWithFailures(failed int) peerTallies {
 	return func() []relay.Tally {
 		return []relay.Tally{{Service: "app", Release: "v1", Runs: 500}, {Service: "app", Release: "v2", Runs: 60, Failed: failed}}
 	}
 }
 
-func TestAGoodReleaseIsCompletedInTime(t *testing.T) {
-	play(t, tallies(0), func(_ context.Context, r *record) {
+func TestGoodReleaseIsCompletedWithinItsTime(t *testing.T) {
+	runDuty(t, talliesWithFailures(0), func(_ context.Context, store *fakeStore) {
 		time.Sleep(within)
-		assert.DeepEqual(t, r.phases(), []relay.Phase{relay.PhaseUnderWay, relay.PhaseCompleted})
+		assert.DeepEqual(t, store.recordedPhases(), []relay.Phase{relay.PhaseUnderWay, relay.PhaseCompleted})
 	})
 }
 
-func TestABadReleaseIsRevertedSoonAndForGood(t *testing.T) {
-	play(t, tallies(30), func(_ context.Context, r *record) {
+func TestBadReleaseIsRevertedOnceWithinTwoSeconds(t *testing.T) {
+	runDuty(t, talliesWithFailures(30), func(_ context.Context, store *fakeStore) {
 		time.Sleep(2 * time.Second)
-		assert.DeepEqual(t, r.phases(), []relay.Phase{relay.PhaseReverted})
+		assert.DeepEqual(t, store.recordedPhases(), []relay.Phase{relay.PhaseReverted})
 		time.Sleep(2 * within)
-		assert.Equal(t, len(r.phases()), 1)
+		assert.Equal(t, len(store.recordedPhases()), 1)
 	})
 }
 
-func TestAReleaseThatTurnsBadLateIsReverted(t *testing.T) {
+func TestReleaseThatFailsLateInItsRollOutIsReverted(t *testing.T) {
 	bad := 0
 	var mu sync.Mutex
-	others := func() []relay.Tally {
+	peers := func() []relay.Tally {
 		mu.Lock()
 		defer mu.Unlock()
-		return tallies(bad)()
+		return talliesWithFailures(bad)()
 	}
-	play(t, others, func(_ context.Context, r *record) {
+	runDuty(t, peers, func(_ context.Context, store *fakeStore) {
 		time.Sleep(within / 2)
 		mu.Lock()
 		bad = 30
 		mu.Unlock()
 		time.Sleep(time.Second)
-		assert.DeepEqual(t, r.phases(), []relay.Phase{relay.PhaseUnderWay, relay.PhaseReverted})
+		assert.DeepEqual(t, store.recordedPhases(), []relay.Phase{relay.PhaseUnderWay, relay.PhaseReverted})
 	})
 }
 
-func TestARollOutThatEndedMeanwhileIsNotTakenUp(t *testing.T) {
-	play(t, tallies(0), func(ctx context.Context, r *record) {
-		// Another instance, whose turn comes sooner, ends the roll-out before this one's turn.
-		r.mu.Lock()
-		before := r.control.Snapshot().Revision
-		r.revision++
-		p, revision := relay.Progress{Service: "app", Target: "v2", Phase: relay.PhaseReverted}, r.revision
-		r.mu.Unlock()
-		assert.NilError(t, r.control.Do(ctx, cmds.Learn{Feed: relay.Feed{After: before, Revision: revision, Changes: []relay.Change{
+func TestDutyIsNotTakenForRollOutThatEndedMeanwhile(t *testing.T) {
+	runDuty(t, talliesWithFailures(0), func(ctx context.Context, store *fakeStore) {
+		// Another instance, whose turn is earlier, ends the roll-out before this one's turn.
+		store.mu.Lock()
+		before := store.control.Snapshot().Revision
+		store.revision++
+		p, revision := relay.Progress{Service: "app", Target: "v2", Phase: relay.PhaseReverted}, store.revision
+		store.mu.Unlock()
+		assert.NilError(t, store.control.Do(ctx, cmds.Learn{Feed: relay.Feed{After: before, Revision: revision, Changes: []relay.Change{
 			{Key: "progress", Revision: revision, Entry: relay.Entry{Progress: &p}},
 		}}}))
 		time.Sleep(within)
-		r.mu.Lock()
-		defer r.mu.Unlock()
-		assert.Equal(t, r.leases, int64(0), "the duty was taken for nothing")
+		store.mu.Lock()
+		defer store.mu.Unlock()
+		assert.Equal(t, store.leases, int64(0), "no lease must be taken for a roll-out that has ended")
 	})
 }
 
-func TestADutyThatLapsedIsTakenAgain(t *testing.T) {
-	play(t, tallies(0), func(_ context.Context, r *record) {
+func TestDutyIsTakenAgainAfterItsLeaseExpired(t *testing.T) {
+	runDuty(t, talliesWithFailures(0), func(_ context.Context, store *fakeStore) {
 		time.Sleep(3 * time.Second)
-		r.mu.Lock()
-		r.lapse = true
-		r.mu.Unlock()
+		store.mu.Lock()
+		store.expireLease = true
+		store.mu.Unlock()
 		time.Sleep(within)
-		r.mu.Lock()
-		lost := r.lost
-		r.mu.Unlock()
+		store.mu.Lock()
+		lost := store.expiredLeases
+		store.mu.Unlock()
 		assert.Equal(t, lost, 1)
-		assert.DeepEqual(t, r.phases(), []relay.Phase{relay.PhaseUnderWay, relay.PhaseCompleted})
+		assert.DeepEqual(t, store.recordedPhases(), []relay.Phase{relay.PhaseUnderWay, relay.PhaseCompleted})
 	})
 }
