--- a/io/conns/conns.go
+++ b/io/conns/conns.go
@@ -11,11 +11,11 @@
 	"time"
 )
 
-// Config sets up a Pool.
+// Config holds the dependencies and limits of a Pool.
 type Config struct {
 	// Dial opens a connection to the address.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// Now tells the time.
+	// Now returns the current time.
 	Now func() time.Time
 	// MaxIdle is how many idle connections to one server are kept.
 	MaxIdle int
@@ -29,7 +29,7 @@
 	Address string
 }
 
-// Pool holds idle connections by server; it is safe for concurrent use.
+// Pool keeps idle connections by server; it is safe for concurrent use.
 type Pool struct {
 	config Config
 	mu     sync.Mutex
@@ -37,41 +37,41 @@
 	closed bool
 }
 
-// Conn is a connection that one request uses at a time.
+// Conn is a connection that is used by one request at a time.
 type Conn struct {
 	net.Conn
 	// R reads what the server sends.
 	R *bufio.Reader
-	// Reused is set when the connection has carried a request before.
-	Reused bool
-	key    Key
-	until  time.Time
+	// Reused is set when the connection has served a request before.
+	Reused  bool
+	key     Key
+	expires time.Time
 }
 
-// New returns an empty pool, or an error that names what the configuration lacks.
+// New returns an empty pool, or an error that names what is wrong with the configuration.
 func New(c Config) (*Pool, error) {
 	switch {
 	case c.Dial == nil:
-		return nil, errors.New("connections: no dialer")
+		return nil, errors.New("connection pool: no dialer")
 	case c.Now == nil:
-		return nil, errors.New("connections: no clock")
+		return nil, errors.New("connection pool: no clock")
 	case c.MaxIdle < 0 || c.Buffer < 1:
-		return nil, fmt.Errorf("connections: %d idle, buffer of %d bytes", c.MaxIdle, c.Buffer)
+		return nil, fmt.Errorf("connection pool: invalid limits: %d idle connections, read buffer of %d bytes", c.MaxIdle, c.Buffer)
 	}
 	return &Pool{config: c, idle: make(map[Key][]*Conn)}, nil
 }
 
-// Get returns an idle connection to the server, or opens one; fresh asks for a new one.
-func (p *Pool) Get(ctx context.Context, key Key, fresh bool) (*Conn, error) {
-	for !fresh {
-		c := p.take(key)
+// Get returns an idle connection to the server, or opens one when there is none or forceNew is set.
+func (p *Pool) Get(ctx context.Context, key Key, forceNew bool) (*Conn, error) {
+	for !forceNew {
+		c := p.popIdle(key)
 		if c == nil {
 			break
 		}
-		if p.config.Now().Before(c.until) && quiet(c) {
+		if p.config.Now().Before(c.expires) && isUsable(c) {
 			return c, nil
 		}
-		// The server or its timeout has ended it already, so the error of closing says nothing.
+		// The connection is already unusable, so an error from closing it doesn't matter.
 		_ = c.Close()
 	}
 	raw, err := p.config.Dial(ctx, "tcp", key.Address)
@@ -81,34 +81,35 @@
 	return &Conn{Conn: raw, R: bufio.NewReaderSize(raw, p.config.Buffer), key: key}, nil
 }
 
-// Put keeps the connection for the next request, for at most the time.
-func (p *Pool) Put(c *Conn, keep time.Duration) {
+// Put keeps the connection idle for the lifetime, for the next request. It closes the connection when the
+// lifetime is not positive, the limit on idle connections is reached, or the pool is closed.
+func (p *Pool) Put(c *Conn, lifetime time.Duration) {
 	c.Reused = true
-	c.until = p.config.Now().Add(keep)
+	c.expires = p.config.Now().Add(lifetime)
 	p.mu.Lock()
-	full := p.closed || keep <= 0 || len(p.idle[c.key]) >= p.config.MaxIdle
-	if !full {
+	discard := p.closed || lifetime <= 0 || len(p.idle[c.key]) >= p.config.MaxIdle
+	if !discard {
 		p.idle[c.key] = append(p.idle[c.key], c)
 	}
 	p.mu.Unlock()
-	if full {
+	if discard {
 		_ = c.Close()
 	}
 }
 
-// Retain closes the idle connections of servers that are not wanted any more, and those past their time.
-func (p *Pool) Retain(wanted func(Key) bool) {
+// Retain closes the idle connections of servers that are no longer wanted, and the expired ones.
+func (p *Pool) Retain(isWanted func(Key) bool) {
 	now := p.config.Now()
-	var over []*Conn
+	var expired []*Conn
 	p.mu.Lock()
 	for key, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if wanted(key) && now.Before(c.until) {
+			if isWanted(key) && now.Before(c.expires) {
 				kept = append(kept, c)
 				continue
 			}
-			over = append(over, c)
+			expired = append(expired, c)
 		}
 		if len(kept) == 0 {
 			delete(p.idle, key)
@@ -117,12 +118,12 @@
 		p.idle[key] = kept
 	}
 	p.mu.Unlock()
-	for _, c := range over {
+	for _, c := range expired {
 		_ = c.Close()
 	}
 }
 
-// Close closes all idle connections and keeps no more.
+// Close closes all idle connections; connections put back later are closed at once.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	p.closed = true
@@ -130,8 +131,9 @@
 	p.Retain(func(Key) bool { return false })
 }
 
-// take returns the connection that was used last, since the others are closer to their timeout.
-func (p *Pool) take(key Key) *Conn {
+// popIdle removes and returns the most recently used idle connection, since the others are closer to
+// their expiry, or nil when there is none.
+func (p *Pool) popIdle(key Key) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[key]
@@ -144,8 +146,8 @@
 	return c
 }
 
-// quiet reports whether the connection is open and nothing has arrived on it.
-func quiet(c *Conn) bool {
+// isUsable reports whether the connection is open and has no unread data.
+func isUsable(c *Conn) bool {
 	if c.R.Buffered() > 0 {
 		return false
 	}
@@ -158,10 +160,10 @@
 		return false
 	}
 	open := false
-	var one [1]byte
+	var peeked [1]byte
 	err = control.Read(func(fd uintptr) bool {
-		_, _, failed := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		open = errors.Is(failed, syscall.EAGAIN) || errors.Is(failed, syscall.EWOULDBLOCK)
+		_, _, recvErr := syscall.Recvfrom(int(fd), peeked[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		open = errors.Is(recvErr, syscall.EAGAIN) || errors.Is(recvErr, syscall.EWOULDBLOCK)
 		return true
 	})
 	return err == nil && open
--- a/io/conns/doc.go
+++ b/io/conns/doc.go
@@ -1,3 +1,3 @@
-// Package conns keeps connections to servers open between requests, and hands out none that the
-// server has closed or sent unasked bytes on.
+// Package conns pools connections to backend servers between requests. A Pool keeps idle Conns by the
+// Key of their server, and never reuses one that the server has closed or sent unsolicited bytes on.
 package conns
