--- a/io/event/doc.go
+++ b/io/event/doc.go
@@ -1,2 +1,3 @@
-// Package event cuts a server-sent event stream into whole events.
+// Package event splits a stream of server-sent events into complete events. A Splitter is fed the chunks of
+// the stream as they arrive.
 package event
--- a/io/event/split.go
+++ b/io/event/split.go
@@ -5,52 +5,53 @@
 	"errors"
 )
 
-// ErrTooLong is returned for an event that exceeds the splitter's bound.
-var ErrTooLong = errors.New("event is too long")
+// ErrTooLong is returned for an event that exceeds the splitter's limit.
+var ErrTooLong = errors.New("event exceeds the size limit")
 
-// Splitter gathers the bytes of a stream and hands out whole events; the zero value is not usable.
+// Splitter buffers the bytes of a stream and returns complete events; create it with NewSplitter.
 type Splitter struct {
-	max  int
-	kept []byte
-	last string
+	maxBytes int
+	// partial holds the bytes after the last complete event.
+	partial     []byte
+	lastEventID string
 }
 
 // NewSplitter returns a splitter for events of at most maxBytes.
 func NewSplitter(maxBytes int) *Splitter {
-	return &Splitter{max: maxBytes}
+	return &Splitter{maxBytes: maxBytes}
 }
 
-// Feed takes in bytes and returns the whole events so far, with the blank line that ends each; the
-// result is valid until the next call.
-func (s *Splitter) Feed(b []byte) ([]byte, error) {
-	data := b
-	if len(s.kept) > 0 {
-		data = append(s.kept, b...)
+// Feed adds a chunk and returns the events that are now complete, each with the blank line that ends it.
+// The result is valid until the next call.
+func (s *Splitter) Feed(chunk []byte) ([]byte, error) {
+	data := chunk
+	if len(s.partial) > 0 {
+		data = append(s.partial, chunk...)
 	}
-	end := lastEnd(data)
-	if len(data)-end > s.max {
+	end := endOfLastEvent(data)
+	if len(data)-end > s.maxBytes {
 		return nil, ErrTooLong
 	}
-	whole := data[:end]
-	if id, ok := lastID(whole); ok {
-		s.last = id
+	complete := data[:end]
+	if id, ok := findLastID(complete); ok {
+		s.lastEventID = id
 	}
-	s.kept = append([]byte(nil), data[end:]...)
-	return whole, nil
+	s.partial = append([]byte(nil), data[end:]...)
+	return complete, nil
 }
 
-// Rest returns the bytes after the last whole event.
+// Rest returns the bytes after the last complete event.
 func (s *Splitter) Rest() []byte {
-	return s.kept
+	return s.partial
 }
 
-// LastID returns the identifier of the last whole event that had one.
+// LastID returns the ID of the last complete event that had one.
 func (s *Splitter) LastID() string {
-	return s.last
+	return s.lastEventID
 }
 
-// lastEnd returns the position behind the last blank line.
-func lastEnd(data []byte) int {
+// endOfLastEvent returns the position after the last blank line.
+func endOfLastEvent(data []byte) int {
 	end := 0
 	if i := bytes.LastIndex(data, []byte("\n\n")); i >= 0 {
 		end = i + 2
@@ -61,20 +62,20 @@
 	return end
 }
 
-// lastID returns the value of the last id field.
-func lastID(whole []byte) (string, bool) {
+// findLastID returns the value of the last id field, and whether there is one.
+func findLastID(events []byte) (string, bool) {
 	field := []byte("\nid:")
-	i := bytes.LastIndex(whole, field)
+	i := bytes.LastIndex(events, field)
 	switch {
 	case i >= 0:
-		whole = whole[i+len(field):]
-	case bytes.HasPrefix(whole, field[1:]):
-		whole = whole[len(field)-1:]
+		events = events[i+len(field):]
+	case bytes.HasPrefix(events, field[1:]):
+		events = events[len(field)-1:]
 	default:
 		return "", false
 	}
-	if n := bytes.IndexAny(whole, "\r\n"); n >= 0 {
-		whole = whole[:n]
+	if n := bytes.IndexAny(events, "\r\n"); n >= 0 {
+		events = events[:n]
 	}
-	return string(bytes.TrimSpace(whole)), true
+	return string(bytes.TrimSpace(events)), true
 }
--- a/io/event/split_test.go
+++ b/io/event/split_test.go
@@ -9,18 +9,18 @@
 	"endivehitch/io/event"
 )
 
-func TestWholeEventsComeOutHoweverTheyAreCut(t *testing.T) {
+func TestCompleteEventsAreReturnedForEveryChunkSize(t *testing.T) {
 	stream := "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid:3\ndata: c\n\n"
 	for size := 1; size <= len(stream); size++ {
 		s := event.NewSplitter(100)
 		var out strings.Builder
-		for rest := stream; rest != ""; {
-			n := min(size, len(rest))
-			whole, err := s.Feed([]byte(rest[:n]))
+		for remaining := stream; remaining != ""; {
+			n := min(size, len(remaining))
+			complete, err := s.Feed([]byte(remaining[:n]))
 			assert.NilError(t, err)
-			assert.Assert(t, len(whole) == 0 || strings.HasSuffix(string(whole), "\n\n"))
-			out.Write(whole)
-			rest = rest[n:]
+			assert.Assert(t, len(complete) == 0 || strings.HasSuffix(string(complete), "\n\n"))
+			out.Write(complete)
+			remaining = remaining[n:]
 		}
 		assert.Equal(t, out.String(), stream)
 		assert.Equal(t, s.LastID(), "3")
@@ -28,16 +28,16 @@
 	}
 }
 
-func TestAPartOfAnEventStaysBack(t *testing.T) {
+func TestPartialEventIsHeldBack(t *testing.T) {
 	s := event.NewSplitter(100)
-	whole, err := s.Feed([]byte("id: 7\r\ndata: a\r\n\r\nid: 8\r\nda"))
+	complete, err := s.Feed([]byte("id: 7\r\ndata: a\r\n\r\nid: 8\r\nda"))
 	assert.NilError(t, err)
-	assert.Equal(t, string(whole), "id: 7\r\ndata: a\r\n\r\n")
+	assert.Equal(t, string(complete), "id: 7\r\ndata: a\r\n\r\n")
 	assert.Equal(t, s.LastID(), "7")
 	assert.Equal(t, string(s.Rest()), "id: 8\r\nda")
 }
 
-func TestAnEndlessEventIsRefused(t *testing.T) {
+func TestEventLongerThanTheLimitIsRefused(t *testing.T) {
 	s := event.NewSplitter(10)
 	_, err := s.Feed([]byte("data: 0123456789"))
 	assert.ErrorIs(t, err, event.ErrTooLong)
