--- a/io/carry/carry.go
+++ b/io/carry/carry.go
@@ -46,7 +46,7 @@
 	Candidates int
 	// Score is the chosen server's score.
 	Score float64
-	// Reason is the cause, as one word.
+	// Reason is the cause in one Pascal-case word.
 	Reason string
 	// Status is the status of the server's answer; zero means that there is none.
 	Status int
--- a/io/carry/carry_test.go
+++ b/io/carry/carry_test.go
@@ -19,7 +19,7 @@
 var errConnectionReset = errors.New("connection reset")
 
 func TestCompleteAnswerIsRelayed(t *testing.T) {
-	h := newHarness(t, plainRoute(relay.RepeatNever), answers("done"))
+	h := newHarness(t, plainRoute(relay.RepeatNever), answerOK("done"))
 	assert.NilError(t, h.serve(t.Context()))
 	assert.Equal(t, h.writer.body.String(), "done")
 	assert.Equal(t, len(h.backend.sends), 1)
@@ -41,7 +41,7 @@
 		"503 without signature":               {answerWith(answer{Status: 503}, "", io.EOF), false},
 	}
 	for name, c := range cases {
-		h := newHarness(t, plainRoute(relay.RepeatNever), c.first, answers("done"))
+		h := newHarness(t, plainRoute(relay.RepeatNever), c.first, answerOK("done"))
 		err := h.serve(t.Context())
 		if c.resent {
 			assert.NilError(t, err, name)
@@ -69,7 +69,7 @@
 		failsWith(carry.ErrLost), answerWith(answer{Status: 500, Signed: true}, "oops", io.EOF),
 		answerWith(answer{Status: 200, Signed: true}, "do", errConnectionReset), answerWith(answer{Status: 200}, "forged", io.EOF),
 	} {
-		h := newHarness(t, plainRoute(relay.RepeatFreely), first, answers("done"))
+		h := newHarness(t, plainRoute(relay.RepeatFreely), first, answerOK("done"))
 		assert.NilError(t, h.serve(t.Context()))
 		assert.Equal(t, h.writer.body.String(), "done")
 		h.assertNoServerTwice()
@@ -255,14 +255,14 @@
 }
 
 func TestRetryBudgetCoversCrashOfManyServers(t *testing.T) {
-	h := newHarness(t, plainRoute(relay.RepeatFreely), answers("done"))
+	h := newHarness(t, plainRoute(relay.RepeatFreely), answerOK("done"))
 	for range 100 {
 		assert.NilError(t, h.serve(t.Context()))
 	}
 	h.backend.sends = nil
 	h.backend.answers = make([]func(context.Context, attempt) (*answer, error), 0, 60)
 	for range 30 {
-		h.backend.answers = append(h.backend.answers, failsWith(carry.ErrLost), answers("done"))
+		h.backend.answers = append(h.backend.answers, failsWith(carry.ErrLost), answerOK("done"))
 	}
 	for range 30 {
 		assert.NilError(t, h.serve(t.Context()))
@@ -270,7 +270,7 @@
 }
 
 func TestRefusedConnectionsUseNoRetryBudget(t *testing.T) {
-	h := newHarness(t, plainRoute(relay.RepeatNever), failsWith(carry.ErrUnsent), answers("done"))
+	h := newHarness(t, plainRoute(relay.RepeatNever), failsWith(carry.ErrUnsent), answerOK("done"))
 	for range 300 {
 		h.backend.sends = nil
 		assert.NilError(t, h.serve(t.Context()))
@@ -278,7 +278,7 @@
 }
 
 func TestOnlyServerAnswersAreCountedInTallies(t *testing.T) {
-	h := newHarness(t, plainRoute(relay.RepeatFreely), failsWith(carry.ErrLost), answerWith(answer{Status: 500, Signed: true}, "", io.EOF), answers("done"))
+	h := newHarness(t, plainRoute(relay.RepeatFreely), failsWith(carry.ErrLost), answerWith(answer{Status: 500, Signed: true}, "", io.EOF), answerOK("done"))
 	assert.NilError(t, h.serve(t.Context()))
 	assert.DeepEqual(t, h.carrier.Tallies(), []relay.Tally{{Service: "app", Release: "v1", Runs: 2, Failed: 1}})
 }
--- a/io/carry/gains.go
+++ b/io/carry/gains.go
@@ -25,9 +25,9 @@
 	return h.carrier.confidenceGains.Get()[modelPair{models[smaller], models[larger]}]
 }
 
-// learnConfidenceGain records how much more confident the current model is than the one whose answer was
-// discarded. It does nothing for the first model, without a stated confidence, or once the response has
-// started.
+// learnConfidenceGain adds the answer's confidence to the decision. If a smaller model's answer was
+// discarded, it also records how much more confident the current model is, unless the response has
+// already started.
 func (a *attempt[H]) learnConfidenceGain(answer *Answer[H]) {
 	a.decision.Confidence = answer.Confidence
 	if answer.Confidence < 0 || a.responseStarted || a.step <= a.discarded.step {
--- a/io/carry/life.go
+++ b/io/carry/life.go
@@ -13,7 +13,7 @@
 	"endivehitch/io/clock"
 )
 
-// ErrCut is returned when an answer of which a part was written could not be completed.
+// ErrCut is returned when a part of an answer was written and the rest could not be.
 var ErrCut = errors.New("answer was cut off")
 
 // requestHandler serves one request on its caller's goroutine, in one or more attempts.
@@ -25,7 +25,8 @@
 
 	service  relay.ServiceName
 	attempts query.Sends
-	tried    []relay.ServerID
+	// tried holds the servers that were already asked, which are not selected again.
+	tried []relay.ServerID
 	// step is the index of the current model in the route's models, which start with the smallest.
 	step int
 	// discarded is the answer that was discarded in favour of the current model's.
@@ -89,6 +90,7 @@
 	return ending, done, err
 }
 
+// selectServer selects a server for the next attempt, and assigns the request's session to its release.
 func (h *requestHandler[H]) selectServer(state relay.State, now time.Time) (query.Choice, bool) {
 	request := h.job.Request
 	lastRelease := h.carrier.sessions.release(h.service, request.Session, now)
@@ -182,7 +184,8 @@
 	return query.Verdict(query.EndedUnknown, h.attempts, h.timeLeft(ctx))
 }
 
-// fail records that the request ended without a server's answer, and returns the refusal as an error.
+// fail records that the request ended without a complete answer, and returns the refusal as the
+// request's error.
 func (h *requestHandler[H]) fail(refusal relay.Refusal) error {
 	h.updateThrottle(false)
 	decision := h.decision
--- a/io/carry/rig_test.go
+++ b/io/carry/rig_test.go
@@ -43,13 +43,13 @@
 	body strings.Builder
 }
 
-func (s *responseWriter) Begin(a *answer) error {
-	s.head = a
+func (w *responseWriter) Begin(a *answer) error {
+	w.head = a
 	return nil
 }
 
-func (s *responseWriter) Write(b []byte) error {
-	s.body.Write(b)
+func (w *responseWriter) Write(b []byte) error {
+	w.body.Write(b)
 	return nil
 }
 
@@ -113,12 +113,13 @@
 	return h.serveTo(ctx, h.writer)
 }
 
-func (h *harness) serveTo(ctx context.Context, s *responseWriter) error {
+func (h *harness) serveTo(ctx context.Context, w *responseWriter) error {
 	return h.carrier.Serve(ctx, carry.Job[head]{
 		Request: relay.Request{ID: "q", Host: "h", Path: "/x", Arrived: time.Now(), Patience: 8 * time.Second},
-	}, s)
+	}, w)
 }
 
+// mustRefuse returns the refusal that the error must be.
 func (h *harness) mustRefuse(err error) relay.Refusal {
 	h.t.Helper()
 	var r relay.Refusal
@@ -136,7 +137,7 @@
 	}
 }
 
-func answers(body string) func(context.Context, attempt) (*answer, error) {
+func answerOK(body string) func(context.Context, attempt) (*answer, error) {
 	return answerWith(answer{Status: 200, Signed: true}, body, io.EOF)
 }
 
@@ -159,15 +160,15 @@
 	endErr  error
 }
 
-func (c *truncatedBody) Read(b []byte) (int, error) {
-	n, err := c.content.Read(b)
+func (t *truncatedBody) Read(b []byte) (int, error) {
+	n, err := t.content.Read(b)
 	if errors.Is(err, io.EOF) {
-		return n, c.endErr
+		return n, t.endErr
 	}
 	return n, err
 }
 
-func (c *truncatedBody) Close() error { return nil }
+func (t *truncatedBody) Close() error { return nil }
 
 func failsWith(err error) func(context.Context, attempt) (*answer, error) {
 	return func(context.Context, attempt) (*answer, error) { return nil, err }
--- a/io/carry/run.go
+++ b/io/carry/run.go
@@ -62,6 +62,7 @@
 	return a.relayBody(ctx, answer)
 }
 
+// errSilenceTimeout is the cause with which a watchdog cancels an attempt.
 var errSilenceTimeout = errors.New("no answer in time")
 
 func (a *attempt[H]) buildRun(ctx context.Context) Run[H] {
@@ -175,6 +176,7 @@
 	return 0, true, nil
 }
 
+// copyBody copies the rest of a body to the caller.
 func (a *attempt[H]) copyBody(body io.Reader) error {
 	buf := make([]byte, readBufferBytes)
 	for {
@@ -246,6 +248,7 @@
 	return a.fail(relay.Refusal{Reason: relay.ReasonCallerLeft, Detail: err.Error()})
 }
 
+// recordSuccess counts a complete answer for the server and its release.
 func (a *attempt[H]) recordSuccess() {
 	a.load.recordSuccess(a.carrier.config.Now())
 	a.recordTally(false)
@@ -261,6 +264,7 @@
 	a.record(WhatAnswered, "", status, "")
 }
 
+// endingName returns the reason that is recorded for the ending.
 func endingName(ending query.Ending) string {
 	switch ending {
 	case query.EndedUnsent:
--- a/io/carry/session.go
+++ b/io/carry/session.go
@@ -24,8 +24,8 @@
 	lastUsed time.Time
 }
 
-func newSessions(life time.Duration) *sessions {
-	return &sessions{lifetime: life, releases: make(map[sessionKey]sessionRelease)}
+func newSessions(lifetime time.Duration) *sessions {
+	return &sessions{lifetime: lifetime, releases: make(map[sessionKey]sessionRelease)}
 }
 
 // release returns the session's release, or empty when the session is unknown or has expired.
