--- a/io/feeds/follow_test.go
+++ b/io/feeds/follow_test.go
@@ -134,11 +134,11 @@
 				}
 				each.putConfig(1)
 			}
-			image, err := s.Image(ctx)
+			snapshot, err := s.Image(ctx)
 			assert.NilError(t, err)
 			var followers []*instance
 			for n, m := range members {
-				own := relay.New(m).WithFeed(image, time.Now(), 0)
+				own := relay.New(m).WithFeed(snapshot, time.Now(), 0)
 				_, isFollower := query.Reader(own, func(relay.MemberName) bool { return false })
 				readFrom := s
 				if !isFollower && n/2 < stalledDomains {
--- a/io/feeds/peers.go
+++ b/io/feeds/peers.go
@@ -71,7 +71,8 @@
 	return relay.Feed{TooMuch: true, After: request.Revision, Revision: request.Revision}
 }
 
-// withStoreStatus adds to the feed whether and since when this instance can reach the store.
+// withStoreStatus adds to the feed whether this instance can reach the store, how long ago the store became
+// reachable again, and how long ago it last answered.
 func withStoreStatus(state relay.State, feed relay.Feed, now time.Time) relay.Feed {
 	feed.Away = !state.Away.IsZero()
 	if !state.Back.IsZero() {
--- a/io/feeds/ports.go
+++ b/io/feeds/ports.go
@@ -9,7 +9,7 @@
 	"endivehitch/core/relay"
 )
 
-// Errors of a Store.
+// Errors that the implementations of the store's interfaces return.
 var (
 	// ErrAway is returned when the store did not answer, or answered that it is unavailable.
 	ErrAway = errors.New("store is unreachable")
@@ -33,7 +33,7 @@
 // Leaser holds leases and the instance's entry, which is removed with its lease.
 type Leaser interface {
 	// Lease acquires a lease with the lifetime, and returns its ID.
-	Lease(ctx context.Context, life time.Duration) (int64, error)
+	Lease(ctx context.Context, lifetime time.Duration) (int64, error)
 	// Keep renews the lease; the error wraps ErrLapsed when it has expired.
 	Keep(ctx context.Context, lease int64) error
 	// Release ends the lease before it expires.
