--- a/io/rolls/ages_test.go
+++ b/io/rolls/ages_test.go
@@ -40,7 +40,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		f := relay.Feed{Whole: true, Revision: 9}
 		for i, e := range []relay.Entry{
-			{RollOut: &relay.RollOut{Service: "app", Target: "v2", Within: within}},
+			{RollOut: &relay.RollOut{Service: "app", Target: "v2", Within: rollOutTime}},
 			{Member: &relay.Member{Name: "me", Address: "me"}},
 			{Member: &relay.Member{Name: "gone", Address: "gone"}},
 			{Member: &relay.Member{Name: "new", Address: "new"}},
--- a/io/rolls/rolls.go
+++ b/io/rolls/rolls.go
@@ -23,7 +23,8 @@
 	judgeInterval      = 400 * time.Millisecond
 	askTimeout         = 400 * time.Millisecond
 	maxConcurrentCalls = 16
-	pauseBetweenHolds  = 300 * time.Millisecond
+	// pauseBetweenHolds is the pause before the duty is tried or taken again.
+	pauseBetweenHolds = 300 * time.Millisecond
 )
 
 // Store holds the duties and the recorded progress of roll-outs.
--- a/io/rolls/rolls_test.go
+++ b/io/rolls/rolls_test.go
@@ -98,11 +98,11 @@
 
 func (f peerTallies) Tallies(context.Context, string) ([]relay.Tally, error) { return f(), nil }
 
-const within = 20 * time.Second
+const rollOutTime = 20 * time.Second
 
 // runDuty runs a Runner without tallies of its own beside one other instance with the given tallies, on a
 // fake clock.
-func runDuty(t *testing.T, peers peerTallies, test func(ctx context.Context, r *fakeStore)) {
+func runDuty(t *testing.T, peers peerTallies, test func(ctx context.Context, store *fakeStore)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -112,7 +112,7 @@
 			{Server: &relay.Server{ID: "b", Service: "app", Release: "v2"}},
 			{Member: &relay.Member{Name: "me", Address: "me"}},
 			{Member: &relay.Member{Name: "other", Address: "other"}},
-			{RollOut: &relay.RollOut{Service: "app", Target: "v2", Within: within}},
+			{RollOut: &relay.RollOut{Service: "app", Target: "v2", Within: rollOutTime}},
 		} {
 			f.Changes = append(f.Changes, relay.Change{Key: string(rune('a' + i)), Revision: int64(i + 1), Entry: e})
 		}
@@ -145,7 +145,7 @@
 
 func TestGoodReleaseIsCompletedWithinItsTime(t *testing.T) {
 	runDuty(t, talliesWithFailures(0), func(_ context.Context, store *fakeStore) {
-		time.Sleep(within)
+		time.Sleep(rollOutTime)
 		assert.DeepEqual(t, store.recordedPhases(), []relay.Phase{relay.PhaseUnderWay, relay.PhaseCompleted})
 	})
 }
@@ -154,23 +154,23 @@
 	runDuty(t, talliesWithFailures(30), func(_ context.Context, store *fakeStore) {
 		time.Sleep(2 * time.Second)
 		assert.DeepEqual(t, store.recordedPhases(), []relay.Phase{relay.PhaseReverted})
-		time.Sleep(2 * within)
+		time.Sleep(2 * rollOutTime)
 		assert.Equal(t, len(store.recordedPhases()), 1)
 	})
 }
 
 func TestReleaseThatFailsLateInItsRollOutIsReverted(t *testing.T) {
-	bad := 0
+	failures := 0
 	var mu sync.Mutex
 	peers := func() []relay.Tally {
 		mu.Lock()
 		defer mu.Unlock()
-		return talliesWithFailures(bad)()
+		return talliesWithFailures(failures)()
 	}
 	runDuty(t, peers, func(_ context.Context, store *fakeStore) {
-		time.Sleep(within / 2)
+		time.Sleep(rollOutTime / 2)
 		mu.Lock()
-		bad = 30
+		failures = 30
 		mu.Unlock()
 		time.Sleep(time.Second)
 		assert.DeepEqual(t, store.recordedPhases(), []relay.Phase{relay.PhaseUnderWay, relay.PhaseReverted})
@@ -188,7 +188,7 @@
 		assert.NilError(t, store.control.Do(ctx, cmds.Learn{Feed: relay.Feed{After: before, Revision: revision, Changes: []relay.Change{
 			{Key: "progress", Revision: revision, Entry: relay.Entry{Progress: &p}},
 		}}}))
-		time.Sleep(within)
+		time.Sleep(rollOutTime)
 		store.mu.Lock()
 		defer store.mu.Unlock()
 		assert.Equal(t, store.leases, int64(0), "no lease must be taken for a roll-out that has ended")
@@ -201,11 +201,11 @@
 		store.mu.Lock()
 		store.expireLease = true
 		store.mu.Unlock()
-		time.Sleep(within)
+		time.Sleep(rollOutTime)
 		store.mu.Lock()
-		lost := store.expiredLeases
+		expired := store.expiredLeases
 		store.mu.Unlock()
-		assert.Equal(t, lost, 1)
+		assert.Equal(t, expired, 1)
 		assert.DeepEqual(t, store.recordedPhases(), []relay.Phase{relay.PhaseUnderWay, relay.PhaseCompleted})
 	})
 }
