--- a/core/policy/backoff.go
+++ b/core/policy/backoff.go
@@ -2,24 +2,25 @@
 
 import "time"
 
-// Backoff is the series of delays between tries: each longest delay doubles the one before, up to a limit.
+// Backoff is an exponential backoff with jitter: each failure doubles the upper bound of the delay
+// before the next attempt, up to a limit.
 type Backoff struct {
-	// First is the longest first delay.
+	// First is the upper bound of the first delay.
 	First time.Duration
-	// Limit is the longest delay of all.
-	Limit time.Duration
-	tries int
+	// Limit caps the upper bound.
+	Limit    time.Duration
+	failures int
 }
 
-// WithFailure returns the series after one more failure.
+// WithFailure returns the backoff after one more failure.
 func (b Backoff) WithFailure() Backoff {
 	if b.ceiling() < b.Limit {
-		b.tries++
+		b.failures++
 	}
 	return b
 }
 
-// WithFailures returns the series after so many more failures.
+// WithFailures returns the backoff after n more failures.
 func (b Backoff) WithFailures(n int) Backoff {
 	for range n {
 		b = b.WithFailure()
@@ -27,14 +28,14 @@
 	return b
 }
 
-// WithSuccess returns the series from its start.
+// WithSuccess returns the backoff without any failures.
 func (b Backoff) WithSuccess() Backoff {
-	b.tries = 0
+	b.failures = 0
 	return b
 }
 
-// Delay returns the next delay: between half of the present ceiling and all of it, so that
-// clients that failed together do not come back together.
+// Delay returns a random delay between half of the present upper bound and all of it, so that clients
+// that failed together do not retry together.
 func (b Backoff) Delay(rnd Rand) time.Duration {
 	half := b.ceiling() / 2
 	if half <= 0 {
@@ -44,5 +45,5 @@
 }
 
 func (b Backoff) ceiling() time.Duration {
-	return min(b.First<<b.tries, b.Limit)
+	return min(b.First<<b.failures, b.Limit)
 }
--- a/core/policy/cell.go
+++ b/core/policy/cell.go
@@ -2,21 +2,22 @@
 
 import "sync/atomic"
 
-// Cell holds the latest of a series of immutable values, for many readers and writers.
+// Cell holds the latest version of an immutable value for concurrent readers and writers; the zero
+// Cell holds the zero value.
 type Cell[T any] struct {
-	p atomic.Pointer[T]
+	latest atomic.Pointer[T]
 }
 
 // NewCell returns a cell that holds the value.
 func NewCell[T any](v T) *Cell[T] {
 	c := new(Cell[T])
-	c.p.Store(&v)
+	c.latest.Store(&v)
 	return c
 }
 
-// Get returns the latest value, which is the zero value before the first change.
+// Get returns the latest value.
 func (c *Cell[T]) Get() T {
-	p := c.p.Load()
+	p := c.latest.Load()
 	if p == nil {
 		var zero T
 		return zero
@@ -24,36 +25,36 @@
 	return *p
 }
 
-// Update replaces the value by what the function makes of it, and returns the new one.
+// Update replaces the value by the result of calling next with it, and returns the new value.
 //
-// The function may be called again when another writer was faster, so it must be pure.
+// It calls next again when another writer has changed the value meanwhile, so next must be pure.
 func (c *Cell[T]) Update(next func(T) T) T {
 	for {
-		old := c.p.Load()
-		var was T
+		old := c.latest.Load()
+		var current T
 		if old != nil {
-			was = *old
+			current = *old
 		}
-		now := next(was)
-		if c.p.CompareAndSwap(old, &now) {
-			return now
+		updated := next(current)
+		if c.latest.CompareAndSwap(old, &updated) {
+			return updated
 		}
 	}
 }
 
-// TryUpdate is like Update, but the function may decline, which leaves the value as it is.
+// TryUpdate is like Update, but leaves the value as it is and returns false when next returns false.
 func (c *Cell[T]) TryUpdate(next func(T) (T, bool)) bool {
 	for {
-		old := c.p.Load()
-		var was T
+		old := c.latest.Load()
+		var current T
 		if old != nil {
-			was = *old
+			current = *old
 		}
-		now, ok := next(was)
+		updated, ok := next(current)
 		if !ok {
 			return false
 		}
-		if c.p.CompareAndSwap(old, &now) {
+		if c.latest.CompareAndSwap(old, &updated) {
 			return true
 		}
 	}
--- a/core/policy/cells.go
+++ b/core/policy/cells.go
@@ -5,24 +5,24 @@
 	"sync"
 )
 
-// Cells holds a Cell for each key, for many readers and writers; the zero value is empty.
+// Cells holds a Cell for each key, for concurrent readers and writers; the zero value is empty.
 type Cells[K comparable, T any] struct {
 	cells sync.Map
 }
 
-// Of returns the key's cell, which is made at the first call.
+// Of returns the key's cell and creates it at the first call.
 func (c *Cells[K, T]) Of(k K) *Cell[T] {
-	have, ok := c.cells.Load(k)
+	loaded, ok := c.cells.Load(k)
 	if !ok {
-		have, _ = c.cells.LoadOrStore(k, new(Cell[T]))
+		loaded, _ = c.cells.LoadOrStore(k, new(Cell[T]))
 	}
-	return have.(*Cell[T])
+	return loaded.(*Cell[T])
 }
 
-// Get returns the key's latest value without making a cell.
+// Get returns the key's latest value, or the zero value; it creates no cell.
 func (c *Cells[K, T]) Get(k K) T {
-	if have, ok := c.cells.Load(k); ok {
-		return have.(*Cell[T]).Get()
+	if loaded, ok := c.cells.Load(k); ok {
+		return loaded.(*Cell[T]).Get()
 	}
 	var zero T
 	return zero
@@ -35,7 +35,7 @@
 	}
 }
 
-// Drop forgets the key; who holds its cell may still use that.
+// Drop removes the key; a caller that already has its cell may go on using it.
 func (c *Cells[K, T]) Drop(k K) {
 	c.cells.Delete(k)
 }
--- a/core/policy/cells_test.go
+++ b/core/policy/cells_test.go
@@ -9,18 +9,18 @@
 	"endivehitch/core/policy"
 )
 
-func TestCellsOfOneKeyAreOne(t *testing.T) {
+func TestCellsOfOneKeyShareOneCell(t *testing.T) {
 	var cells policy.Cells[string, int]
 	assert.Equal(t, cells.Get("a"), 0)
-	var running sync.WaitGroup
+	var group sync.WaitGroup
 	for range 8 {
-		running.Go(func() {
+		group.Go(func() {
 			for range 100 {
 				cells.Of("a").Update(func(n int) int { return n + 1 })
 			}
 		})
 	}
-	running.Wait()
+	group.Wait()
 	assert.Equal(t, cells.Get("a"), 800)
 	cells.Of("b").Update(func(int) int { return 7 })
 	sum := 0
--- a/core/policy/doc.go
+++ b/core/policy/doc.go
@@ -1,6 +1,12 @@
-// Package policy holds the generic containers and policies that decisions are
-// built from: persistent tables, pickers, limiters, rings and estimators.
+// Package policy holds the generic containers and policies that decisions are built from.
 //
-// Each policy is an immutable value built from a configuration struct; a With
-// method returns its next state. Time and randomness come in as arguments.
+// The containers are Table (map), List (sequence), Ring (latest values) and Fair (weighted fair
+// queue); each is immutable and shares memory with its older versions. Cell and Cells publish such a
+// value to concurrent readers and writers by compare-and-swap. Rendezvous and Top assign work to
+// members by rendezvous hashing, and Sample picks the best of a few random candidates. Limiter bounds
+// concurrency, Backoff, Budget and Quota bound retries and other extra work, and Estimate, Quantile,
+// Smooth and Watch are statistics over samples.
+//
+// Each policy is an immutable value that is used with a configuration struct; a With method returns
+// its next state. Time and randomness come in as arguments.
 package policy
--- a/core/policy/estimate.go
+++ b/core/policy/estimate.go
@@ -5,177 +5,186 @@
 	"time"
 )
 
-// EstimateConfig sets up the estimates of a share from ratings.
+// EstimateConfig configures estimates of the share of good answers.
 type EstimateConfig struct {
-	// PriorWeight is how many ratings a stated share counts for, where nothing else is said.
+	// PriorWeight is how many ratings a stated share counts for, unless NewEstimate is given a weight.
 	PriorWeight float64
 	// HalfLife is the time in which a rating loses half of its weight.
 	HalfLife time.Duration
-	// StaleAfter is how long without any rating an estimate keeps its full confidence.
+	// StaleAfter is how long after the latest rating an estimate keeps its full confidence.
 	StaleAfter time.Duration
-	// StaleHalfLife is the time in which an estimate without new ratings then loses half of its weight.
+	// StaleHalfLife is the time in which an estimate loses half of its weight once StaleAfter has passed.
 	StaleHalfLife time.Duration
-	// Deviation is the normal quantile of the bounds' one-sided confidence.
+	// Deviation is the normal quantile (z-score) of the one-sided confidence of each bound.
 	Deviation float64
 	// MaxWeight bounds the weight of one rating, which is the inverse of its sampling rate.
 	MaxWeight float64
 }
 
-// Estimate is what ratings say about a share; it is immutable.
+// Estimate estimates the share of good answers from a stated share and from ratings; it is immutable.
 //
-// A stated share counts as ratings given beforehand. It fades with age as they do, and once the
-// ratings contradict it, it loses weight for good: an estimate never heals by growing old.
+// The stated share is the prior: it counts as a number of ratings given beforehand, and loses weight
+// with age as they do. Where the ratings contradict it, it loses weight permanently, so an estimate
+// does not return to the prior when its ratings get old.
 type Estimate struct {
 	config EstimateConfig
-	stated float64
-	weight float64
-	// prior is the present weight of the stated share.
-	prior float64
-	// good, all and squares are sums over the ratings' weights, as of last.
-	good    float64
-	all     float64
-	squares float64
-	last    time.Time
-}
-
-// Rating is one verdict as the estimate sees it.
+	// statedShare and statedWeight are the prior as it was stated.
+	statedShare  float64
+	statedWeight float64
+	// priorWeight is the weight that the stated share has left.
+	priorWeight float64
+	// goodWeight, totalWeight and squaredWeights are the sums of the weights of the good ratings, of
+	// all ratings, and of the squares of all weights, decayed to the time of latestRating.
+	goodWeight     float64
+	totalWeight    float64
+	squaredWeights float64
+	latestRating   time.Time
+}
+
+// Rating is one verdict on an answer.
 type Rating struct {
 	Good bool
-	// Rate is the share, from 0 to 1, at which such answers are rated; zero means unknown.
+	// Rate is the sampling rate, from 0 to 1, at which such answers are rated; zero means unknown.
 	Rate float64
 	At   time.Time
 }
 
-// Bound is an estimate at one moment.
+// Bound is an estimate at one moment, with its confidence interval.
 type Bound struct {
 	Mean  float64
 	Lower float64
 	Upper float64
-	// Weight is the number of ratings that the estimate is worth.
+	// Weight is the effective number of ratings behind the estimate.
 	Weight float64
 }
 
-// conflictVariance is the squared deviation beyond which ratings contradict the stated share.
+// conflictVariance is the squared number of standard deviations beyond which the ratings contradict
+// the stated share.
 const conflictVariance = 4
 
-// NewEstimate returns an estimate from a stated share; a weight of zero means the configured one.
+// NewEstimate returns an estimate from a stated share that counts as weight ratings; a weight of zero
+// means the configured PriorWeight.
 func (c EstimateConfig) NewEstimate(stated, weight float64) Estimate {
 	if weight <= 0 {
 		weight = c.PriorWeight
 	}
-	return Estimate{config: c, stated: stated, weight: weight, prior: weight}
+	return Estimate{config: c, statedShare: stated, statedWeight: weight, priorWeight: weight}
 }
 
-// With returns an estimate that has taken in a rating, whatever the order in which ratings arrive.
+// With returns an estimate that includes the rating; ratings may come in any order.
 func (e Estimate) With(r Rating) Estimate {
-	w := e.weigh(r.Rate)
-	if r.At.After(e.last) {
-		e = e.aged(r.At)
+	weight := e.ratingWeight(r.Rate)
+	if r.At.After(e.latestRating) {
+		e = e.decayedTo(r.At)
 	} else {
-		w *= fade(e.last.Sub(r.At), e.config.HalfLife)
+		weight *= exponentialDecay(e.latestRating.Sub(r.At), e.config.HalfLife)
 	}
 	if r.Good {
-		e.good += w
+		e.goodWeight += weight
 	}
-	e.all += w
-	e.squares += w * w
-	return e.confronted()
+	e.totalWeight += weight
+	e.squaredWeights += weight * weight
+	return e.withPriorChecked()
 }
 
 // WithStated returns an estimate with another stated share and weight; the ratings stay.
 func (e Estimate) WithStated(stated, weight float64) Estimate {
-	fresh := e.config.NewEstimate(stated, weight)
-	if fresh.stated == e.stated && fresh.weight == e.weight {
+	restated := e.config.NewEstimate(stated, weight)
+	if restated.statedShare == e.statedShare && restated.statedWeight == e.statedWeight {
 		return e
 	}
-	e.stated, e.weight, e.prior = fresh.stated, fresh.weight, fresh.prior
-	return e.confronted()
+	e.statedShare, e.statedWeight, e.priorWeight = restated.statedShare, restated.statedWeight, restated.priorWeight
+	return e.withPriorChecked()
 }
 
-// Rated returns whether the estimate has taken in any rating.
+// Rated reports whether the estimate includes any rating.
 func (e Estimate) Rated() bool {
-	return e.all > 0
+	return e.totalWeight > 0
 }
 
-// Fresh returns until when the bounds keep their full confidence; zero means for ever.
+// Fresh returns the time until which the bounds keep their full confidence; zero means without end.
 func (e Estimate) Fresh() time.Time {
 	if !e.Rated() {
 		return time.Time{}
 	}
-	return e.last.Add(e.config.StaleAfter)
+	return e.latestRating.Add(e.config.StaleAfter)
 }
 
-// Bound returns the estimate at the time, wider the longer no rating has come.
+// Bound returns the estimate at the given time; its interval widens the longer there is no new rating.
 func (e Estimate) Bound(now time.Time) Bound {
-	n := e.effective()
-	mean := (e.stated*e.prior + e.share()*n) / max(e.prior+n, math.SmallestNonzeroFloat64)
-	n += e.prior
-	if fresh := e.Fresh(); e.Rated() && now.After(fresh) {
-		n *= fade(now.Sub(fresh), e.config.StaleHalfLife)
+	count := e.effectiveCount()
+	mean := (e.statedShare*e.priorWeight + e.ratedShare()*count) / max(e.priorWeight+count, math.SmallestNonzeroFloat64)
+	count += e.priorWeight
+	if freshUntil := e.Fresh(); e.Rated() && now.After(freshUntil) {
+		count *= exponentialDecay(now.Sub(freshUntil), e.config.StaleHalfLife)
 	}
-	return wilson(mean, n, e.config.Deviation)
+	return wilsonInterval(mean, count, e.config.Deviation)
 }
 
-func (e Estimate) weigh(rate float64) float64 {
+func (e Estimate) ratingWeight(rate float64) float64 {
 	if rate <= 0 {
 		return 1
 	}
 	return min(1/rate, e.config.MaxWeight)
 }
 
-func (e Estimate) aged(at time.Time) Estimate {
+func (e Estimate) decayedTo(at time.Time) Estimate {
 	if e.Rated() {
-		f := fade(at.Sub(e.last), e.config.HalfLife)
-		e.good *= f
-		e.all *= f
-		e.squares *= f * f
-		e.prior *= f
+		factor := exponentialDecay(at.Sub(e.latestRating), e.config.HalfLife)
+		e.goodWeight *= factor
+		e.totalWeight *= factor
+		e.squaredWeights *= factor * factor
+		e.priorWeight *= factor
 	}
-	e.last = at
+	e.latestRating = at
 	return e
 }
 
-// confronted lowers the prior's weight by how far the ratings lie from it.
-func (e Estimate) confronted() Estimate {
-	n := e.effective()
-	if n < 1 || e.prior == 0 {
+// withPriorChecked lowers the prior's weight where the ratings contradict it: the weight is divided by
+// the ratio of the squared deviation to conflictVariance.
+func (e Estimate) withPriorChecked() Estimate {
+	count := e.effectiveCount()
+	if count < 1 || e.priorWeight == 0 {
 		return e
 	}
-	spread := max(e.stated*(1-e.stated), 1/(e.prior+n)) * (1/n + 1/e.prior)
-	gap := e.share() - e.stated
-	if excess := gap * gap / spread; excess > conflictVariance {
-		e.prior *= conflictVariance / excess
+	variance := max(e.statedShare*(1-e.statedShare), 1/(e.priorWeight+count)) * (1/count + 1/e.priorWeight)
+	difference := e.ratedShare() - e.statedShare
+	if excess := difference * difference / variance; excess > conflictVariance {
+		e.priorWeight *= conflictVariance / excess
 	}
 	return e
 }
 
-// effective returns how many ratings of equal weight the weighted ones are worth.
-func (e Estimate) effective() float64 {
-	if e.squares == 0 {
+// effectiveCount returns Kish's effective sample size: the number of equally weighted ratings that
+// give the same variance.
+func (e Estimate) effectiveCount() float64 {
+	if e.squaredWeights == 0 {
 		return 0
 	}
-	return e.all * e.all / e.squares
+	return e.totalWeight * e.totalWeight / e.squaredWeights
 }
 
-func (e Estimate) share() float64 {
-	if e.all == 0 {
+func (e Estimate) ratedShare() float64 {
+	if e.totalWeight == 0 {
 		return 0
 	}
-	return e.good / e.all
+	return e.goodWeight / e.totalWeight
 }
 
-func fade(age, halfLife time.Duration) float64 {
+// exponentialDecay returns the factor by which a weight changes over the age, which may be negative.
+func exponentialDecay(age, halfLife time.Duration) float64 {
 	if halfLife <= 0 {
 		return 1
 	}
 	return math.Exp2(-age.Seconds() / halfLife.Seconds())
 }
 
-// wilson returns the score interval, which stays inside 0 to 1 also for shares near them.
-func wilson(mean, n, z float64) Bound {
-	n = max(n, 1)
-	zz := z * z / n
-	center := (mean + zz/2) / (1 + zz)
-	half := z * math.Sqrt(mean*(1-mean)/n+zz/(4*n)) / (1 + zz)
-	return Bound{Mean: mean, Lower: max(center-half, 0), Upper: min(center+half, 1), Weight: n}
+// wilsonInterval returns Wilson's score interval, which stays between 0 and 1 even for shares near
+// those ends.
+func wilsonInterval(mean, count, z float64) Bound {
+	count = max(count, 1)
+	zSquaredPerCount := z * z / count
+	center := (mean + zSquaredPerCount/2) / (1 + zSquaredPerCount)
+	halfWidth := z * math.Sqrt(mean*(1-mean)/count+zSquaredPerCount/(4*count)) / (1 + zSquaredPerCount)
+	return Bound{Mean: mean, Lower: max(center-halfWidth, 0), Upper: min(center+halfWidth, 1), Weight: count}
 }
--- a/core/policy/estimate_test.go
+++ b/core/policy/estimate_test.go
@@ -12,8 +12,8 @@
 )
 
 var (
-	start    = time.Date(2026, 3, 1, 8, 0, 0, 0, time.UTC)
-	ratingOf = policy.EstimateConfig{
+	start          = time.Date(2026, 3, 1, 8, 0, 0, 0, time.UTC)
+	estimateConfig = policy.EstimateConfig{
 		PriorWeight:   200,
 		HalfLife:      24 * time.Hour,
 		StaleAfter:    time.Hour,
@@ -23,8 +23,9 @@
 	}
 )
 
-// rate feeds answers of the quality, of which bad ones are rated four times as often.
-func rate(e policy.Estimate, rnd *rand.Rand, quality float64, answers int, known bool) policy.Estimate {
+// withRatings adds ratings of answers of the given quality; bad answers are sampled four times as
+// often as good ones.
+func withRatings(e policy.Estimate, rnd *rand.Rand, quality float64, answers int, known bool) policy.Estimate {
 	for i := range answers {
 		good := rnd.Float64() < quality
 		p := 0.4
@@ -43,20 +44,20 @@
 	return e
 }
 
-func TestBiasIsRemovedWhereRatesAreKnown(t *testing.T) {
+func TestKnownSamplingRatesRemoveBias(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 1))
-	known := rate(ratingOf.NewEstimate(0.9, 0), rnd, 0.9, 20000, true).Bound(start.Add(6 * time.Hour))
-	blind := rate(ratingOf.NewEstimate(0.9, 0), rnd, 0.9, 20000, false).Bound(start.Add(6 * time.Hour))
+	known := withRatings(estimateConfig.NewEstimate(0.9, 0), rnd, 0.9, 20000, true).Bound(start.Add(6 * time.Hour))
+	unknown := withRatings(estimateConfig.NewEstimate(0.9, 0), rnd, 0.9, 20000, false).Bound(start.Add(6 * time.Hour))
 	assert.Assert(t, known.Lower > 0.87 && known.Upper < 0.93, "%+v", known)
-	assert.Assert(t, blind.Mean < 0.8, "unknown sampling must err towards caution: %+v", blind)
+	assert.Assert(t, unknown.Mean < 0.8, "unknown sampling must err towards caution: %+v", unknown)
 }
 
-func TestLowerBoundHoldsAsOftenAsItSays(t *testing.T) {
+func TestLowerBoundHasStatedConfidence(t *testing.T) {
 	above := 0
 	const trials = 400
 	for i := range trials {
 		rnd := rand.New(rand.NewPCG(2, uint64(i)))
-		e := rate(ratingOf.NewEstimate(0.85, 1), rnd, 0.85, 3000, true)
+		e := withRatings(estimateConfig.NewEstimate(0.85, 1), rnd, 0.85, 3000, true)
 		if e.Bound(start.Add(time.Hour)).Lower > 0.85 {
 			above++
 		}
@@ -64,28 +65,28 @@
 	assert.Assert(t, above < trials*14/100, "bound above the truth in %d of %d", above, trials)
 }
 
-func TestWrongPriorGivesWay(t *testing.T) {
+func TestRatingsOverrideWrongPrior(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(3, 3))
-	e := rate(ratingOf.NewEstimate(0.97, 0), rnd, 0.7, 500, true)
+	e := withRatings(estimateConfig.NewEstimate(0.97, 0), rnd, 0.7, 500, true)
 	assert.Assert(t, e.Bound(start.Add(time.Hour)).Mean < 0.8, "%+v", e.Bound(start))
 }
 
-func TestSilenceWidensAndNeverHeals(t *testing.T) {
+func TestStaleEstimateWidensAndKeepsItsMean(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(4, 4))
-	e := rate(ratingOf.NewEstimate(0.97, 0), rnd, 0.7, 2000, true)
-	was := e.Bound(e.Fresh())
+	e := withRatings(estimateConfig.NewEstimate(0.97, 0), rnd, 0.7, 2000, true)
+	previous := e.Bound(e.Fresh())
 	for h := 1; h < 200; h++ {
-		is := e.Bound(e.Fresh().Add(time.Duration(h) * time.Hour))
-		assert.Assert(t, is.Lower <= was.Lower && is.Upper >= was.Upper, "hour %d: %+v after %+v", h, is, was)
-		assert.Equal(t, is.Mean, was.Mean)
-		was = is
+		current := e.Bound(e.Fresh().Add(time.Duration(h) * time.Hour))
+		assert.Assert(t, current.Lower <= previous.Lower && current.Upper >= previous.Upper, "hour %d: %+v after %+v", h, current, previous)
+		assert.Equal(t, current.Mean, previous.Mean)
+		previous = current
 	}
 	later := e.With(policy.Rating{Good: true, At: start.Add(1000 * time.Hour)})
 	assert.Assert(t, later.Bound(start.Add(1000*time.Hour)).Lower < 0.7, "one late rating brought the prior back")
 }
 
-func TestLateRatingCountsAsInTime(t *testing.T) {
-	e := ratingOf.NewEstimate(0.5, 10).With(policy.Rating{Good: true, At: start})
+func TestRatingOutOfOrderGivesTheSameEstimate(t *testing.T) {
+	e := estimateConfig.NewEstimate(0.5, 10).With(policy.Rating{Good: true, At: start})
 	a := policy.Rating{Good: true, At: start.Add(10 * time.Hour)}
 	b := policy.Rating{At: start.Add(30 * time.Hour)}
 	inTime, late := e.With(a).With(b).Bound(b.At), e.With(b).With(a).Bound(b.At)
--- a/core/policy/fair.go
+++ b/core/policy/fair.go
@@ -5,33 +5,35 @@
 	"slices"
 )
 
-// Fair is a queue of weighted groups, each of weighted lanes, served by virtual time.
+// Fair is a two-level weighted fair queue: weighted groups, each of weighted lanes, served in the
+// order of their virtual start times.
 //
-// Groups with items are served in proportion to their weights, and so are the
-// lanes inside a group; what one doesn't use goes to the others. The zero
-// value is empty and ready for use.
+// Groups with items are served in proportion to their weights, and so are the lanes inside a group;
+// service that one does not use goes to the others. The zero value is empty and ready for use.
 type Fair[G, K comparable, V any] struct {
 	groups []group[G, K, V]
 	clock  float64
 	size   int
 }
 
-// lookAhead is how many items of a lane are tried, so that one that fits nowhere doesn't hold up those behind it.
+// lookAhead is how many items of a lane are tried in turn, so that an item that can't be served yet
+// does not block those behind it.
 const lookAhead = 4
 
-// Entry is an item with its place in a Fair queue.
+// Entry is an item with its group, lane and weights in a Fair queue.
 type Entry[G, K comparable, V any] struct {
 	Group       G
 	GroupWeight float64
 	Lane        K
 	LaneWeight  float64
-	// Cost is how much service the item takes.
+	// Cost is how much service the item takes, in a unit of the caller's.
 	Cost float64
 	Item V
 }
 
 type group[G, K comparable, V any] struct {
-	key   G
+	key G
+	// tag is the virtual start time of the group's next item; clock is the virtual time of its lanes.
 	tag   float64
 	clock float64
 	size  int
@@ -73,7 +75,7 @@
 	return n
 }
 
-// Waiting reports whether a lane that matches has an item.
+// Waiting reports whether any lane that matches has an item.
 func (f Fair[G, K, V]) Waiting(match func(K) bool) bool {
 	for _, g := range f.groups {
 		for _, l := range g.lanes {
@@ -85,7 +87,7 @@
 	return false
 }
 
-// Groups yields the groups that have items, in no stated order.
+// Groups returns the groups that have items, in no particular order.
 func (f Fair[G, K, V]) Groups() []G {
 	var keys []G
 	for _, g := range f.groups {
@@ -113,9 +115,10 @@
 	return f
 }
 
-// Next returns the first item that fits, in the order of service, and the queue without it.
+// Next returns the first item in the order of service for which fits returns true, and the queue
+// without it; the last result is false when there is none.
 func (f Fair[G, K, V]) Next(fits func(V) bool) (V, Fair[G, K, V], bool) {
-	for _, i := range order(f.groups, func(g group[G, K, V]) float64 { return g.tag }) {
+	for _, i := range indicesByTag(f.groups, func(g group[G, K, V]) float64 { return g.tag }) {
 		g := f.groups[i]
 		e, rest, ok := g.next(fits)
 		if !ok {
@@ -126,24 +129,24 @@
 		f.groups = slices.Clone(f.groups)
 		f.groups[i] = rest
 		f.size--
-		return e.Item, f.pruned(), true
+		return e.Item, f.withoutIdleGroups(), true
 	}
 	var none V
 	return none, f, false
 }
 
-// Without returns a queue that lacks the first item of the group that matches, and whether there was one.
+// Without returns a queue without the first item of the group that matches, and whether there was one.
 func (f Fair[G, K, V]) Without(key G, match func(V) bool) (Fair[G, K, V], bool) {
 	i := f.find(key)
 	if i < 0 {
 		return f, false
 	}
 	for j, l := range f.groups[i].lanes {
-		at := slices.IndexFunc(l.items, func(e Entry[G, K, V]) bool { return match(e.Item) })
-		if at < 0 {
+		index := slices.IndexFunc(l.items, func(e Entry[G, K, V]) bool { return match(e.Item) })
+		if index < 0 {
 			continue
 		}
-		l.items = slices.Delete(slices.Clone(l.items), at, at+1)
+		l.items = slices.Delete(slices.Clone(l.items), index, index+1)
 		g := f.groups[i]
 		g.lanes = slices.Clone(g.lanes)
 		g.lanes[j] = l
@@ -160,8 +163,9 @@
 	return slices.IndexFunc(f.groups, func(g group[G, K, V]) bool { return g.key == key })
 }
 
-// pruned forgets groups that neither wait nor owe service.
-func (f Fair[G, K, V]) pruned() Fair[G, K, V] {
+// withoutIdleGroups drops groups that have no items and whose tag has been reached by the clock. A
+// group whose tag lies ahead has used service in advance and must not start again without that debt.
+func (f Fair[G, K, V]) withoutIdleGroups() Fair[G, K, V] {
 	f.groups = slices.DeleteFunc(f.groups, func(g group[G, K, V]) bool {
 		return g.size == 0 && g.tag <= f.clock
 	})
@@ -186,16 +190,16 @@
 }
 
 func (g group[G, K, V]) next(fits func(V) bool) (Entry[G, K, V], group[G, K, V], bool) {
-	for _, i := range order(g.lanes, func(l lane[G, K, V]) float64 { return l.tag }) {
+	for _, i := range indicesByTag(g.lanes, func(l lane[G, K, V]) float64 { return l.tag }) {
 		l := g.lanes[i]
-		at := slices.IndexFunc(l.items[:min(lookAhead, len(l.items))], func(e Entry[G, K, V]) bool { return fits(e.Item) })
-		if at < 0 {
+		index := slices.IndexFunc(l.items[:min(lookAhead, len(l.items))], func(e Entry[G, K, V]) bool { return fits(e.Item) })
+		if index < 0 {
 			continue
 		}
-		e := l.items[at]
+		e := l.items[index]
 		g.clock = max(g.clock, l.tag)
 		l.tag += e.Cost / e.LaneWeight
-		l.items = without(l.items, at)
+		l.items = withoutIndex(l.items, index)
 		g.lanes = slices.Clone(g.lanes)
 		g.lanes[i] = l
 		g.lanes = slices.DeleteFunc(g.lanes, func(l lane[G, K, V]) bool {
@@ -208,16 +212,16 @@
 	return none, g, false
 }
 
-// without returns the items but for one; taking the first copies nothing.
-func without[T any](items []T, at int) []T {
-	if at == 0 {
+// withoutIndex returns the items without the one at the index; removing the first copies nothing.
+func withoutIndex[T any](items []T, index int) []T {
+	if index == 0 {
 		return items[1:]
 	}
-	return slices.Delete(slices.Clone(items), at, at+1)
+	return slices.Delete(slices.Clone(items), index, index+1)
 }
 
-// order returns the indices in the order of the tags; equal tags keep their order.
-func order[T any](list []T, tag func(T) float64) []int {
+// indicesByTag returns the list's indices in ascending order of the tags; equal tags keep their order.
+func indicesByTag[T any](list []T, tag func(T) float64) []int {
 	indices := make([]int, len(list))
 	for i := range indices {
 		indices[i] = i
--- a/core/policy/limiter.go
+++ b/core/policy/limiter.go
@@ -5,68 +5,73 @@
 	"time"
 )
 
-// Limiter bounds concurrent work by the latency that the work sees; the zero value stands at its first bound.
+// Limiter is an adaptive concurrency limit that follows measured latency; the zero value is at its
+// configured first limit.
 type Limiter struct {
 	limit    float64
 	unloaded time.Duration
 }
 
-// LimiterConfig sets the bounds of a Limiter.
+// LimiterConfig configures a Limiter.
 type LimiterConfig struct {
-	// First is the bound before anything was seen.
+	// First is the limit before the first sample.
 	First float64
-	// Least and Most bound the bound.
+	// Least and Most are the lowest and the highest limit.
 	Least float64
 	Most  float64
-	// Tolerance is how many times the unloaded latency is taken for normal.
+	// Tolerance is the ratio of the highest normal latency to the unloaded latency.
 	Tolerance float64
-	// Backoff is the factor, from 0 to 1, that a sign of overload multiplies the bound by.
+	// Backoff is the factor, from 0 to 1, that a sign of overload multiplies the limit by.
 	Backoff float64
-	// Drift is the share by which the unloaded latency follows each slower sample.
+	// Drift is the share, from 0 to 1, of the difference to each slower sample by which the unloaded
+	// latency rises.
 	Drift float64
 }
 
-// Limit returns the present bound, at least 1.
+// Limit returns the present limit, at least 1.
 func (l Limiter) Limit(c LimiterConfig) int {
-	return max(1, int(l.at(c)))
+	return max(1, int(l.currentLimit(c)))
 }
 
-// WithSample returns a limiter that has seen a run of the given latency while so many were in flight.
+// WithSample returns the limiter after an attempt of the given latency, with inFlight attempts at once.
 func (l Limiter) WithSample(c LimiterConfig, latency time.Duration, inFlight int) Limiter {
-	limit := l.at(c)
-	l.unloaded = l.baseline(c, latency)
+	limit := l.currentLimit(c)
+	l.unloaded = l.baselineAfter(c, latency)
 	normal := float64(l.unloaded) * c.Tolerance
 	if latency > 0 && float64(latency) > normal {
-		// The bound follows the gradient between normal and seen latency, by a part each time.
+		// The gradient is the ratio of normal to measured latency. A slow sample lowers the limit by
+		// 1-gradient, so as many samples as the limit lower it by about the factor gradient.
 		gradient := max(c.Backoff, normal/float64(latency))
 		limit *= 1 - (1-gradient)/limit
-		return l.with(c, limit)
+		return l.withLimit(c, limit)
 	}
+	// While less than half of the limit is in use, a fast sample says nothing about a higher limit.
 	if float64(inFlight) < limit/2 {
-		return l.with(c, limit)
+		return l.withLimit(c, limit)
 	}
-	return l.with(c, limit+1/limit)
+	return l.withLimit(c, limit+1/limit)
 }
 
-// WithOverload returns a limiter that has seen a sign of overload, such as a refusal or a timeout.
+// WithOverload returns the limiter after a sign of overload, such as a refusal or a timeout.
 func (l Limiter) WithOverload(c LimiterConfig) Limiter {
-	return l.with(c, l.at(c)*c.Backoff)
+	return l.withLimit(c, l.currentLimit(c)*c.Backoff)
 }
 
-func (l Limiter) at(c LimiterConfig) float64 {
+func (l Limiter) currentLimit(c LimiterConfig) float64 {
 	if l.limit == 0 {
 		return max(c.First, 1)
 	}
 	return l.limit
 }
 
-func (l Limiter) with(c LimiterConfig, limit float64) Limiter {
+func (l Limiter) withLimit(c LimiterConfig, limit float64) Limiter {
 	l.limit = math.Min(math.Max(limit, max(c.Least, 1)), max(c.Most, c.First))
 	return l
 }
 
-// baseline falls at once with a faster sample and rises slowly with slower ones.
-func (l Limiter) baseline(c LimiterConfig, latency time.Duration) time.Duration {
+// baselineAfter returns the unloaded latency after a sample: it falls to a faster sample at once and
+// rises by the share Drift towards a slower one.
+func (l Limiter) baselineAfter(c LimiterConfig, latency time.Duration) time.Duration {
 	if l.unloaded == 0 || latency < l.unloaded {
 		return latency
 	}
--- a/core/policy/list.go
+++ b/core/policy/list.go
@@ -5,15 +5,15 @@
 	"slices"
 )
 
-// listChunk is how many items share a chunk; an append copies one chunk and the spine.
-const listChunk = 64
+// listChunkSize is how many items share a chunk; an append copies one chunk and the slice of chunks.
+const listChunkSize = 64
 
-// List is an immutable sequence that grows at its end and is dropped from its start; the zero value
-// is empty.
+// List is an immutable sequence that grows at its end and shrinks at its start; the zero value is
+// empty.
 type List[T any] struct {
-	// spine holds chunks that are full but for the last one.
-	spine [][]T
-	// skip counts the items of the first chunk that are dropped.
+	// chunks are all full, except for the last one.
+	chunks [][]T
+	// skip counts the items of the first chunk that have been removed.
 	skip int
 	size int
 }
@@ -26,31 +26,31 @@
 // At returns the item at the index, from 0.
 func (l List[T]) At(i int) T {
 	i += l.skip
-	return l.spine[i/listChunk][i%listChunk]
+	return l.chunks[i/listChunkSize][i%listChunkSize]
 }
 
 // With returns a list that ends with the item.
 func (l List[T]) With(item T) List[T] {
 	l.size++
-	last := len(l.spine) - 1
-	if last < 0 || len(l.spine[last]) == listChunk {
-		l.spine = append(slices.Clone(l.spine), []T{item})
+	last := len(l.chunks) - 1
+	if last < 0 || len(l.chunks[last]) == listChunkSize {
+		l.chunks = append(slices.Clone(l.chunks), []T{item})
 		return l
 	}
-	l.spine = slices.Clone(l.spine)
-	l.spine[last] = append(slices.Clone(l.spine[last]), item)
+	l.chunks = slices.Clone(l.chunks)
+	l.chunks[last] = append(slices.Clone(l.chunks[last]), item)
 	return l
 }
 
-// Without returns a list that lacks the first n items.
+// Without returns a list without its first n items.
 func (l List[T]) Without(n int) List[T] {
 	if n >= l.size {
 		return List[T]{}
 	}
 	l.size -= n
 	l.skip += n
-	l.spine = l.spine[l.skip/listChunk:]
-	l.skip %= listChunk
+	l.chunks = l.chunks[l.skip/listChunkSize:]
+	l.skip %= listChunkSize
 	return l
 }
 
--- a/core/policy/list_test.go
+++ b/core/policy/list_test.go
@@ -10,8 +10,8 @@
 	"endivehitch/core/policy"
 )
 
-// TestListIsASliceThatNeverChanges holds random lists, and their older versions, against slices.
-func TestListIsASliceThatNeverChanges(t *testing.T) {
+// Compares lists built by random operations, and all their older versions, with slices.
+func TestListMatchesSliceModelInEveryVersion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		lists := []policy.List[int]{{}}
 		models := [][]int{nil}
--- a/core/policy/quota.go
+++ b/core/policy/quota.go
@@ -2,84 +2,85 @@
 
 import "time"
 
-// quotaParts is how many parts a quota's window is counted in.
-const quotaParts = 20
+// quotaBuckets is the number of buckets that a quota's window is divided into.
+const quotaBuckets = 20
 
-// Quota bounds extra work within a sliding window as a share of the window's first attempts; the
-// zero value has seen nothing.
+// Quota bounds extra attempts within a sliding window as a share of the window's first attempts; the
+// zero value has counted none.
 //
-// Because it is a ratio, quotas that hold at every instance hold for the fleet. Unlike a Budget, it
-// lets a failure of many servers at once use what a calm window has left.
+// Because the bound is a ratio, a quota that holds at every instance also holds for the fleet. Unlike
+// a Budget, which caps the burst at a fixed number, it lets a failure of many servers at once use all
+// the extra attempts that the window's first attempts allow.
 type Quota struct {
-	parts [quotaParts]quotaPart
-	// newest numbers the latest part since the zero time.
+	buckets [quotaBuckets]quotaBucket
+	// newest is the number of the latest bucket, counted from the Unix epoch.
 	newest int64
 }
 
-type quotaPart struct {
+type quotaBucket struct {
 	first, extra, optional uint32
 }
 
-// QuotaConfig sets the bounds of a Quota.
+// QuotaConfig configures a Quota.
 type QuotaConfig struct {
-	// Window is the time that the bounds hold for.
+	// Window is the length of the sliding window.
 	Window time.Duration
-	// Ratio is how much extra work each first attempt allows, and Allowance how much is allowed besides.
+	// Ratio is how many extra attempts each first attempt allows; Allowance is added to that.
 	Ratio     float64
 	Allowance float64
-	// Optional is the part of the ratio's extra work that optional work may use.
+	// Optional is the share, from 0 to 1, of the allowed extra attempts that optional ones may use.
 	Optional float64
 }
 
-// WithFirst returns a quota that has counted a first attempt.
+// WithFirst returns the quota after a first attempt.
 func (q Quota) WithFirst(c QuotaConfig, at time.Time) Quota {
-	q = q.movedTo(c, at)
-	q.parts[q.newest%quotaParts].first++
+	q = q.advancedTo(c, at)
+	q.buckets[q.newest%quotaBuckets].first++
 	return q
 }
 
-// WithExtra returns a quota that has paid for one extra run, and whether it could.
+// WithExtra returns the quota after one extra attempt, and whether that attempt is allowed.
 func (q Quota) WithExtra(c QuotaConfig, at time.Time) (Quota, bool) {
-	q = q.movedTo(c, at)
-	sum := q.sum()
-	if float64(sum.extra+1) > c.Ratio*float64(sum.first)+c.Allowance {
+	q = q.advancedTo(c, at)
+	total := q.totals()
+	if float64(total.extra+1) > c.Ratio*float64(total.first)+c.Allowance {
 		return q, false
 	}
-	q.parts[q.newest%quotaParts].extra++
+	q.buckets[q.newest%quotaBuckets].extra++
 	return q, true
 }
 
-// WithOptional returns a quota that has paid for one optional extra run, and whether it could.
+// WithOptional returns the quota after one optional extra attempt, and whether that attempt is allowed.
 func (q Quota) WithOptional(c QuotaConfig, at time.Time) (Quota, bool) {
-	q = q.movedTo(c, at)
-	if sum := q.sum(); float64(sum.optional+1) > c.Optional*(c.Ratio*float64(sum.first)+c.Allowance) {
+	q = q.advancedTo(c, at)
+	if total := q.totals(); float64(total.optional+1) > c.Optional*(c.Ratio*float64(total.first)+c.Allowance) {
 		return q, false
 	}
 	q, ok := q.WithExtra(c, at)
 	if ok {
-		q.parts[q.newest%quotaParts].optional++
+		q.buckets[q.newest%quotaBuckets].optional++
 	}
 	return q, ok
 }
 
-// movedTo returns a quota without the parts that have left the window.
-func (q Quota) movedTo(c QuotaConfig, at time.Time) Quota {
-	// The window is longer than asked by one part, as the newest part isn't whole.
-	part := max(1, int64(c.Window)/(quotaParts-1))
-	now := at.UnixNano() / part
-	if now <= q.newest {
+// advancedTo returns a quota without the buckets that have left the window at the given time.
+func (q Quota) advancedTo(c QuotaConfig, at time.Time) Quota {
+	// The newest bucket is still filling, so the buckets together cover one bucket more than the window.
+	width := max(1, int64(c.Window)/(quotaBuckets-1))
+	current := at.UnixNano() / width
+	if current <= q.newest {
 		return q
 	}
-	for i := max(q.newest+1, now-quotaParts+1); i <= now; i++ {
-		q.parts[i%quotaParts] = quotaPart{}
+	for i := max(q.newest+1, current-quotaBuckets+1); i <= current; i++ {
+		q.buckets[i%quotaBuckets] = quotaBucket{}
 	}
-	q.newest = now
+	q.newest = current
 	return q
 }
 
-func (q Quota) sum() quotaPart {
-	var all quotaPart
-	for _, p := range q.parts {
+func (q Quota) totals() quotaBucket {
+	var all quotaBucket
+	for _, p := range q.buckets {
 		all.first += p.first
 		all.extra += p.extra
 		all.optional += p.optional
--- a/core/policy/quota_test.go
+++ b/core/policy/quota_test.go
@@ -11,20 +11,20 @@
 
 var quota = policy.QuotaConfig{Window: 10 * time.Second, Ratio: 0.8, Allowance: 4, Optional: 0.5}
 
-func TestAQuotaLetsManyRunsRepeatAtOnce(t *testing.T) {
+func TestQuotaAllowsBurstOfRetries(t *testing.T) {
 	at := time.Unix(1000, 0)
 	var q policy.Quota
 	for i := range 100 {
 		q = q.WithFirst(quota, at.Add(time.Duration(i)*90*time.Millisecond))
 	}
-	repeats := 0
-	for ok := true; ok; repeats++ {
+	retries := 0
+	for ok := true; ok; retries++ {
 		q, ok = q.WithExtra(quota, at.Add(9*time.Second))
 	}
-	assert.Equal(t, repeats-1, 84)
+	assert.Equal(t, retries-1, 84)
 }
 
-func TestAQuotaHoldsInEachWindow(t *testing.T) {
+func TestQuotaHoldsInEverySlidingWindow(t *testing.T) {
 	at := time.Unix(1000, 0)
 	var q policy.Quota
 	var firsts, extras []time.Time
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestOptionalWorkLeavesPartOfTheQuota(t *testing.T) {
+func TestOptionalWorkUsesOnlyItsShareOfTheQuota(t *testing.T) {
 	at := time.Unix(1000, 0)
 	var q policy.Quota
 	for range 100 {
--- a/core/policy/rendezvous.go
+++ b/core/policy/rendezvous.go
@@ -9,23 +9,24 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// RendezvousConfig sets up a Rendezvous.
+// RendezvousConfig configures a Rendezvous.
 type RendezvousConfig struct {
 	// Slots is how many slots there are to own.
 	Slots int
 }
 
-// Rendezvous assigns each slot to the member with the highest weight for it.
+// Rendezvous assigns slots to members by rendezvous hashing: each slot is owned by the member with the
+// highest weight for it.
 //
-// It is immutable, and holds the owner of every slot, so that a lookup costs nothing; a change
-// moves only the slots that the changed member gains or loses.
+// It is immutable and stores the owner of every slot, so that a lookup is one slice access. Adding or
+// removing a member moves only the slots that this member gains or loses.
 type Rendezvous[K ~string] struct {
 	slots   int
-	members []weighted[K]
-	owners  []weighted[K]
+	members []hashedKey[K]
+	owners  []hashedKey[K]
 }
 
-type weighted[K ~string] struct {
+type hashedKey[K ~string] struct {
 	key  K
 	hash uint64
 }
@@ -80,15 +81,15 @@
 	if ok {
 		return r
 	}
-	m := weighted[K]{key: k, hash: xxhash.Sum64String(string(k))}
-	owners := make([]weighted[K], r.slots)
+	member := hashedKey[K]{key: k, hash: xxhash.Sum64String(string(k))}
+	owners := make([]hashedKey[K], r.slots)
 	for slot := range owners {
-		owners[slot] = m
-		if slot < len(r.owners) && heavier(r.owners[slot], m, uint64(slot)) {
+		owners[slot] = member
+		if slot < len(r.owners) && hasHigherWeight(r.owners[slot], member, uint64(slot)) {
 			owners[slot] = r.owners[slot]
 		}
 	}
-	r.members = slices.Insert(slices.Clone(r.members), i, m)
+	r.members = slices.Insert(slices.Clone(r.members), i, member)
 	r.owners = owners
 	return r
 }
@@ -107,17 +108,17 @@
 	r.owners = slices.Clone(r.owners)
 	for slot, owner := range r.owners {
 		if owner.key == k {
-			r.owners[slot] = heaviest(r.members, uint64(slot))
+			r.owners[slot] = memberWithHighestWeight(r.members, uint64(slot))
 		}
 	}
 	return r
 }
 
 func (r Rendezvous[K]) find(k K) (int, bool) {
-	return slices.BinarySearchFunc(r.members, k, func(m weighted[K], k K) int { return cmp.Compare(m.key, k) })
+	return slices.BinarySearchFunc(r.members, k, func(m hashedKey[K], k K) int { return cmp.Compare(m.key, k) })
 }
 
-// Top returns the n members that have the highest weights for the subject, heaviest first.
+// Top returns the n members with the highest weights for the subject, in descending order of weight.
 func (r Rendezvous[K]) Top(subject string, n int) []K {
 	top := NewTop[K](subject, n)
 	for _, m := range r.members {
@@ -126,39 +127,39 @@
 	return top.Keys()
 }
 
-// Top gathers the keys that have the highest weights for a subject, as a Rendezvous would choose them
-// among members that are only known one by one.
+// Top collects the keys with the highest rendezvous weights for a subject. It gives the same result as
+// Rendezvous.Top where the members are offered one by one.
 type Top[K ~string] struct {
-	seed uint64
-	most int
-	best []weighted[K]
+	subjectHash uint64
+	limit       int
+	best        []hashedKey[K]
 }
 
-// NewTop returns an empty choice of at most n keys for the subject.
+// NewTop returns an empty Top that keeps at most n keys for the subject.
 func NewTop[K ~string](subject string, n int) *Top[K] {
-	return &Top[K]{seed: xxhash.Sum64String(subject), most: n, best: make([]weighted[K], 0, n+1)}
+	return &Top[K]{subjectHash: xxhash.Sum64String(subject), limit: n, best: make([]hashedKey[K], 0, n+1)}
 }
 
-// Offer takes the key in if it is among the heaviest so far.
+// Offer adds the key if its weight is among the highest so far.
 func (t *Top[K]) Offer(k K) {
-	t.add(weighted[K]{key: k, hash: xxhash.Sum64String(string(k))})
+	t.add(hashedKey[K]{key: k, hash: xxhash.Sum64String(string(k))})
 }
 
-func (t *Top[K]) add(m weighted[K]) {
-	if len(t.best) == t.most && (t.most == 0 || !heavier(m, t.best[t.most-1], t.seed)) {
+func (t *Top[K]) add(m hashedKey[K]) {
+	if len(t.best) == t.limit && (t.limit == 0 || !hasHigherWeight(m, t.best[t.limit-1], t.subjectHash)) {
 		return
 	}
-	i, _ := slices.BinarySearchFunc(t.best, m, func(have, m weighted[K]) int {
-		if heavier(have, m, t.seed) {
+	i, _ := slices.BinarySearchFunc(t.best, m, func(other, m hashedKey[K]) int {
+		if hasHigherWeight(other, m, t.subjectHash) {
 			return -1
 		}
 		return 1
 	})
 	t.best = slices.Insert(t.best, i, m)
-	t.best = t.best[:min(t.most, len(t.best))]
+	t.best = t.best[:min(t.limit, len(t.best))]
 }
 
-// Keys returns the chosen keys, heaviest first.
+// Keys returns the collected keys, in descending order of their weights.
 func (t *Top[K]) Keys() []K {
 	keys := make([]K, len(t.best))
 	for i, m := range t.best {
@@ -167,26 +168,27 @@
 	return keys
 }
 
-func heaviest[K ~string](members []weighted[K], seed uint64) weighted[K] {
+func memberWithHighestWeight[K ~string](members []hashedKey[K], seed uint64) hashedKey[K] {
 	best := members[0]
 	for _, m := range members[1:] {
-		if heavier(m, best, seed) {
+		if hasHigherWeight(m, best, seed) {
 			best = m
 		}
 	}
 	return best
 }
 
-func heavier[K ~string](a, b weighted[K], seed uint64) bool {
-	wa, wb := mix(a.hash^mix(seed)), mix(b.hash^mix(seed))
+func hasHigherWeight[K ~string](a, b hashedKey[K], seed uint64) bool {
+	wa, wb := mixBits(a.hash^mixBits(seed)), mixBits(b.hash^mixBits(seed))
 	if wa != wb {
 		return wa > wb
 	}
 	return a.key > b.key
 }
 
-// mix spreads every bit of the input over the whole word, so that weights of neighbouring slots are unrelated.
-func mix(x uint64) uint64 {
+// mixBits is the SplitMix64 step: every input bit affects the whole word, so that the weights of
+// neighbouring slots are unrelated.
+func mixBits(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9
 	x = (x ^ (x >> 27)) * 0x94d049bb133111eb
--- a/core/policy/rendezvous_test.go
+++ b/core/policy/rendezvous_test.go
@@ -12,7 +12,7 @@
 
 const testSlots = 256
 
-func assignment(t testing.TB, members int) policy.Rendezvous[string] {
+func newAssignment(t testing.TB, members int) policy.Rendezvous[string] {
 	t.Helper()
 	r, err := policy.NewRendezvous[string](policy.RendezvousConfig{Slots: testSlots})
 	assert.NilError(t, err)
@@ -22,7 +22,7 @@
 	return r
 }
 
-func moved(a, b policy.Rendezvous[string]) int {
+func movedSlots(a, b policy.Rendezvous[string]) int {
 	n := 0
 	for slot := range testSlots {
 		before, _ := a.Owner(slot)
@@ -34,8 +34,8 @@
 	return n
 }
 
-func TestRendezvousMovesOnlyTheChangedMembersSlots(t *testing.T) {
-	full := assignment(t, 7)
+func TestRendezvousMovesOnlySlotsOfTheChangedMember(t *testing.T) {
+	full := newAssignment(t, 7)
 	without := full.Without("instance-3")
 	owned := 0
 	for slot := range testSlots {
@@ -48,23 +48,23 @@
 		}
 		assert.Equal(t, before, after)
 	}
-	assert.Equal(t, moved(full, without), owned)
+	assert.Equal(t, movedSlots(full, without), owned)
 	assert.Assert(t, owned > 0)
-	assert.Equal(t, moved(full, without.With("instance-3")), 0)
+	assert.Equal(t, movedSlots(full, without.With("instance-3")), 0)
 }
 
-func TestRendezvousIgnoresTheOrderOfChanges(t *testing.T) {
-	up := assignment(t, 20)
+func TestRendezvousIsIndependentOfMembershipOrder(t *testing.T) {
+	up := newAssignment(t, 20)
 	down, err := policy.NewRendezvous[string](policy.RendezvousConfig{Slots: testSlots})
 	assert.NilError(t, err)
 	for i := 19; i >= 0; i-- {
 		down = down.With(fmt.Sprintf("instance-%d", i)).With("passing")
 	}
-	assert.Equal(t, moved(up, down.Without("passing")), 0)
+	assert.Equal(t, movedSlots(up, down.Without("passing")), 0)
 }
 
 func TestRendezvousSharesSlotsEvenly(t *testing.T) {
-	r := assignment(t, 7)
+	r := newAssignment(t, 7)
 	count := make(map[string]int)
 	for slot := range testSlots {
 		owner, ok := r.Owner(slot)
@@ -77,17 +77,17 @@
 }
 
 func TestRendezvousWithoutMembersHasNoOwner(t *testing.T) {
-	r := assignment(t, 1).Without("instance-0")
+	r := newAssignment(t, 1).Without("instance-0")
 	_, ok := r.Owner(0)
 	assert.Assert(t, !ok)
-	_, ok = assignment(t, 1).Owner(testSlots)
+	_, ok = newAssignment(t, 1).Owner(testSlots)
 	assert.Assert(t, !ok)
 	_, err := policy.NewRendezvous[string](policy.RendezvousConfig{})
 	assert.ErrorContains(t, err, "no slots")
 }
 
 func TestTopIsStableUnderUnrelatedChanges(t *testing.T) {
-	r := assignment(t, 20)
+	r := newAssignment(t, 20)
 	top := r.Top("readers", 3)
 	assert.Equal(t, len(top), 3)
 	for i := range 20 {
@@ -106,7 +106,7 @@
 func BenchmarkRendezvousChange(b *testing.B) {
 	for _, n := range []int{7, 100, 1000, 2300} {
 		b.Run(fmt.Sprintf("Instances%d", n), func(b *testing.B) {
-			r := assignment(b, n)
+			r := newAssignment(b, n)
 			for b.Loop() {
 				r = r.Without("instance-3").With("instance-3")
 			}
--- a/core/policy/ring.go
+++ b/core/policy/ring.go
@@ -2,16 +2,16 @@
 
 import "iter"
 
-// Ring is an immutable series of the latest values; the zero value holds none and keeps none.
+// Ring is an immutable buffer of the latest values; the zero value has a capacity of zero.
 //
-// It keeps two generations of a linked list, so that adding takes constant time
-// and shares all but one link with the ring before.
+// It consists of two linked lists. Once the young list has reached the capacity it replaces the old
+// one, so adding a value takes constant time and shares all other links with the previous ring.
 type Ring[T any] struct {
 	size  int
 	young *link[T]
 	old   *link[T]
-	// grown counts the links of the young generation.
-	grown int
+	// youngCount is the length of the young list.
+	youngCount int
 }
 
 type link[T any] struct {
@@ -19,34 +19,34 @@
 	next  *link[T]
 }
 
-// NewRing returns an empty ring that keeps as many values.
+// NewRing returns an empty ring that keeps the latest size values.
 func NewRing[T any](size int) Ring[T] {
 	return Ring[T]{size: size}
 }
 
-// With returns a ring that also holds the value, and no more than the latest of the others.
+// With returns a ring that also holds the value; the oldest value is dropped when the ring is full.
 func (r Ring[T]) With(v T) Ring[T] {
 	if r.size <= 0 {
 		return r
 	}
-	if r.grown == r.size {
-		r.old, r.young, r.grown = r.young, nil, 0
+	if r.youngCount == r.size {
+		r.old, r.young, r.youngCount = r.young, nil, 0
 	}
 	r.young = &link[T]{value: v, next: r.young}
-	r.grown++
+	r.youngCount++
 	return r
 }
 
 // All yields the values, the latest first.
 func (r Ring[T]) All() iter.Seq[T] {
 	return func(yield func(T) bool) {
-		left := r.size
-		for _, first := range []*link[T]{r.young, r.old} {
-			for l := first; l != nil && left > 0; l = l.next {
-				if !yield(l.value) {
+		remaining := r.size
+		for _, newest := range []*link[T]{r.young, r.old} {
+			for node := newest; node != nil && remaining > 0; node = node.next {
+				if !yield(node.value) {
 					return
 				}
-				left--
+				remaining--
 			}
 		}
 	}
--- a/core/policy/ring_test.go
+++ b/core/policy/ring_test.go
@@ -10,7 +10,7 @@
 	"endivehitch/core/policy"
 )
 
-func TestRingKeepsTheLatest(t *testing.T) {
+func TestRingKeepsTheLatestValues(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(0, 5).Draw(t, "size")
 		added := rapid.SliceOfN(rapid.Int(), 0, 20).Draw(t, "added")
@@ -24,7 +24,7 @@
 	})
 }
 
-func TestRingBranchesApart(t *testing.T) {
+func TestRingsFromOneBaseAreIndependent(t *testing.T) {
 	base := policy.NewRing[int](3).With(1).With(2)
 	left, right := base.With(3), base.With(4)
 	assert.DeepEqual(t, slices.Collect(left.All()), []int{3, 2, 1})
--- a/core/policy/sample.go
+++ b/core/policy/sample.go
@@ -2,48 +2,49 @@
 
 import "math"
 
-// Never is the score of something that must not be picked.
+// Never is the score of a candidate that must not be picked.
 var Never = math.Inf(1)
 
-// Rand yields random numbers; math/rand/v2's Rand is one.
+// Rand is a source of random numbers, such as Rand of math/rand/v2.
 type Rand interface {
 	// IntN returns a number from 0 to n-1.
 	IntN(n int) int
 }
 
-// Sample picks the lowest score among a few random candidates.
+// Sample picks the candidate with the lowest score among a few random ones (power of d choices).
 type Sample[T any] struct {
-	// Tries is how many candidates are compared.
+	// Tries is how many random candidates are compared.
 	Tries int
-	// Score rates a candidate; lower is better, and Never excludes it.
+	// Score returns a candidate's score; lower is better, and Never excludes the candidate.
 	Score func(T) float64
 }
 
-// Pick returns the best of a random few, or of all where those few are excluded; it fails when all are.
+// Pick returns the best of a few random candidates, or the best of all where those few are excluded;
+// it returns false when every candidate is excluded.
 func (p Sample[T]) Pick(list []T, rnd Rand) (T, bool) {
 	if len(list) == 0 {
 		var none T
 		return none, false
 	}
-	best, low := 0, Never
+	best, lowest := 0, Never
 	for range p.Tries {
 		i := rnd.IntN(len(list))
-		if s := p.Score(list[i]); s < low {
-			best, low = i, s
+		if s := p.Score(list[i]); s < lowest {
+			best, lowest = i, s
 		}
 	}
-	if low < Never {
+	if lowest < Never {
 		return list[best], true
 	}
-	return p.scan(list)
+	return p.pickFromAll(list)
 }
 
-func (p Sample[T]) scan(list []T) (T, bool) {
-	best, low := 0, Never
+func (p Sample[T]) pickFromAll(list []T) (T, bool) {
+	best, lowest := 0, Never
 	for i, c := range list {
-		if s := p.Score(c); s < low {
-			best, low = i, s
+		if s := p.Score(c); s < lowest {
+			best, lowest = i, s
 		}
 	}
-	return list[best], low < Never
+	return list[best], lowest < Never
 }
--- a/core/policy/smooth.go
+++ b/core/policy/smooth.go
@@ -5,44 +5,45 @@
 	"time"
 )
 
-// Smooth is an average of durations that forgets with time; the zero value has seen nothing.
+// Smooth is an average of durations in which older samples count less; the zero value has no samples.
 type Smooth struct {
-	// Mean is the average of what was seen.
+	// Mean is the weighted average of the samples.
 	Mean time.Duration
-	// Weight is how many samples the average stands for.
+	// Weight is the effective number of samples behind the average.
 	Weight float64
-	// At is when the last sample came.
+	// At is the time of the latest sample.
 	At time.Time
 }
 
-// SmoothConfig says how fast a Smooth forgets.
+// SmoothConfig sets how fast samples lose weight in a Smooth.
 type SmoothConfig struct {
-	// HalfLife is the age at which a sample counts half.
+	// HalfLife is the age at which a sample has lost half of its weight.
 	HalfLife time.Duration
-	// MaxWeight bounds how many samples the average stands for.
+	// MaxWeight bounds the effective number of samples.
 	MaxWeight float64
 }
 
-// With returns an average that has also seen the sample.
+// With returns an average that includes the sample.
 func (s Smooth) With(c SmoothConfig, sample time.Duration, at time.Time) Smooth {
-	kept := min(s.Weight*decay(c.HalfLife, at.Sub(s.At)), c.MaxWeight-1)
+	oldWeight := min(s.Weight*decayFactor(c.HalfLife, at.Sub(s.At)), c.MaxWeight-1)
 	if s.Weight == 0 {
-		kept = 0
+		oldWeight = 0
 	}
-	mean := (float64(s.Mean)*kept + float64(sample)) / (kept + 1)
-	return Smooth{Mean: time.Duration(mean), Weight: kept + 1, At: at}
+	mean := (float64(s.Mean)*oldWeight + float64(sample)) / (oldWeight + 1)
+	return Smooth{Mean: time.Duration(mean), Weight: oldWeight + 1, At: at}
 }
 
-// Aged returns the mean, which falls with the age of its last sample so that a value that nothing
-// confirms is tried again.
+// Aged returns the mean, lowered with the age of the latest sample, so that a candidate whose high
+// mean is no longer confirmed by samples is tried again.
 func (s Smooth) Aged(halfLife time.Duration, now time.Time) time.Duration {
 	if s.Weight == 0 {
 		return 0
 	}
-	return time.Duration(float64(s.Mean) * decay(halfLife, now.Sub(s.At)))
+	return time.Duration(float64(s.Mean) * decayFactor(halfLife, now.Sub(s.At)))
 }
 
-func decay(halfLife, age time.Duration) float64 {
+// decayFactor returns the factor by which a weight changes over the age; a negative age counts as 0.
+func decayFactor(halfLife, age time.Duration) float64 {
 	if age <= 0 || halfLife <= 0 {
 		return 1
 	}
--- a/core/policy/table.go
+++ b/core/policy/table.go
@@ -8,27 +8,27 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A change copies one shard and the spine, so its cost grows with the square
-// root of the table's size rather than with the size.
-const tableShards = 256
+// tableShardCount is the number of shards. A change copies one shard and the array of shards, so it
+// copies a small part of a large table.
+const tableShardCount = 256
 
-// Table is an immutable map; the zero value is empty and ready for use.
+// Table is an immutable sharded map; the zero value is empty and ready for use.
 type Table[K ~string, V any] struct {
-	spine *[tableShards]map[K]V
-	size  int
+	shards *[tableShardCount]map[K]V
+	size   int
 }
 
 // NewTable returns a table that holds a copy of the entries.
 func NewTable[K ~string, V any](entries map[K]V) Table[K, V] {
-	spine := new([tableShards]map[K]V)
+	shards := new([tableShardCount]map[K]V)
 	for k, v := range entries {
 		i := shardOf(k)
-		if spine[i] == nil {
-			spine[i] = make(map[K]V)
+		if shards[i] == nil {
+			shards[i] = make(map[K]V)
 		}
-		spine[i][k] = v
+		shards[i][k] = v
 	}
-	return Table[K, V]{spine: spine, size: len(entries)}
+	return Table[K, V]{shards: shards, size: len(entries)}
 }
 
 // Len returns the number of entries.
@@ -36,19 +36,19 @@
 	return t.size
 }
 
-// Get returns the entry of the key and whether there is one.
+// Get returns the key's value and whether there is one.
 func (t Table[K, V]) Get(k K) (V, bool) {
-	if t.spine == nil {
+	if t.shards == nil {
 		var zero V
 		return zero, false
 	}
-	v, ok := t.spine[shardOf(k)][k]
+	v, ok := t.shards[shardOf(k)][k]
 	return v, ok
 }
 
 // With returns a table in which the key has the value.
 func (t Table[K, V]) With(k K, v V) Table[K, V] {
-	next, shard := t.open(k)
+	next, shard := t.withCopiedShard(k)
 	if _, ok := shard[k]; !ok {
 		next.size++
 	}
@@ -56,44 +56,44 @@
 	return next
 }
 
-// Without returns a table that lacks the key.
+// Without returns a table without the key.
 func (t Table[K, V]) Without(k K) Table[K, V] {
 	if _, ok := t.Get(k); !ok {
 		return t
 	}
-	next, shard := t.open(k)
+	next, shard := t.withCopiedShard(k)
 	delete(shard, k)
 	next.size--
 	return next
 }
 
-// Edit returns a table that has the entries of the map and lacks the given keys; it copies each
-// shard at most once.
+// Edit returns a table without the given keys and with the entries of the map, which win where a key
+// is in both; it copies each shard at most once.
 func (t Table[K, V]) Edit(entries map[K]V, without []K) Table[K, V] {
 	if len(entries) == 0 && len(without) == 0 {
 		return t
 	}
-	next := Table[K, V]{spine: new([tableShards]map[K]V), size: t.size}
-	if t.spine != nil {
-		*next.spine = *t.spine
+	next := Table[K, V]{shards: new([tableShardCount]map[K]V), size: t.size}
+	if t.shards != nil {
+		*next.shards = *t.shards
 	}
-	var copied [tableShards]bool
-	own := func(k K) map[K]V {
+	var copied [tableShardCount]bool
+	ownShard := func(k K) map[K]V {
 		i := shardOf(k)
 		if !copied[i] {
-			next.spine[i] = cloned(next.spine[i])
+			next.shards[i] = cloneShard(next.shards[i])
 			copied[i] = true
 		}
-		return next.spine[i]
+		return next.shards[i]
 	}
 	for _, k := range without {
-		shard := own(k)
-		next.size -= held(shard, k)
+		shard := ownShard(k)
+		next.size -= entryCount(shard, k)
 		delete(shard, k)
 	}
 	for k, v := range entries {
-		shard := own(k)
-		next.size += 1 - held(shard, k)
+		shard := ownShard(k)
+		next.size += 1 - entryCount(shard, k)
 		shard[k] = v
 	}
 	return next
@@ -113,38 +113,38 @@
 
 // Keys returns the keys in order.
 func (t Table[K, V]) Keys() []K {
-	if t.spine == nil {
+	if t.shards == nil {
 		return nil
 	}
 	keys := make([]K, 0, t.size)
-	for _, shard := range t.spine {
+	for _, shard := range t.shards {
 		keys = slices.AppendSeq(keys, maps.Keys(shard))
 	}
 	slices.Sort(keys)
 	return keys
 }
 
-// open copies the spine and the key's shard, so that the shard may be written.
-func (t Table[K, V]) open(k K) (Table[K, V], map[K]V) {
-	spine := new([tableShards]map[K]V)
-	if t.spine != nil {
-		*spine = *t.spine
+// withCopiedShard returns a copy of the table that has its own copy of the key's shard, and that shard.
+func (t Table[K, V]) withCopiedShard(k K) (Table[K, V], map[K]V) {
+	shards := new([tableShardCount]map[K]V)
+	if t.shards != nil {
+		*shards = *t.shards
 	}
 	i := shardOf(k)
-	shard := cloned(spine[i])
-	spine[i] = shard
-	return Table[K, V]{spine: spine, size: t.size}, shard
+	shard := cloneShard(shards[i])
+	shards[i] = shard
+	return Table[K, V]{shards: shards, size: t.size}, shard
 }
 
-func cloned[K ~string, V any](shard map[K]V) map[K]V {
+func cloneShard[K ~string, V any](shard map[K]V) map[K]V {
 	if shard == nil {
 		return make(map[K]V)
 	}
 	return maps.Clone(shard)
 }
 
-// held counts the key's entries: one or none.
-func held[K ~string, V any](shard map[K]V, k K) int {
+// entryCount returns 1 if the shard has the key, and 0 otherwise.
+func entryCount[K ~string, V any](shard map[K]V, k K) int {
 	if _, ok := shard[k]; ok {
 		return 1
 	}
@@ -152,5 +152,5 @@
 }
 
 func shardOf[K ~string](k K) int {
-	return int(xxhash.Sum64String(string(k)) % tableShards)
+	return int(xxhash.Sum64String(string(k)) % tableShardCount)
 }
--- a/core/policy/watch_test.go
+++ b/core/policy/watch_test.go
@@ -9,12 +9,13 @@
 	"endivehitch/core/policy"
 )
 
-func watchOf(limits ...policy.Limit[string]) policy.Watch[string] {
+func newWatch(limits ...policy.Limit[string]) policy.Watch[string] {
 	return policy.WatchConfig[string]{Limits: limits, FalseAlarm: 0.01, Horizon: 1000}.New()
 }
 
-// alarmAfter looks after every trial and returns the trial of the alarm, or zero.
-func alarmAfter(rnd *rand.Rand, w policy.Watch[string], share float64, trials int) int {
+// trialsUntilAlarm checks after every trial and returns the number of the trial that raised the alarm,
+// or zero.
+func trialsUntilAlarm(rnd *rand.Rand, w policy.Watch[string], share float64, trials int) int {
 	for i := range trials {
 		bad := 0
 		if rnd.Float64() < share {
@@ -28,62 +29,62 @@
 	return 0
 }
 
-func TestLookingAfterEachTrialRaisesNoMoreFalseAlarms(t *testing.T) {
+func TestCheckingAfterEachTrialKeepsTheFalseAlarmRate(t *testing.T) {
 	const runs = 1000
 	alarms := 0
 	for i := range runs {
 		rnd := rand.New(rand.NewPCG(5, uint64(i)))
-		if alarmAfter(rnd, watchOf(policy.Limit[string]{Signal: "Errors", Max: 0.02}), 0.02, 5000) > 0 {
+		if trialsUntilAlarm(rnd, newWatch(policy.Limit[string]{Signal: "Errors", Max: 0.02}), 0.02, 5000) > 0 {
 			alarms++
 		}
 	}
-	// Three standard deviations above the stated one in a hundred.
+	// The configured rate is 1 in 100; 19 in 1,000 is three standard deviations above it.
 	assert.Assert(t, alarms <= 19, "%d false alarms in %d", alarms, runs)
 }
 
-func TestBadFromTheStartIsFound(t *testing.T) {
+func TestHighErrorRateFromTheStartRaisesAlarm(t *testing.T) {
 	for i := range 100 {
 		rnd := rand.New(rand.NewPCG(6, uint64(i)))
-		at := alarmAfter(rnd, watchOf(policy.Limit[string]{Signal: "Errors", Max: 0.02}), 0.2, 400)
+		at := trialsUntilAlarm(rnd, newWatch(policy.Limit[string]{Signal: "Errors", Max: 0.02}), 0.2, 400)
 		assert.Assert(t, at > 0, "run %d", i)
 	}
 }
 
-func TestTurningBadIsFoundAfterAGoodTime(t *testing.T) {
-	w := watchOf(policy.Limit[string]{Signal: "Errors", Max: 0.02})
+func TestErrorRateThatRisesLaterRaisesAlarm(t *testing.T) {
+	w := newWatch(policy.Limit[string]{Signal: "Errors", Max: 0.02})
 	for range 50 {
 		w = w.With("Errors", 100, 1)
 	}
 	_, early := w.Alarm()
 	assert.Assert(t, !early)
-	at := alarmAfter(rand.New(rand.NewPCG(7, 7)), w, 0.3, 200)
+	at := trialsUntilAlarm(rand.New(rand.NewPCG(7, 7)), w, 0.3, 200)
 	assert.Assert(t, at > 0, "5,000 good trials hid the change")
 }
 
-func TestSignalsShareTheFalseAlarms(t *testing.T) {
-	one := watchOf(policy.Limit[string]{Signal: "Errors", Max: 0.02})
-	two := watchOf(policy.Limit[string]{Signal: "Errors", Max: 0.02}, policy.Limit[string]{Signal: "Slow", Max: 0.02})
-	n := alarmAfter(rand.New(rand.NewPCG(8, 8)), one, 1, 100)
-	assert.Assert(t, alarmAfter(rand.New(rand.NewPCG(8, 8)), two, 1, 100) >= n)
+func TestSignalsShareTheFalseAlarmRate(t *testing.T) {
+	one := newWatch(policy.Limit[string]{Signal: "Errors", Max: 0.02})
+	two := newWatch(policy.Limit[string]{Signal: "Errors", Max: 0.02}, policy.Limit[string]{Signal: "Slow", Max: 0.02})
+	n := trialsUntilAlarm(rand.New(rand.NewPCG(8, 8)), one, 1, 100)
+	assert.Assert(t, trialsUntilAlarm(rand.New(rand.NewPCG(8, 8)), two, 1, 100) >= n)
 	named, ok := two.With("Slow", 20, 20).Alarm()
 	assert.Assert(t, ok)
 	assert.Equal(t, named, "Slow")
 }
 
-func TestBatchEqualsItsTrials(t *testing.T) {
-	w := watchOf(policy.Limit[string]{Signal: "Errors", Max: 0.5})
+func TestBatchCountsItsTrialsAndLeavesTheOldWatchUnchanged(t *testing.T) {
+	w := newWatch(policy.Limit[string]{Signal: "Errors", Max: 0.5})
 	assert.Equal(t, w.With("Errors", 7, 2).With("Other", 5, 5).Trials("Errors"), 7)
 	_, changed := w.With("Errors", 40, 40).Alarm()
 	_, still := w.Alarm()
 	assert.Assert(t, changed && !still, "With must leave the old watch as it was")
 }
 
-func TestWeighingRemovesTheSamplingBias(t *testing.T) {
+func TestWeightingRemovesSamplingBias(t *testing.T) {
 	alarms := 0
 	const runs = 300
 	for i := range runs {
 		rnd := rand.New(rand.NewPCG(9, uint64(i)))
-		w := watchOf(policy.Limit[string]{Signal: "Ratings", Max: 0.1})
+		w := newWatch(policy.Limit[string]{Signal: "Ratings", Max: 0.1})
 		for range 4000 {
 			bad := rnd.Float64() < 0.1
 			rate := 0.1
