--- a/core/ledger/decide.go
+++ b/core/ledger/decide.go
@@ -1,40 +1,43 @@
 package ledger
 
-// Decide applies the operations in turn and returns the next journal, a verdict for each operation,
+// Decide applies the operations in order and returns the next journal, a verdict for each operation,
 // and whether the journal must be written before the verdicts may be acted on.
-func (j Journal) Decide(ops []Op, rule Rule, at Setting) (Journal, []Verdict, bool) {
-	next := j.swept(rule, at)
+//
+// Expiry alone does not require a write, since the next Decide computes it again.
+func (j Journal) Decide(ops []Op, rule Rule, setting Setting) (Journal, []Verdict, bool) {
+	next := j.withTimeouts(rule, setting)
 	verdicts := make([]Verdict, len(ops))
 	changed := false
 	for i, op := range ops {
 		var wrote bool
-		next, verdicts[i], wrote = next.apply(op, rule, at)
+		next, verdicts[i], wrote = next.apply(op, rule, setting)
 		changed = changed || wrote
 	}
 	return next, verdicts, changed
 }
 
-func (j Journal) apply(op Op, rule Rule, at Setting) (Journal, Verdict, bool) {
-	r, ok := j.Get(op.ID)
+func (j Journal) apply(op Op, rule Rule, setting Setting) (Journal, Verdict, bool) {
+	r, known := j.Get(op.ID)
 	if op.Verb == VerbClaim {
-		return j.claim(op, r, ok, rule, at)
+		return j.claim(op, r, known, rule, setting)
 	}
-	if !ok && op.Verb == VerbRelease {
-		return j.bar(op, rule, at)
+	if !known && op.Verb == VerbRelease {
+		return j.recordRelease(op, rule, setting)
 	}
-	if !ok || r.Token != op.Token {
-		return j, Verdict{Outcome: OutcomeForeign, Record: r}, false
+	if !known || r.Token != op.Token {
+		return j, Verdict{Outcome: OutcomeNotHeld, Record: r}, false
 	}
-	next, wrote := settled(r, op, rule, at)
-	if !wrote {
+	next, changed := afterHolderOp(r, op, rule, setting)
+	if !changed {
 		return j, Verdict{Outcome: OutcomeSettled, Record: r}, false
 	}
-	fitted := j.fitted(next, rule)
+	fitted := j.withRecordFitted(next, rule)
 	return fitted, Verdict{Outcome: OutcomeSettled, Record: next}, true
 }
 
-// settled returns the record after its own holder's word, which a finished or released run no longer changes.
-func settled(r Record, op Op, rule Rule, at Setting) (Record, bool) {
+// afterHolderOp returns the record after an operation with the record's own token, and whether the
+// record has changed; a finished or released record does not change any more.
+func afterHolderOp(r Record, op Op, rule Rule, setting Setting) (Record, bool) {
 	if r.State == RunFinished || r.State == RunReleased {
 		return r, false
 	}
@@ -44,19 +47,19 @@
 		if len(answer.Body) > rule.AnswerBytes {
 			answer = answer.WithoutBody()
 		}
-		return r.WithState(RunFinished, at.Now).WithAnswer(answer), true
+		return r.WithState(RunFinished, setting.Now).WithAnswer(answer), true
 	case VerbRelease:
-		return r.WithState(RunReleased, at.Now), true
+		return r.WithState(RunReleased, setting.Now), true
 	case VerbDoubt:
-		return r.WithState(RunDoubted, at.Now), r.State != RunDoubted
+		return r.WithState(RunInDoubt, setting.Now), r.State != RunInDoubt
 	}
 	return r, false
 }
 
-// claim grants the call only where no earlier run may have been dispatched.
-func (j Journal) claim(op Op, r Record, known bool, rule Rule, at Setting) (Journal, Verdict, bool) {
+// claim grants the claim only where no earlier execution of the call may have been dispatched.
+func (j Journal) claim(op Op, r Record, known bool, rule Rule, setting Setting) (Journal, Verdict, bool) {
 	if !known || (r.State == RunReleased && r.Token != op.Token) {
-		return j.grant(op, rule, at)
+		return j.grant(op, rule, setting)
 	}
 	if r.Kind != op.Kind || r.Question != op.Question {
 		return j, Verdict{Outcome: OutcomeReused, Record: r}, false
@@ -66,7 +69,7 @@
 		return j, Verdict{Outcome: OutcomeLate, Record: r}, false
 	case r.State == RunFinished:
 		return j, Verdict{Outcome: OutcomeAnswered, Record: r}, false
-	case r.State == RunDoubted:
+	case r.State == RunInDoubt:
 		return j, Verdict{Outcome: OutcomeUnknown, Record: r}, false
 	case r.Token == op.Token:
 		return j, Verdict{Outcome: OutcomeGranted, Record: r}, false
@@ -74,19 +77,20 @@
 	return j, Verdict{Outcome: OutcomeRunning, Record: r}, false
 }
 
-// bar keeps a claim, which was given back before it was seen, from being granted when it comes late.
-// The record is written even past the claim's deadline: its write may still be under way, and fails
-// once the journal has another revision.
-func (j Journal) bar(op Op, rule Rule, at Setting) (Journal, Verdict, bool) {
-	r := record(op, at).WithState(RunReleased, at.Now)
-	next := j.fitted(r, rule)
+// recordRelease handles a release that arrives before its claim: it adds a released record, so that the
+// claim is not granted when it arrives later. The record is added even after the claim's deadline,
+// because the write that adds the claim may still be in progress; that write fails once the journal has
+// another revision.
+func (j Journal) recordRelease(op Op, rule Rule, setting Setting) (Journal, Verdict, bool) {
+	r := newRecord(op, setting).WithState(RunReleased, setting.Now)
+	next := j.withRecordFitted(r, rule)
 	if next.Size() > rule.Bytes {
 		return j, Verdict{Outcome: OutcomeSettled}, false
 	}
 	return next, Verdict{Outcome: OutcomeSettled, Record: r}, true
 }
 
-func record(op Op, at Setting) Record {
+func newRecord(op Op, setting Setting) Record {
 	return Record{
 		ID:       op.ID,
 		Kind:     op.Kind,
@@ -94,17 +98,17 @@
 		Token:    op.Token,
 		Holder:   op.Holder,
 		State:    RunIntended,
-		Since:    at.Now,
+		Since:    setting.Now,
 		Until:    op.Until,
 	}
 }
 
-func (j Journal) grant(op Op, rule Rule, at Setting) (Journal, Verdict, bool) {
-	if !op.Until.After(at.Now) {
+func (j Journal) grant(op Op, rule Rule, setting Setting) (Journal, Verdict, bool) {
+	if !op.Until.After(setting.Now) {
 		return j, Verdict{Outcome: OutcomeLate}, false
 	}
-	r := record(op, at)
-	next := j.fitted(r, rule)
+	r := newRecord(op, setting)
+	next := j.withRecordFitted(r, rule)
 	if next.Size() > rule.Bytes {
 		return j, Verdict{Outcome: OutcomeFull}, false
 	}
--- a/core/ledger/doc.go
+++ b/core/ledger/doc.go
@@ -1,7 +1,13 @@
-// Package ledger holds the pure decisions of what must last: the journals that let a call run at
-// most once, and the tails and segments that let each request be billed once.
+// Package ledger holds the decisions behind durable records: the journals that let a call with an
+// idempotency key execute at most once, and the tails and segments that let each request be billed
+// once. It does not access the store itself.
 //
-// A journal is decided on as a whole and written by compare-and-swap, so two writers can't both
-// decide on the same revision. Operations carry a token of the claim and are idempotent by it: an
-// operation whose write may or may not have taken effect is simply decided again on what stands.
+// A Journal holds a Record for each call of one hash slot. Journal.Decide applies a batch of
+// operations (Op) under a Rule and a Setting and returns a Verdict for each. The journal is written as
+// one value by compare-and-swap, so two writers can't both decide on the same revision. An operation
+// carries the token of its claim and is idempotent by it: if the result of a write is unknown, the
+// operation is decided again on the current record.
+//
+// A Tail holds the bills (Entry) of one instance that are not yet known to be in the store; the owner
+// and the holders of copies each have one. Segments are the parts of a tail that are written.
 package ledger
--- a/core/ledger/journal.go
+++ b/core/ledger/journal.go
@@ -7,27 +7,29 @@
 	"endivehitch/core/value"
 )
 
-// Rule bounds a journal and says how long its records last.
+// Rule bounds the size of a journal and the lifetime of its records.
 type Rule struct {
-	// Keep is how long a finished, doubted or released record lasts; the same key is free afterwards.
+	// Keep is how long a finished or in-doubt record is retained; afterwards the same key may be used
+	// for a new call.
 	Keep time.Duration
-	// Wait is how long a run whose holder is gone, or whose deadline has passed, still counts as
-	// running; it exceeds the difference between the clocks of instances.
+	// Wait is how long an execution counts as running after its deadline, or since its claim if the
+	// holder has departed, and how long a released record is retained; it must exceed the clock skew
+	// between instances.
 	Wait time.Duration
-	// Bytes bounds the journal's stored form.
+	// Bytes is the maximum size of the journal's stored form.
 	Bytes int
-	// AnswerBytes bounds the body of an answer that is kept whole.
+	// AnswerBytes is the maximum size of an answer's body that is stored.
 	AnswerBytes int
 }
 
-// Setting is what a decision depends on beside the journal.
+// Setting holds the inputs of a decision other than the journal.
 type Setting struct {
 	Now time.Time
-	// Gone reports whether an instance has left for good.
+	// Gone reports whether an instance has permanently departed.
 	Gone func(value.InstanceID) bool
 }
 
-// Journal is the immutable record of the calls of one slot; the zero value is empty.
+// Journal is the immutable collection of the records of one hash slot's calls; the zero value is empty.
 type Journal struct {
 	records policy.Table[CallID, Record]
 	bytes   int
@@ -58,7 +60,7 @@
 	return j.records.Get(id)
 }
 
-// Size returns a bound on the bytes of the journal's stored form.
+// Size returns an upper bound of the stored form's size in bytes.
 func (j Journal) Size() int {
 	return j.bytes
 }
@@ -71,7 +73,7 @@
 	return j
 }
 
-// Without returns a journal that lacks the call's record.
+// Without returns a journal without the call's record.
 func (j Journal) Without(id CallID) Journal {
 	old, ok := j.records.Get(id)
 	if !ok {
--- a/core/ledger/journal_test.go
+++ b/core/ledger/journal_test.go
@@ -17,9 +17,9 @@
 	rule  = ledger.Rule{Keep: time.Hour, Wait: 10 * time.Second, Bytes: 8 << 10, AnswerBytes: 1 << 10}
 )
 
-func at(d time.Duration, gone ...value.InstanceID) ledger.Setting {
+func settingAt(d time.Duration, departed ...value.InstanceID) ledger.Setting {
 	return ledger.Setting{Now: start.Add(d), Gone: func(id value.InstanceID) bool {
-		for _, g := range gone {
+		for _, g := range departed {
 			if g == id {
 				return true
 			}
@@ -41,13 +41,13 @@
 	return next, v[0].Outcome
 }
 
-func TestCallIDsDoNotMeet(t *testing.T) {
+func TestCallIDsOfDifferentAccountsOrKeysDiffer(t *testing.T) {
 	assert.Assert(t, ledger.NewCallID("a", "bc") != ledger.NewCallID("ab", "c"))
 	assert.Assert(t, ledger.NewCallID("1", "1:x") != ledger.NewCallID("11", ":x"))
 	assert.Assert(t, ledger.NewCallID("a", "\xff") != ledger.NewCallID("a", "\xfe"))
 }
 
-func TestSecondTryNeverRuns(t *testing.T) {
+func TestSecondClaimIsGrantedOnlyAfterRelease(t *testing.T) {
 	first := claim("k", "t1", "i1")
 	second := claim("k", "t2", "i2")
 	answer := ledger.Answer{Status: 200, Body: []byte("done"), Bytes: 4}
@@ -57,76 +57,76 @@
 		at   ledger.Setting
 		want ledger.Outcome
 	}{
-		{"running", nil, at(time.Second), ledger.OutcomeRunning},
-		{"running, deadline not long past", nil, at(69 * time.Second), ledger.OutcomeRunning},
-		{"deadline long past", nil, at(70 * time.Second), ledger.OutcomeUnknown},
-		{"holder just gone", nil, at(9*time.Second, "i1"), ledger.OutcomeRunning},
-		{"holder gone", nil, at(10*time.Second, "i1"), ledger.OutcomeUnknown},
-		{"finished", []ledger.Op{first.WithAnswer(answer)}, at(time.Second), ledger.OutcomeAnswered},
-		{"doubted", []ledger.Op{first.WithVerb(ledger.VerbDoubt)}, at(time.Second), ledger.OutcomeUnknown},
-		{"doubted and finished after all", []ledger.Op{first.WithVerb(ledger.VerbDoubt), first.WithAnswer(answer)}, at(time.Second), ledger.OutcomeAnswered},
-		{"finished and released by mistake", []ledger.Op{first.WithAnswer(answer), first.WithVerb(ledger.VerbRelease)}, at(time.Second), ledger.OutcomeAnswered},
-		{"released by a stranger", []ledger.Op{second.WithVerb(ledger.VerbRelease)}, at(time.Second), ledger.OutcomeRunning},
-		{"released", []ledger.Op{first.WithVerb(ledger.VerbRelease)}, at(time.Second), ledger.OutcomeGranted},
+		{"running", nil, settingAt(time.Second), ledger.OutcomeRunning},
+		{"running, deadline passed less than Wait ago", nil, settingAt(69 * time.Second), ledger.OutcomeRunning},
+		{"deadline passed Wait ago", nil, settingAt(70 * time.Second), ledger.OutcomeUnknown},
+		{"holder departed, claimed less than Wait ago", nil, settingAt(9*time.Second, "i1"), ledger.OutcomeRunning},
+		{"holder departed, claimed Wait ago", nil, settingAt(10*time.Second, "i1"), ledger.OutcomeUnknown},
+		{"finished", []ledger.Op{first.WithAnswer(answer)}, settingAt(time.Second), ledger.OutcomeAnswered},
+		{"in doubt", []ledger.Op{first.WithVerb(ledger.VerbDoubt)}, settingAt(time.Second), ledger.OutcomeUnknown},
+		{"in doubt, then finished", []ledger.Op{first.WithVerb(ledger.VerbDoubt), first.WithAnswer(answer)}, settingAt(time.Second), ledger.OutcomeAnswered},
+		{"finished, then released", []ledger.Op{first.WithAnswer(answer), first.WithVerb(ledger.VerbRelease)}, settingAt(time.Second), ledger.OutcomeAnswered},
+		{"released with another token", []ledger.Op{second.WithVerb(ledger.VerbRelease)}, settingAt(time.Second), ledger.OutcomeRunning},
+		{"released", []ledger.Op{first.WithVerb(ledger.VerbRelease)}, settingAt(time.Second), ledger.OutcomeGranted},
 	} {
-		j, got := decide(ledger.Journal{}, first, at(0))
+		j, got := decide(ledger.Journal{}, first, settingAt(0))
 		assert.Equal(t, got, ledger.OutcomeGranted, c.name)
-		j, _, _ = j.Decide(c.ops, rule, at(time.Second))
+		j, _, _ = j.Decide(c.ops, rule, settingAt(time.Second))
 		second.Until = c.at.Now.Add(time.Minute)
 		_, got = decide(j, second, c.at)
 		assert.Equal(t, got, c.want, c.name)
 	}
 }
 
-func TestAnotherQuestionUnderTheSameKeyIsRefused(t *testing.T) {
-	j, _ := decide(ledger.Journal{}, claim("k", "t1", "i1"), at(0))
+func TestKeyReusedForAnotherRequestIsRefused(t *testing.T) {
+	j, _ := decide(ledger.Journal{}, claim("k", "t1", "i1"), settingAt(0))
 	other := claim("k", "t2", "i1")
 	other.Question = 8
-	_, got := decide(j, other, at(0))
+	_, got := decide(j, other, settingAt(0))
 	assert.Equal(t, got, ledger.OutcomeReused)
 }
 
-func TestAClaimThatArrivesAfterItsReleaseIsNotGranted(t *testing.T) {
+func TestClaimThatArrivesAfterItsReleaseIsNotGranted(t *testing.T) {
 	c := claim("k", "t1", "i1")
-	j, _ := decide(ledger.Journal{}, c, at(0))
-	j, _ = decide(j, c.WithVerb(ledger.VerbRelease), at(0))
-	_, got := decide(j, c, at(time.Second))
+	j, _ := decide(ledger.Journal{}, c, settingAt(0))
+	j, _ = decide(j, c.WithVerb(ledger.VerbRelease), settingAt(0))
+	_, got := decide(j, c, settingAt(time.Second))
 	assert.Equal(t, got, ledger.OutcomeLate)
-	_, got = decide(ledger.Journal{}, c, at(time.Minute))
-	assert.Equal(t, got, ledger.OutcomeLate, "its deadline has passed")
+	_, got = decide(ledger.Journal{}, c, settingAt(time.Minute))
+	assert.Equal(t, got, ledger.OutcomeLate, "claim whose deadline has passed")
 }
 
-func TestAnAnswerTooLargeKeepsItsDigest(t *testing.T) {
+func TestTooLargeAnswerIsStoredWithoutItsBody(t *testing.T) {
 	c := claim("k", "t1", "i1")
-	j, _ := decide(ledger.Journal{}, c, at(0))
-	j, _ = decide(j, c.WithAnswer(ledger.Answer{Body: make([]byte, 2<<10), Digest: "d", Bytes: 2 << 10}), at(0))
+	j, _ := decide(ledger.Journal{}, c, settingAt(0))
+	j, _ = decide(j, c.WithAnswer(ledger.Answer{Body: make([]byte, 2<<10), Digest: "d", Bytes: 2 << 10}), settingAt(0))
 	r, ok := j.Get(c.ID)
 	assert.Assert(t, ok)
 	assert.Assert(t, !r.Answer.Whole())
 	assert.Equal(t, r.Answer.Digest, "d")
 }
 
-// TestJournalHoldsItsPromises drives random operations and checks that no call is granted twice
-// without a release between, that the bytes are bounded and that no running claim is forgotten.
-func TestJournalHoldsItsPromises(t *testing.T) {
+// Applies random operations and checks that no call is granted twice without a release or an expiry in
+// between, that the size stays within its limit and that no running claim is removed.
+func TestJournalInvariantsHoldForRandomOperations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var j ledger.Journal
 		var now time.Duration
-		var gone []value.InstanceID
+		var departed []value.InstanceID
 		open := map[ledger.CallID]ledger.Op{}
 		settledAt := map[ledger.CallID]time.Duration{}
 		for i := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 400).Draw(t, "seconds")) * time.Second
-			s := at(now, gone...)
+			setting := settingAt(now, departed...)
 			op := claim(fmt.Sprint(rapid.IntRange(0, 12).Draw(t, "key")), fmt.Sprint(i), "i1")
-			op.Until = s.Now.Add(30 * time.Second)
+			op.Until = setting.Now.Add(30 * time.Second)
 			held, isOpen := open[op.ID]
 			verb := rapid.SampledFrom([]ledger.Verb{ledger.VerbClaim, ledger.VerbClaim, ledger.VerbFinish, ledger.VerbDoubt, ledger.VerbRelease}).Draw(t, "verb")
 			if verb != ledger.VerbClaim {
 				body := make([]byte, rapid.IntRange(0, 1500).Draw(t, "body"))
 				op = held.WithAnswer(ledger.Answer{Body: body, Bytes: len(body)}).WithVerb(verb)
 			}
-			next, got := decide(j, op, s)
+			next, got := decide(j, op, setting)
 			assert.Assert(t, next.Size() <= rule.Bytes)
 			if got == ledger.OutcomeGranted {
 				since, settled := settledAt[op.ID]
@@ -141,11 +141,11 @@
 			}
 			for id := range open {
 				if r, ok := next.Get(id); ok && r.State != ledger.RunIntended {
-					if _, seen := settledAt[id]; !seen {
+					if _, known := settledAt[id]; !known {
 						settledAt[id] = now
 					}
 				} else if !ok {
-					assert.Assert(t, now-settledAt[id] >= rule.Keep && settledAt[id] > 0, "forgot %s", id)
+					assert.Assert(t, now-settledAt[id] >= rule.Keep && settledAt[id] > 0, "record of %s removed too early", id)
 				}
 			}
 			j = next
@@ -153,24 +153,24 @@
 	})
 }
 
-func TestFullJournalRefusesInsteadOfForgetting(t *testing.T) {
+func TestFullJournalRefusesClaimsAndKeepsItsRecords(t *testing.T) {
 	var j ledger.Journal
 	var last ledger.Outcome
 	granted := 0
 	for i := range 100 {
 		c := claim(fmt.Sprint(i), fmt.Sprint(i), "i1")
-		j, last = decide(j, c, at(0))
+		j, last = decide(j, c, settingAt(0))
 		if last == ledger.OutcomeGranted {
 			granted++
-			j, _ = decide(j, c.WithAnswer(ledger.Answer{Body: make([]byte, 1<<10), Bytes: 1 << 10}), at(0))
+			j, _ = decide(j, c.WithAnswer(ledger.Answer{Body: make([]byte, 1<<10), Bytes: 1 << 10}), settingAt(0))
 		}
 	}
 	assert.Equal(t, last, ledger.OutcomeFull)
 	assert.Equal(t, len(j.Records()), granted)
-	_, last = decide(j, claim("0", "again", "i2"), at(time.Second))
-	assert.Equal(t, last, ledger.OutcomeAnswered, "the oldest answer gave way, its record did not")
+	_, last = decide(j, claim("0", "again", "i2"), settingAt(time.Second))
+	assert.Equal(t, last, ledger.OutcomeAnswered, "the body of the oldest answer is dropped, its record is kept")
 	fresh := claim("new", "new", "i1")
 	fresh.Until = start.Add(2 * time.Hour)
-	_, last = decide(j, fresh, at(time.Hour))
-	assert.Equal(t, last, ledger.OutcomeGranted, "records past their keeping make room")
+	_, last = decide(j, fresh, settingAt(time.Hour))
+	assert.Equal(t, last, ledger.OutcomeGranted, "expired records free their space")
 }
--- a/core/ledger/op.go
+++ b/core/ledger/op.go
@@ -6,7 +6,7 @@
 	"endivehitch/core/value"
 )
 
-// Verb is what an operation asks of a journal.
+// Verb is the kind of an operation on a journal.
 type Verb string
 
 // The verbs of operations.
@@ -19,19 +19,20 @@
 
 // Op is one operation on the record of a call, idempotent by its token.
 type Op struct {
-	Verb     Verb
-	ID       CallID
-	Kind     value.KindName
+	Verb Verb
+	ID   CallID
+	Kind value.KindName
+	// Question is the hash of the request's content.
 	Question uint64
 	Token    string
 	Holder   value.InstanceID
-	// Until is the deadline of the run that is claimed.
+	// Until is the deadline of the claimed execution.
 	Until time.Time
-	// Answer is what a finished run answered.
+	// Answer is the answer of a finished execution.
 	Answer Answer
 }
 
-// WithVerb returns a copy that asks something else of the same claim.
+// WithVerb returns a copy with another verb for the same claim.
 func (o Op) WithVerb(v Verb) Op {
 	o.Verb = v
 	return o
@@ -44,32 +45,32 @@
 	return o
 }
 
-// Outcome is a journal's answer to an operation.
+// Outcome is the result of an operation.
 type Outcome string
 
 // The outcomes of operations.
 const (
-	// OutcomeGranted claims may be dispatched once the journal is written.
+	// OutcomeGranted means that the claimed call may be dispatched once the journal is written.
 	OutcomeGranted Outcome = "Granted"
-	// OutcomeAnswered claims meet a finished run.
+	// OutcomeAnswered means that the call has already finished; the record has its answer.
 	OutcomeAnswered Outcome = "Answered"
-	// OutcomeRunning claims meet a run that may still be under way.
+	// OutcomeRunning means that another execution of the call may still be in progress.
 	OutcomeRunning Outcome = "Running"
-	// OutcomeUnknown claims meet a run of which nobody knows whether it took effect.
+	// OutcomeUnknown means that it is unknown whether an earlier execution took effect.
 	OutcomeUnknown Outcome = "Unknown"
-	// OutcomeReused claims meet a record of another question under the same key.
+	// OutcomeReused means that the key was already used for another request.
 	OutcomeReused Outcome = "Reused"
-	// OutcomeFull claims find no room in the journal.
+	// OutcomeFull means that the journal has no space for the claim.
 	OutcomeFull Outcome = "Full"
-	// OutcomeLate claims come after their own deadline or after they were given back.
+	// OutcomeLate means that the claim arrived after its own deadline or after its release.
 	OutcomeLate Outcome = "Late"
-	// OutcomeSettled operations end a claim.
+	// OutcomeSettled means that a finish, doubt or release has been applied or changes nothing.
 	OutcomeSettled Outcome = "Settled"
-	// OutcomeForeign operations would end a claim that is no longer in the journal.
-	OutcomeForeign Outcome = "Foreign"
+	// OutcomeNotHeld means that the journal has no claim with the operation's token.
+	OutcomeNotHeld Outcome = "Foreign"
 )
 
-// Verdict is the outcome of an operation and the record that it met.
+// Verdict is the outcome of an operation and the call's record.
 type Verdict struct {
 	Outcome Outcome
 	Record  Record
--- a/core/ledger/record.go
+++ b/core/ledger/record.go
@@ -9,62 +9,64 @@
 	"endivehitch/core/value"
 )
 
-// CallID identifies a call that must run at most once: a client account and its idempotency key.
+// CallID identifies a call that must execute at most once: a client account and its idempotency key.
 type CallID string
 
-// NewCallID joins the account and the key so that no two pairs give the same identifier; it is plain
-// ASCII, so that no encoding changes it, whatever bytes a caller sent.
+// NewCallID joins the account and the key so that no two pairs give the same identifier. The result is
+// printable ASCII, so that no encoding changes it, whatever bytes the caller sent.
 func NewCallID(a value.AccountName, k value.IdempotencyKey) CallID {
 	return CallID(strconv.Itoa(len(a)) + strconv.QuoteToASCII(string(a)+string(k)))
 }
 
-// Slot returns the journal, from 0 to slots-1, that the call belongs to.
+// Slot returns the hash slot, from 0 to slots-1, whose journal has the call.
 func (c CallID) Slot(slots int) int {
 	return int(xxhash.Sum64String(string(c)) % uint64(slots))
 }
 
-// RunState is what is known of a call's one run.
+// RunState is the state of a call's execution.
 type RunState string
 
-// The states of a run.
+// The states of an execution.
 const (
-	// RunIntended runs may be dispatched by the holder at any moment, or have been.
+	// RunIntended means that the holder may have dispatched the call or may still do so.
 	RunIntended RunState = "Intended"
-	// RunFinished runs ended in a whole answer.
+	// RunFinished means that the execution ended in a complete answer.
 	RunFinished RunState = "Finished"
-	// RunDoubted runs may or may not have taken effect, and nobody will find out.
-	RunDoubted RunState = "Doubted"
-	// RunReleased claims were given back before any dispatch; the call may be claimed anew.
+	// RunInDoubt means that the execution may or may not have taken effect. While the record lasts no
+	// other claim is granted; the holder may still finish or release it.
+	RunInDoubt RunState = "Doubted"
+	// RunReleased means that the claim was released before any dispatch; the call may be claimed again.
 	RunReleased RunState = "Released"
 )
 
-// Answer is what is kept of a finished run's answer.
+// Answer is the stored answer of a finished execution.
 type Answer struct {
 	Status      int
 	ContentType string
-	// Body is empty where the answer was too large to keep.
+	// Body is empty where the answer was too large to store.
 	Body []byte
-	// Digest identifies the whole body, as a hexadecimal SHA-256 sum.
+	// Digest is the hexadecimal SHA-256 sum of the complete body.
 	Digest string
-	// Bytes is the length of the whole body.
+	// Bytes is the length of the complete body.
 	Bytes int
 }
 
-// Whole reports whether the body is kept.
+// Whole reports whether the complete body is stored.
 func (a Answer) Whole() bool {
 	return len(a.Body) == a.Bytes
 }
 
-// WithoutBody returns a copy that keeps the digest only.
+// WithoutBody returns a copy without the body, which keeps the digest and the length.
 func (a Answer) WithoutBody() Answer {
 	a.Body = nil
 	return a
 }
 
-// Record is what a journal holds about one call.
+// Record is the state of one call in a journal.
 type Record struct {
-	ID       CallID
-	Kind     value.KindName
+	ID   CallID
+	Kind value.KindName
+	// Question is the hash of the request's content.
 	Question uint64
 	// Token identifies the claim; each claim has its own.
 	Token  string
@@ -73,11 +75,11 @@
 	Answer Answer
 	// Since is when the state was reached.
 	Since time.Time
-	// Until is the deadline of the run.
+	// Until is the deadline of the execution.
 	Until time.Time
 }
 
-// WithState returns a copy that reached another state at the given time.
+// WithState returns a copy with another state, reached at the given time.
 func (r Record) WithState(s RunState, at time.Time) Record {
 	r.State = s
 	r.Since = at
@@ -91,15 +93,15 @@
 }
 
 const (
-	// recordBytes bounds what a record takes beside its strings, in bytes of the stored form.
+	// recordBytes is the most that a record takes in its stored form, its strings and body apart.
 	recordBytes = 384
 	// A body is stored in base64, which takes four bytes for three.
 	bodyNumerator, bodyDenominator = 4, 3
-	// An encoding may escape a byte that is not plain, in as many bytes.
+	// escapeBytes is the most that one byte takes where the encoding has to escape it.
 	escapeBytes = 6
 )
 
-// storedLen returns a bound on the bytes that the string takes in a stored form.
+// storedLen returns an upper bound of the string's size in the stored form, in bytes.
 func storedLen[S ~string](s S) int {
 	n := len(s)
 	for i := range len(s) {
@@ -110,9 +112,9 @@
 	return n
 }
 
-// Size returns a bound on the bytes that the record takes in its stored form, a digest included.
+// Size returns an upper bound of the record's size in its stored form, in bytes; it includes a digest.
 func (r Record) Size() int {
-	body := len(r.Answer.Body)*bodyNumerator/bodyDenominator + bodyNumerator
-	names := storedLen(r.ID) + storedLen(r.Kind) + storedLen(r.Token) + storedLen(r.Holder) + storedLen(r.Answer.ContentType)
-	return recordBytes + names + body
+	bodyBytes := len(r.Answer.Body)*bodyNumerator/bodyDenominator + bodyNumerator
+	textBytes := storedLen(r.ID) + storedLen(r.Kind) + storedLen(r.Token) + storedLen(r.Holder) + storedLen(r.Answer.ContentType)
+	return recordBytes + textBytes + bodyBytes
 }
--- a/core/ledger/tail.go
+++ b/core/ledger/tail.go
@@ -5,22 +5,22 @@
 	"endivehitch/core/value"
 )
 
-// Entry is a bill with its place in the sequence of the instance that made it, from 1.
+// Entry is a bill with its sequence number, which each instance counts from 1 for its own bills.
 type Entry struct {
 	Sequence int64
 	Bill     value.Bill
 }
 
-// entryBytes bounds what an entry takes beside its strings, in bytes of the stored form.
+// entryBytes is the most that an entry takes in its stored form, its strings apart.
 const entryBytes = 256
 
-// Size returns a bound on the bytes that the entry takes in its stored form.
+// Size returns an upper bound of the entry's size in its stored form, in bytes.
 func (e Entry) Size() int {
-	names := storedLen(e.Bill.Request) + storedLen(e.Bill.Account) + storedLen(e.Bill.Kind) + storedLen(e.Bill.Version)
-	return entryBytes + names
+	textBytes := storedLen(e.Bill.Request) + storedLen(e.Bill.Account) + storedLen(e.Bill.Kind) + storedLen(e.Bill.Version)
+	return entryBytes + textBytes
 }
 
-// Segment is a run of an owner's entries as it is kept in the store.
+// Segment is a series of an owner's consecutive entries, as it is stored.
 type Segment struct {
 	Owner   value.InstanceID
 	Entries []Entry
@@ -42,23 +42,24 @@
 	return s.Entries[len(s.Entries)-1].Sequence
 }
 
-// Tail is the end of an owner's sequence of bills that is not yet known to be in the store; it is
-// immutable, and both the owner and the holders of copies have one.
+// Tail is the end of an owner's sequence of bills, not yet known to be in the store. It is immutable;
+// the owner has one and so does each holder of a copy.
 type Tail struct {
 	owner   value.InstanceID
 	flushed int64
 	entries policy.List[Entry]
-	// seen and before find the sequence numbers of requests since the last flush and the one before.
-	seen   policy.Table[value.RequestID, int64]
-	before policy.Table[value.RequestID, int64]
+	// recent and previous map requests to the sequence numbers of their bills: recent those billed since
+	// the latest flush, previous those billed between the two latest flushes.
+	recent   policy.Table[value.RequestID, int64]
+	previous policy.Table[value.RequestID, int64]
 }
 
-// NewTail returns an empty tail of the owner behind the given sequence number.
+// NewTail returns an empty tail of the owner's bills that starts after the given sequence number.
 func NewTail(owner value.InstanceID, flushed int64) Tail {
 	return Tail{owner: owner, flushed: flushed}
 }
 
-// Owner returns the instance whose bills these are.
+// Owner returns the instance that made the bills.
 func (t Tail) Owner() value.InstanceID {
 	return t.owner
 }
@@ -78,27 +79,27 @@
 	return t.entries.Len()
 }
 
-// Find returns the sequence number of a request that was billed lately.
+// Find returns the sequence number of the request's bill, if it was made since the last but one flush.
 func (t Tail) Find(r value.RequestID) (int64, bool) {
-	if n, ok := t.seen.Get(r); ok {
+	if n, ok := t.recent.Get(r); ok {
 		return n, true
 	}
-	return t.before.Get(r)
+	return t.previous.Get(r)
 }
 
-// With returns a tail that ends with the bill; a request that was billed lately keeps its bill.
+// With returns a tail that ends with the bill; a request that Find knows is not billed again.
 func (t Tail) With(b value.Bill) Tail {
 	if _, ok := t.Find(b.Request); ok {
 		return t
 	}
 	n := t.Last() + 1
 	t.entries = t.entries.With(Entry{Sequence: n, Bill: b})
-	t.seen = t.seen.With(b.Request, n)
+	t.recent = t.recent.With(b.Request, n)
 	return t
 }
 
-// WithCopies returns a holder's tail extended by the owner's entries. Known ones are left as they
-// are, and entries behind a gap are not taken.
+// WithCopies returns the tail of a holder of a copy, extended by the owner's entries. Entries that it
+// has already and entries after a gap are skipped.
 func (t Tail) WithCopies(entries []Entry) Tail {
 	for _, e := range entries {
 		if e.Sequence == t.Last()+1 {
@@ -115,12 +116,13 @@
 	}
 	t.entries = t.entries.Without(int(sequence - t.flushed))
 	t.flushed = sequence
-	t.before = t.seen
-	t.seen = policy.Table[value.RequestID, int64]{}
+	t.previous = t.recent
+	t.recent = policy.Table[value.RequestID, int64]{}
 	return t
 }
 
-// Since returns the entries after the sequence number, as many as fit into the bytes, but one at least.
+// Since returns the entries after the sequence number: as many as fit into the bytes, and the first
+// even if it does not fit.
 func (t Tail) Since(sequence int64, bytes int) []Entry {
 	skip := max(sequence-t.flushed, 0)
 	var list []Entry
@@ -134,11 +136,11 @@
 	return list
 }
 
-// Segment returns the next segment to be written, of at most the given bytes.
+// Segment returns the next segment to be written, limited to the given bytes as in Since.
 //
-// Its key is the owner and its first sequence number, and a writer starts a segment only behind one
-// that it knows to be in the store. So there is one chain of segments for each owner, without gap
-// or overlap, whoever writes it.
+// Its key consists of the owner and its first sequence number, and a writer starts a segment only after
+// one that it knows to be in the store. So the segments of an owner have no gaps or overlaps, whichever
+// instances write them.
 func (t Tail) Segment(bytes int) Segment {
 	return Segment{Owner: t.owner, Entries: t.Since(t.flushed, bytes)}
 }
--- a/core/ledger/tail_test.go
+++ b/core/ledger/tail_test.go
@@ -15,9 +15,9 @@
 	return value.Bill{Request: value.RequestID(fmt.Sprint(n)), CostMicros: int64(n)}
 }
 
-// TestCopiesFollowTheOwner sends random, repeated and reordered parts of an owner's tail to a holder
-// and checks that it never has a gap, and has all once it asks for what it lacks.
-func TestCopiesFollowTheOwner(t *testing.T) {
+// Sends random, repeated and reordered parts of an owner's tail to the holder of a copy. The copy must
+// never have a gap, and must be complete once the holder has requested the missing entries.
+func TestCopiesOfATailHaveNoGapAndCatchUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		owner, holder := ledger.NewTail("a", 0), ledger.NewTail("a", 0)
 		var parts [][]ledger.Entry
--- a/core/ledger/trim.go
+++ b/core/ledger/trim.go
@@ -5,44 +5,47 @@
 	"time"
 )
 
-// swept returns the journal after what time alone brings about: records past their keeping are
-// dropped, and a run that nobody can still report on is doubted. A run that may still be under way
-// is never dropped.
-func (j Journal) swept(rule Rule, at Setting) Journal {
+// withTimeouts returns the journal with all changes that are due by the time: expired records are
+// removed, and an abandoned execution becomes in doubt. An execution that may still be in progress is
+// never removed.
+func (j Journal) withTimeouts(rule Rule, setting Setting) Journal {
 	for id, r := range j.records.All() {
 		switch {
-		case r.State == RunIntended && abandoned(r, rule, at):
-			j = j.With(r.WithState(RunDoubted, at.Now))
-		case r.State != RunIntended && at.Now.Sub(r.Since) >= keepOf(r, rule):
+		case r.State == RunIntended && isAbandoned(r, rule, setting):
+			j = j.With(r.WithState(RunInDoubt, setting.Now))
+		case r.State != RunIntended && setting.Now.Sub(r.Since) >= retentionOf(r, rule):
 			j = j.Without(id)
 		}
 	}
 	return j
 }
 
-func abandoned(r Record, rule Rule, at Setting) bool {
-	if !at.Now.Before(r.Until.Add(rule.Wait)) {
+// isAbandoned reports whether the holder of an execution can no longer report its result.
+func isAbandoned(r Record, rule Rule, setting Setting) bool {
+	if !setting.Now.Before(r.Until.Add(rule.Wait)) {
 		return true
 	}
-	return at.Gone(r.Holder) && at.Now.Sub(r.Since) >= rule.Wait
+	return setting.Gone(r.Holder) && setting.Now.Sub(r.Since) >= rule.Wait
 }
 
-// A released claim has to be remembered only as long as a late copy of it may still come in.
-func keepOf(r Record, rule Rule) time.Duration {
+// retentionOf returns how long the record is retained. A released claim is needed only for as long as a
+// delayed copy of the claim may still arrive.
+func retentionOf(r Record, rule Rule) time.Duration {
 	if r.State == RunReleased {
 		return rule.Wait
 	}
 	return rule.Keep
 }
 
-// fitted returns the journal with the record; where that takes too many bytes, the oldest kept
-// bodies give way first, since a lost body costs an answer and a lost record a second run.
-func (j Journal) fitted(r Record, rule Rule) Journal {
+// withRecordFitted returns the journal with the record. If that exceeds the maximum size, bodies of
+// answers are dropped, the oldest first, until it fits. Records are never dropped for space: without
+// its body an answer can't be returned again, but without its record a call could execute twice.
+func (j Journal) withRecordFitted(r Record, rule Rule) Journal {
 	j = j.With(r)
 	if j.Size() <= rule.Bytes {
 		return j
 	}
-	for _, old := range j.byAge() {
+	for _, old := range j.recordsByAge() {
 		if j.Size() <= rule.Bytes {
 			return j
 		}
@@ -53,7 +56,7 @@
 	return j
 }
 
-func (j Journal) byAge() []Record {
+func (j Journal) recordsByAge() []Record {
 	list := j.Records()
 	slices.SortStableFunc(list, func(x, y Record) int { return x.Since.Compare(y.Since) })
 	return list
