--- a/core/fleet/lease.go
+++ b/core/fleet/lease.go
@@ -8,19 +8,20 @@
 
 // LeaseRule sets the times of a lease.
 type LeaseRule struct {
-	// Length is how long the service keeps the lease after a renewal.
+	// Length is how long the key-value store keeps the lease after a renewal.
 	Length time.Duration
 	// Renew is the time between renewals.
 	Renew time.Duration
-	// Margin is how much earlier than the service the holder takes the lease for ended.
+	// Margin is how much earlier than the store the holder considers the lease expired.
 	Margin time.Duration
-	// Quiet is how long a new holder waits before it orders servers that ignore fencing tokens.
+	// Quiet is how long a new holder waits before it sends orders to backend servers that ignore fencing
+	// tokens.
 	Quiet time.Duration
-	// Order is how long one order may take.
+	// Order is the longest time that one order to a backend server may take.
 	Order time.Duration
 }
 
-// DefaultLeaseRule returns the times that docs/FLEET.md is worked out for.
+// DefaultLeaseRule returns the times that the calculations in docs/FLEET.md are based on.
 func DefaultLeaseRule() LeaseRule {
 	return LeaseRule{
 		Length: 12 * time.Second,
@@ -35,48 +36,49 @@
 func (r LeaseRule) Check() error {
 	switch {
 	case r.Length <= 0 || r.Renew <= 0 || r.Margin <= 0 || r.Order <= 0:
-		return errors.New("lease rule: a time is missing")
+		return errors.New("lease rule: Length, Renew, Margin and Order must be positive")
 	case r.Renew+r.Margin >= r.Length:
-		return fmt.Errorf("lease rule: renewing every %s is too late for %s", r.Renew, r.Length-r.Margin)
+		return fmt.Errorf("lease rule: renewal interval of %s is not shorter than the holder's term of %s", r.Renew, r.Length-r.Margin)
 	case r.Order >= r.Length-r.Margin-r.Renew:
-		return fmt.Errorf("lease rule: an order of %s does not fit between renewals", r.Order)
+		return fmt.Errorf("lease rule: order time of %s does not fit into the rest of the term at a renewal", r.Order)
 	case r.Quiet < r.Order:
-		return fmt.Errorf("lease rule: a wait of %s is shorter than an order", r.Quiet)
+		return fmt.Errorf("lease rule: quiet time of %s is shorter than the order time", r.Quiet)
 	}
 	return nil
 }
 
-// Tenure is what a holder knows of its own lease; it is immutable.
+// Tenure is the holder's view of its own lease; it is immutable.
 type Tenure struct {
-	// Fence grows with each holder.
+	// Fence is the fencing token, which grows with each holder.
 	Fence int64
 	// Since is when the holder took the lease.
-	Since time.Time
-	sent  time.Time
-	lasts time.Duration
+	Since  time.Time
+	sentAt time.Time
+	usable time.Duration
 }
 
-// NewTenure returns the tenure of a lease that was asked for at the time given.
-func NewTenure(r LeaseRule, fence int64, sent time.Time) Tenure {
-	return Tenure{Fence: fence, Since: sent, sent: sent, lasts: r.Length - r.Margin}
+// NewTenure returns the tenure of a lease whose request was sent at the given time.
+func NewTenure(r LeaseRule, fence int64, sentAt time.Time) Tenure {
+	return Tenure{Fence: fence, Since: sentAt, sentAt: sentAt, usable: r.Length - r.Margin}
 }
 
-// WithRenewal returns the tenure after a renewal that was sent at the time given, and granted for so long.
+// WithRenewal returns the tenure after a renewal that was sent at sentAt, with the lease granted for the
+// given time.
 //
-// The service counts from when the renewal arrived, which is later, so the holder ends first.
-// A renewal that is answered only after the tenure has ended does not bring it back to life.
-func (t Tenure) WithRenewal(r LeaseRule, sent time.Time, granted time.Duration, now time.Time) Tenure {
+// The store counts from the arrival of the renewal, which is later, so the holder's term ends first.
+// A renewal that is answered after the tenure has ended does not make it valid again.
+func (t Tenure) WithRenewal(r LeaseRule, sentAt time.Time, granted time.Duration, now time.Time) Tenure {
 	if !t.Valid(now) {
 		return t
 	}
-	t.sent = sent
-	t.lasts = granted - r.Margin
+	t.sentAt = sentAt
+	t.usable = granted - r.Margin
 	return t
 }
 
 // WithEnd returns the tenure after the holder gave the lease up.
 func (t Tenure) WithEnd() Tenure {
-	t.lasts = 0
+	t.usable = 0
 	return t
 }
 
@@ -85,23 +87,23 @@
 	return t.Left(now) > 0
 }
 
-// Left returns for how long the holder may act, which is negative once it may not.
+// Left returns how long the holder may still act; it is zero or negative once the tenure has ended.
 //
-// The monotonic clock stands still while a machine is suspended and the wall
-// clock can be set back, so the one that has gone further counts.
+// The monotonic clock does not advance while a machine is suspended, and the wall clock can be set
+// back, so the longer of the two elapsed times counts.
 func (t Tenure) Left(now time.Time) time.Duration {
-	monotonic := now.Sub(t.sent)
-	wall := now.Round(0).Sub(t.sent.Round(0))
-	return t.lasts - max(monotonic, wall, 0)
+	monotonic := now.Sub(t.sentAt)
+	wall := now.Round(0).Sub(t.sentAt.Round(0))
+	return t.usable - max(monotonic, wall, 0)
 }
 
-// MayOrder reports whether an order begun now ends well inside the tenure.
+// MayOrder reports whether an order sent now ends within the tenure, even if it takes the longest time.
 func (t Tenure) MayOrder(r LeaseRule, now time.Time) bool {
 	return t.Left(now) > r.Order
 }
 
-// QuietLeft returns how long the holder must wait before it orders servers that ignore fencing tokens,
-// so that its predecessor's last orders have ended.
+// QuietLeft returns how long the holder must still wait before it sends orders to backend servers that
+// ignore fencing tokens, so that its predecessor's last orders have ended by then.
 func (t Tenure) QuietLeft(r LeaseRule, now time.Time) time.Duration {
 	return t.Since.Add(r.Quiet).Sub(now)
 }
--- a/core/fleet/lease_test.go
+++ b/core/fleet/lease_test.go
@@ -9,7 +9,7 @@
 	"endivehitch/core/fleet"
 )
 
-func TestHolderThatWakesAfterItsTermMayNotAct(t *testing.T) {
+func TestHolderMayNotActAfterItsTermHasEnded(t *testing.T) {
 	rule := fleet.DefaultLeaseRule()
 	sent := time.Unix(1000, 0)
 	tenure := fleet.NewTenure(rule, 5, sent)
@@ -21,7 +21,7 @@
 	assert.Assert(t, !tenure.WithEnd().Valid(sent))
 }
 
-func TestRenewalCountsFromWhenItWasSent(t *testing.T) {
+func TestRenewalExtendsTheTermFromItsSendTimeUnlessLate(t *testing.T) {
 	rule := fleet.DefaultLeaseRule()
 	sent := time.Unix(1000, 0)
 	tenure := fleet.NewTenure(rule, 5, sent)
--- a/core/fleet/member.go
+++ b/core/fleet/member.go
@@ -14,25 +14,26 @@
 	Period time.Duration
 	// Timeout is how long a direct or an indirect probe waits for its answer.
 	Timeout time.Duration
-	// Helpers is how many other instances probe one that did not answer.
+	// Helpers is how many other instances are asked to probe one that did not answer (indirect probes).
 	Helpers int
-	// View is how many instances one probes and pushes to; the choice rotates.
+	// View is the number of instances that an instance probes and pushes to; the choice rotates.
 	View int
-	// Rotation is how long a view lasts.
+	// Rotation is the time after which an instance chooses another view.
 	Rotation time.Duration
-	// Forget is how long an instance that is gone is remembered.
+	// Forget is how long an instance is remembered after it has departed.
 	Forget time.Duration
-	// Batch is how many instances one message brings news of, at most.
+	// Batch is the highest number of instances that one message has updates of.
 	Batch int
-	// Reconnect is how many probes pass, on average, between probes of instances that are gone but still listed.
+	// Reconnect is the average number of probes for each probe of a departed instance that is still
+	// listed.
 	Reconnect int
-	// Fanout is how many instances are told at once of a new configuration.
+	// Fanout is how many instances are notified at once of a new configuration.
 	Fanout int
-	// Readers is how many instances of each failure domain watch the key-value service.
+	// Readers is how many instances of each failure domain watch the key-value store.
 	Readers int
 }
 
-// DefaultTiming returns the pace that the capacity page is worked out for.
+// DefaultTiming returns the pace that the calculations on the capacity page are based on.
 func DefaultTiming() Timing {
 	return Timing{
 		Period:    time.Second,
@@ -48,51 +49,56 @@
 	}
 }
 
-// suspicionPeriods is how many periods a suspicion lasts for each tenfold of the fleet's size.
+// suspicionPeriods is how many probe periods a suspicion lasts for each power of ten in the fleet's
+// size.
 const suspicionPeriods = 4
 
-// Suspicion returns how long a suspected instance has to refute; it grows with the time that news takes.
-func (t Timing) Suspicion(instances int) time.Duration {
-	tenfolds := max(1, math.Log10(float64(max(1, instances))))
-	return time.Duration(suspicionPeriods * tenfolds * float64(t.Period))
+// SuspicionTimeout returns how long a suspected instance has to refute the suspicion. It grows with the
+// logarithm of the fleet's size, as does the time in which updates reach every instance.
+func (t Timing) SuspicionTimeout(instances int) time.Duration {
+	decades := max(1, math.Log10(float64(max(1, instances))))
+	return time.Duration(suspicionPeriods * decades * float64(t.Period))
 }
 
-// Paused reports whether so much time passed between two looks that the instance itself must have stood still.
+// Paused reports whether the time between two successive checks is so long that this instance's own
+// process must have been paused.
 func (t Timing) Paused(last, now time.Time) bool {
 	const missedPeriods = 3
 	return !last.IsZero() && now.Sub(last) > missedPeriods*t.Period
 }
 
-// Overslept reports whether a probe's result came so late that the prober, not the probed, stood still.
+// Overslept reports whether a probe, with its direct and its indirect attempt, took so much longer than
+// its timeouts that the probing instance was paused, which says nothing about the probed one.
 func (t Timing) Overslept(begun, now time.Time) bool {
-	const probes = 2
-	return now.Sub(begun) > probes*t.Timeout+t.Period
+	const timeouts = 2
+	return now.Sub(begun) > timeouts*t.Timeout+t.Period
 }
 
-// rumourFactor makes it likely that news reaches every instance.
-const rumourFactor = 3
+// retransmitFactor makes it likely that an update reaches every instance.
+const retransmitFactor = 3
 
-// RumourTimes returns how often an instance passes on a piece of news in a fleet of that size.
+// RumourTimes returns how many times an instance transmits an update in a fleet of the given size.
 func RumourTimes(instances int) int {
-	return rumourFactor * bits.Len(uint(instances))
+	return retransmitFactor * bits.Len(uint(instances))
 }
 
-// Supersedes reports whether the news of an instance replaces what is known of it.
+// Supersedes reports whether an update of an instance's state replaces the known state.
 //
-// Only the instance itself raises its incarnation; at the same incarnation the worse news wins.
-func Supersedes(news, known value.Instance) bool {
-	if news.Incarnation != known.Incarnation {
-		return news.Incarnation > known.Incarnation
+// Only the instance itself raises its incarnation. At the same incarnation the more severe state wins.
+func Supersedes(update, known value.Instance) bool {
+	if update.Incarnation != known.Incarnation {
+		return update.Incarnation > known.Incarnation
 	}
-	return rank(news.State) > rank(known.State)
+	return severity(update.State) > severity(known.State)
 }
 
-// Refutes reports whether the instance must contradict what others say of it.
-func Refutes(self, news value.Instance) bool {
-	return news.Incarnation >= self.Incarnation && rank(news.State) > rank(self.State)
+// Refutes reports whether the instance must refute the update that others have sent of it.
+func Refutes(self, update value.Instance) bool {
+	return update.Incarnation >= self.Incarnation && severity(update.State) > severity(self.State)
 }
 
-func rank(s value.InstanceState) int {
+// severity orders the states from live to departed.
+func severity(s value.InstanceState) int {
 	switch s {
 	case value.InstanceSuspected:
 		return 1
@@ -104,28 +110,28 @@
 	return 0
 }
 
-// Merge returns what is known of the instance after the news: the statement of
-// the news with this process's own observations.
-func Merge(known, news value.Instance, now time.Time) value.Instance {
-	if news.State != known.State {
-		known = known.WithState(news.State).WithSince(now)
+// Merge returns the known instance with the state and incarnation of the update; everything else in it
+// stays, and the state counts from now if it has changed.
+func Merge(known, update value.Instance, now time.Time) value.Instance {
+	if update.State != known.State {
+		known = known.WithState(update.State).WithSince(now)
 	}
-	return known.WithIncarnation(news.Incarnation)
+	return known.WithIncarnation(update.Incarnation)
 }
 
-// Expired returns the state that an instance passes into by time alone, and whether it does.
-func (t Timing) Expired(i value.Instance, instances int, now time.Time) (value.InstanceState, bool) {
-	age := now.Sub(i.Since)
-	switch i.State {
+// Expired returns the state that an instance passes into by time alone, and whether that time has come.
+func (t Timing) Expired(instance value.Instance, instances int, now time.Time) (value.InstanceState, bool) {
+	age := now.Sub(instance.Since)
+	switch instance.State {
 	case value.InstanceSuspected:
-		return value.InstanceGone, age >= t.Suspicion(instances)
+		return value.InstanceGone, age >= t.SuspicionTimeout(instances)
 	case value.InstanceLeaving:
-		return value.InstanceGone, !i.Listed && age >= t.Forget
+		return value.InstanceGone, !instance.Listed && age >= t.Forget
 	}
-	return i.State, false
+	return instance.State, false
 }
 
-// Forgets reports whether an instance need not be remembered any longer.
-func (t Timing) Forgets(i value.Instance, now time.Time) bool {
-	return i.State == value.InstanceGone && !i.Listed && now.Sub(i.Since) >= t.Forget
+// Forgets reports whether the instance may be removed from the membership list.
+func (t Timing) Forgets(instance value.Instance, now time.Time) bool {
+	return instance.State == value.InstanceGone && !instance.Listed && now.Sub(instance.Since) >= t.Forget
 }
--- a/core/fleet/member_test.go
+++ b/core/fleet/member_test.go
@@ -12,32 +12,32 @@
 	"endivehitch/core/value"
 )
 
-// The property tests draw the same values each run.
+// Fixes the seed, so that the property tests draw the same values in each run.
 func init() {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
 	}
 }
 
-func TestNewsMergesAlikeInAnyOrder(t *testing.T) {
+func TestMergeIsIndependentOfOrderAndRepetition(t *testing.T) {
 	states := []value.InstanceState{value.InstanceLive, value.InstanceSuspected, value.InstanceLeaving, value.InstanceGone}
-	statement := rapid.Custom(func(t *rapid.T) value.Instance {
+	anyUpdate := rapid.Custom(func(t *rapid.T) value.Instance {
 		return value.Instance{
 			State:       rapid.SampledFrom(states).Draw(t, "state"),
 			Incarnation: rapid.Int64Range(0, 3).Draw(t, "incarnation"),
 		}
 	})
 	rapid.Check(t, func(t *rapid.T) {
-		news := rapid.SliceOfN(statement, 1, 8).Draw(t, "news")
-		shuffled := rapid.Permutation(news).Draw(t, "shuffled")
-		assert.DeepEqual(t, believe(news), believe(shuffled))
-		assert.DeepEqual(t, believe(news), believe(append(news, news...)))
+		updates := rapid.SliceOfN(anyUpdate, 1, 8).Draw(t, "news")
+		shuffled := rapid.Permutation(updates).Draw(t, "shuffled")
+		assert.DeepEqual(t, mergeAll(updates), mergeAll(shuffled))
+		assert.DeepEqual(t, mergeAll(updates), mergeAll(append(updates, updates...)))
 	})
 }
 
-func believe(news []value.Instance) value.Instance {
-	known := news[0]
-	for _, n := range news[1:] {
+func mergeAll(updates []value.Instance) value.Instance {
+	known := updates[0]
+	for _, n := range updates[1:] {
 		if fleet.Supersedes(n, known) {
 			known = fleet.Merge(known, n, time.Time{})
 		}
@@ -45,7 +45,7 @@
 	return known
 }
 
-func TestProbeThatOutlastsItsTimeoutsAccusesNoOne(t *testing.T) {
+func TestPauseOfTheProberIsDetected(t *testing.T) {
 	timing := fleet.DefaultTiming()
 	begun := time.Unix(1000, 0)
 	assert.Assert(t, !timing.Overslept(begun, begun.Add(3*timing.Timeout)))
@@ -55,9 +55,9 @@
 	assert.Assert(t, !timing.Paused(time.Time{}, begun))
 }
 
-func TestSuspicionGrowsWithTheFleet(t *testing.T) {
+func TestSuspicionTimeoutAndRetransmitsGrowWithTheFleet(t *testing.T) {
 	timing := fleet.DefaultTiming()
-	assert.Equal(t, timing.Suspicion(7), 4*time.Second)
-	assert.Equal(t, timing.Suspicion(1000), 12*time.Second)
+	assert.Equal(t, timing.SuspicionTimeout(7), 4*time.Second)
+	assert.Equal(t, timing.SuspicionTimeout(1000), 12*time.Second)
 	assert.Assert(t, fleet.RumourTimes(2300) > fleet.RumourTimes(7))
 }
