--- a/core/steps/order.go
+++ b/core/steps/order.go
@@ -7,7 +7,7 @@
 	"endivehitch/core/value"
 )
 
-// Verb is what an operator orders of a roll-out.
+// Verb is the kind of an operator's order.
 type Verb string
 
 // The verbs of operators' orders.
@@ -20,19 +20,19 @@
 // Order is an operator's order to a roll-out.
 type Order struct {
 	Verb Verb
-	// Stage is the stage to be left by an advance, so that a repeated order skips nothing.
+	// Stage is the stage that an advance leaves, so that a repeated order does not skip a stage.
 	Stage int
 }
 
-// Obey returns the position that the order leads to and whether it differs from the present one.
+// Obey returns the position after the order and whether it differs from the present one.
 //
-// An order whose aim is already reached changes nothing, so that it may be
-// repeated; the error is value.ChangeRefused where the aim can't be reached.
+// An order whose target position is already reached changes nothing, so that it may be repeated. The
+// error is value.ChangeRefused where the present position does not allow the order.
 func Obey(r value.RollOut, p value.Progress, o Order, now time.Time) (value.Progress, bool, error) {
-	if reached(r, p, o) {
+	if isReached(r, p, o) {
 		return p, false, nil
 	}
-	next, err := obey(r, p, o, now)
+	next, err := applyVerb(r, p, o, now)
 	if err != nil {
 		return p, false, value.ChangeRefused{
 			Reason: value.ReasonWrongPhase,
@@ -42,7 +42,8 @@
 	return next, true, nil
 }
 
-func reached(r value.RollOut, p value.Progress, o Order) bool {
+// isReached reports whether the roll-out is already where the order would bring it.
+func isReached(r value.RollOut, p value.Progress, o Order) bool {
 	switch o.Verb {
 	case VerbStart:
 		return p.Phase == value.PhaseStaged
@@ -53,7 +54,7 @@
 	return p.Phase == value.PhaseWithdrawn
 }
 
-func obey(r value.RollOut, p value.Progress, o Order, now time.Time) (value.Progress, error) {
+func applyVerb(r value.RollOut, p value.Progress, o Order, now time.Time) (value.Progress, error) {
 	switch o.Verb {
 	case VerbStart:
 		return Start(r, p, now)
--- a/core/steps/steps.go
+++ b/core/steps/steps.go
@@ -11,7 +11,7 @@
 	"endivehitch/core/value"
 )
 
-// The events that move a roll-out on.
+// The events of the state machine.
 const (
 	eventStart    = "Start"
 	eventAdvance  = "Advance"
@@ -36,22 +36,22 @@
 // NotDue is the error of a step whose conditions are not met yet.
 type NotDue struct {
 	Name value.RollOutName
-	// Why names the condition.
-	Why string
+	// Condition says what is missing.
+	Condition string
 }
 
 // Error names the roll-out and the condition.
 func (e NotDue) Error() string {
-	return fmt.Sprintf("roll-out %s: next step is not due: %s", e.Name, e.Why)
+	return fmt.Sprintf("roll-out %s: next step is not due: %s", e.Name, e.Condition)
 }
 
-// Seen is what the present stage has shown.
+// Seen is what has been measured in the present stage.
 type Seen struct {
 	// Ratings counts the new version's ratings in this stage.
 	Ratings int
 }
 
-// Plan returns the position of a roll-out that has not begun.
+// Plan returns the position of a roll-out that has not been started.
 func Plan(r value.RollOut) value.Progress {
 	return value.Progress{Name: r.Name, Version: r.ToKey(), Phase: value.PhasePlanned}
 }
@@ -61,31 +61,32 @@
 	if len(r.Stages) == 0 {
 		return p, fmt.Errorf("start roll-out %s: plan has no stages", r.Name)
 	}
-	phase, err := move(p, eventStart)
+	phase, err := phaseAfter(p, eventStart)
 	if err != nil {
 		return p, err
 	}
 	return p.WithStage(0, now).WithPhase(phase, "", now), nil
 }
 
-// Advance returns the position at the next stage, or the end; the error is NotDue while the stage's conditions are not met.
+// Advance returns the position at the next stage or, after the last one, at the end. The error is
+// NotDue while the present stage's conditions are not met.
 func Advance(r value.RollOut, p value.Progress, seen Seen, now time.Time) (value.Progress, error) {
 	if p.Phase == value.PhaseStaged {
-		if err := due(r, p, seen, now); err != nil {
+		if err := checkConditions(r, p, seen, now); err != nil {
 			return p, err
 		}
 	}
 	return Skip(r, p, now)
 }
 
-// Skip is Advance without the stage's conditions, on an operator's word.
+// Skip is like Advance, but does not check the stage's conditions; it serves an operator's order.
 func Skip(r value.RollOut, p value.Progress, now time.Time) (value.Progress, error) {
 	last := p.Stage+1 >= len(r.Stages)
 	event := eventAdvance
 	if last {
 		event = eventFinish
 	}
-	phase, err := move(p, event)
+	phase, err := phaseAfter(p, event)
 	if err != nil {
 		return p, err
 	}
@@ -95,13 +96,13 @@
 	return p.WithStage(p.Stage+1, now), nil
 }
 
-// Withdraw returns the position after the new version has been withdrawn.
-func Withdraw(p value.Progress, why value.Reason, now time.Time) (value.Progress, error) {
-	phase, err := move(p, eventWithdraw)
+// Withdraw returns the position after the new version has been withdrawn for the given reason.
+func Withdraw(p value.Progress, reason value.Reason, now time.Time) (value.Progress, error) {
+	phase, err := phaseAfter(p, eventWithdraw)
 	if err != nil {
 		return p, err
 	}
-	return p.WithPhase(phase, string(why), now), nil
+	return p.WithPhase(phase, string(reason), now), nil
 }
 
 // Overdue reports whether the stage has lasted longer than its plan allows.
@@ -113,27 +114,27 @@
 	return limit > 0 && now.Sub(p.Since) > limit
 }
 
-func due(r value.RollOut, p value.Progress, seen Seen, now time.Time) error {
+func checkConditions(r value.RollOut, p value.Progress, seen Seen, now time.Time) error {
 	if p.Stage >= len(r.Stages) {
 		return nil
 	}
-	s := r.Stages[p.Stage]
-	if left := s.MinTime - now.Sub(p.Since); left > 0 {
-		return NotDue{Name: r.Name, Why: fmt.Sprintf("stage lasts another %v", left)}
+	stage := r.Stages[p.Stage]
+	if remaining := stage.MinTime - now.Sub(p.Since); remaining > 0 {
+		return NotDue{Name: r.Name, Condition: fmt.Sprintf("stage lasts another %v", remaining)}
 	}
-	if missing := s.MinRatings - seen.Ratings; missing > 0 {
-		return NotDue{Name: r.Name, Why: fmt.Sprintf("stage needs another %d ratings", missing)}
+	if missing := stage.MinRatings - seen.Ratings; missing > 0 {
+		return NotDue{Name: r.Name, Condition: fmt.Sprintf("stage needs another %d ratings", missing)}
 	}
 	return nil
 }
 
-// move asks the machine which phase follows.
-func move(p value.Progress, event string) (value.Phase, error) {
+// phaseAfter returns the phase that the state machine enters on the event.
+func phaseAfter(p value.Progress, event string) (value.Phase, error) {
 	machine := fsm.NewFSM(string(p.Phase), events, fsm.Callbacks{})
 	err := machine.Event(context.Background(), event)
 	// An advance stays in the phase Staged, which the library reports as an error.
-	var same fsm.NoTransitionError
-	if err != nil && !errors.As(err, &same) {
+	var noTransition fsm.NoTransitionError
+	if err != nil && !errors.As(err, &noTransition) {
 		return p.Phase, fmt.Errorf("move roll-out %s: %w", p.Name, err)
 	}
 	return value.Phase(machine.Current()), nil
