--- a/core/loop/doc.go
+++ b/core/loop/doc.go
@@ -1,6 +1,6 @@
-// Package loop runs the one goroutine that owns the control state.
+// Package loop runs the single goroutine that owns the control state.
 //
-// Commands come in through a mailbox and are applied one at a time; each new
-// state is published as an immutable snapshot, and effects go out to workers
-// that answer with further commands.
+// A Loop receives Commands through a bounded mailbox and applies them one at a time. Each new state is
+// published as an immutable snapshot, which any goroutine may read, and the effects of commands go to
+// workers, which report results by sending further commands.
 package loop
--- a/core/loop/loop.go
+++ b/core/loop/loop.go
@@ -8,60 +8,60 @@
 	"time"
 )
 
-// ErrStopped is returned to senders once the loop has ended.
+// ErrStopped is returned by Send and Do once the loop has ended.
 var ErrStopped = errors.New("control loop stopped")
 
-// Command is a typed message that changes the control state.
+// Command is a message that changes the control state.
 //
-// Apply is pure: it returns the next state and the effects that follow from it.
+// Apply must be pure: it returns the next state and the effects to be carried out.
 type Command[S, E any] interface {
 	Apply(s S, now time.Time) (S, []E)
 }
 
-// Config sets up a Loop.
+// Config configures a Loop.
 type Config[S, E any] struct {
 	// Initial is the state before the first command.
 	Initial S
-	// Now tells the time.
+	// Now returns the present time.
 	Now func() time.Time
-	// Mailbox is how many commands may wait before senders block.
+	// Mailbox is how many commands may be queued before senders block.
 	Mailbox int
 }
 
 // Loop owns the control state and publishes its snapshots.
 type Loop[S, E any] struct {
 	now     func() time.Time
-	mailbox chan delivery[S, E]
+	mailbox chan envelope[S, E]
 	effects chan E
-	current atomic.Pointer[published[S]]
+	current atomic.Pointer[snapshot[S]]
 	stopped chan struct{}
 }
 
-type delivery[S, E any] struct {
+type envelope[S, E any] struct {
 	command Command[S, E]
 	applied chan struct{}
 }
 
-type published[S any] struct {
+type snapshot[S any] struct {
 	state   S
 	changed chan struct{}
 }
 
-// New returns a loop that is not yet running.
+// New returns a loop that has not been started; Run starts it.
 func New[S, E any](c Config[S, E]) (*Loop[S, E], error) {
 	if c.Now == nil {
-		return nil, errors.New("loop: no clock")
+		return nil, errors.New("loop: Config.Now is not set")
 	}
 	if c.Mailbox < 1 {
-		return nil, fmt.Errorf("loop: mailbox of %d commands", c.Mailbox)
+		return nil, fmt.Errorf("loop: Config.Mailbox is %d, must be at least 1", c.Mailbox)
 	}
 	l := &Loop[S, E]{
 		now:     c.Now,
-		mailbox: make(chan delivery[S, E], c.Mailbox),
+		mailbox: make(chan envelope[S, E], c.Mailbox),
 		effects: make(chan E),
 		stopped: make(chan struct{}),
 	}
-	l.current.Store(&published[S]{state: c.Initial, changed: make(chan struct{})})
+	l.current.Store(&snapshot[S]{state: c.Initial, changed: make(chan struct{})})
 	return l, nil
 }
 
@@ -76,24 +76,26 @@
 	return p.state, p.changed
 }
 
-// Effects yields the effects of the commands in order; it is closed when the loop ends.
+// Effects returns the channel that yields the effects of the commands in order; it is closed when the
+// loop ends.
 func (l *Loop[S, E]) Effects() <-chan E {
 	return l.effects
 }
 
-// Send hands a command to the loop and returns without waiting for it to be applied.
+// Send queues a command and returns without waiting for it to be applied; it blocks while the mailbox
+// is full.
 func (l *Loop[S, E]) Send(ctx context.Context, c Command[S, E]) error {
-	return l.deliver(ctx, delivery[S, E]{command: c})
+	return l.enqueue(ctx, envelope[S, E]{command: c})
 }
 
-// Do hands a command to the loop and returns once its state is published.
+// Do queues a command and returns once the state that it leads to is published.
 func (l *Loop[S, E]) Do(ctx context.Context, c Command[S, E]) error {
-	d := delivery[S, E]{command: c, applied: make(chan struct{})}
-	if err := l.deliver(ctx, d); err != nil {
+	msg := envelope[S, E]{command: c, applied: make(chan struct{})}
+	if err := l.enqueue(ctx, msg); err != nil {
 		return err
 	}
 	select {
-	case <-d.applied:
+	case <-msg.applied:
 		return nil
 	case <-l.stopped:
 		return ErrStopped
@@ -102,9 +104,9 @@
 	}
 }
 
-func (l *Loop[S, E]) deliver(ctx context.Context, d delivery[S, E]) error {
+func (l *Loop[S, E]) enqueue(ctx context.Context, msg envelope[S, E]) error {
 	select {
-	case l.mailbox <- d:
+	case l.mailbox <- msg:
 		return nil
 	case <-l.stopped:
 		return ErrStopped
@@ -113,42 +115,43 @@
 	}
 }
 
-// Run applies commands until the context ends; it is called once, in a goroutine of its own.
+// Run applies commands until the context ends. It must be called once, in a goroutine of its own.
 func (l *Loop[S, E]) Run(ctx context.Context) {
 	defer close(l.effects)
 	defer close(l.stopped)
 	var pending []E
 	for {
-		// The mailbox is read even while workers are slow to take effects:
-		// a worker that sends a command must never wait for itself.
-		out, first := l.outlet(pending)
+		// The mailbox is read even while effects are pending: a worker that sends a command before it
+		// takes the next effect would otherwise block the loop and itself.
+		effects, next := l.nextEffect(pending)
 		select {
 		case <-ctx.Done():
 			return
-		case d := <-l.mailbox:
-			pending = append(pending, l.apply(d)...)
-		case out <- first:
+		case msg := <-l.mailbox:
+			pending = append(pending, l.apply(msg)...)
+		case effects <- next:
 			pending = pending[1:]
 		}
 	}
 }
 
-// outlet returns a nil channel, which is never ready, while there is nothing to hand out.
-func (l *Loop[S, E]) outlet(pending []E) (chan<- E, E) {
+// nextEffect returns the channel and the first pending effect. While there is none the channel is nil,
+// so that sending on it never proceeds.
+func (l *Loop[S, E]) nextEffect(pending []E) (chan<- E, E) {
 	if len(pending) == 0 {
-		var none E
-		return nil, none
+		var zero E
+		return nil, zero
 	}
 	return l.effects, pending[0]
 }
 
-func (l *Loop[S, E]) apply(d delivery[S, E]) []E {
-	was := l.current.Load()
-	next, effects := d.command.Apply(was.state, l.now())
-	l.current.Store(&published[S]{state: next, changed: make(chan struct{})})
-	close(was.changed)
-	if d.applied != nil {
-		close(d.applied)
+func (l *Loop[S, E]) apply(msg envelope[S, E]) []E {
+	previous := l.current.Load()
+	next, effects := msg.command.Apply(previous.state, l.now())
+	l.current.Store(&snapshot[S]{state: next, changed: make(chan struct{})})
+	close(previous.changed)
+	if msg.applied != nil {
+		close(msg.applied)
 	}
 	return effects
 }
