--- a/core/shape/doc.go
+++ b/core/shape/doc.go
@@ -1,2 +1,5 @@
-// Package shape states the rules that the code base's layout keeps; its tests hold the tree against them.
+// Package shape defines the rules for the layout of the code base; its tests check the whole tree.
+//
+// The rules cover which imports packages below core may use, which names belong to the platform's
+// folder alone, how packages are named, and that core does not read the clock.
 package shape
--- a/core/shape/rules.go
+++ b/core/shape/rules.go
@@ -6,14 +6,15 @@
 )
 
 const (
-	shortestName = 4
-	longestName  = 6
-	corePrefix   = "endivehitch/core/"
-	ioPrefix     = "endivehitch/io/"
+	minNameLength = 4
+	maxNameLength = 6
+	corePrefix    = "endivehitch/core/"
+	ioPrefix      = "endivehitch/io/"
 )
 
-// Forbidden reports whether a package below core must not import the path.
-func Forbidden(path string) bool {
+// IsForbiddenInCore reports whether the import path is forbidden to packages below core: network,
+// encoding and this module's io packages.
+func IsForbiddenInCore(path string) bool {
 	if path == "net" || strings.HasPrefix(path, "net/") {
 		return true
 	}
@@ -23,34 +24,34 @@
 	return strings.HasPrefix(path, ioPrefix)
 }
 
-// InCore reports whether the import path belongs to a package below core.
-func InCore(path string) bool {
+// IsInCore reports whether the import path belongs to a package below core.
+func IsInCore(path string) bool {
 	return strings.HasPrefix(path, corePrefix)
 }
 
-// platformNames begin what only the platform's own folder may name: its headers, its paths and the
-// variable that holds the path of its settings.
+// platformNames are parts of the texts that only the platform's folder may contain: the platform's
+// headers, its paths, its store keys and the environment variable with the path of its settings.
 var platformNames = []string{"X-Endivehitch-", "/v1/kv-", "/v1/readyz", "ENDIVEHITCH_BOOT", "op/config", "status/rollout"}
 
-// NamesPlatform reports whether the text names something of the users' platform.
-func NamesPlatform(text string) bool {
+// MentionsPlatform reports whether the text contains one of the platform's names.
+func MentionsPlatform(text string) bool {
 	return slices.ContainsFunc(platformNames, func(n string) bool { return strings.Contains(text, n) })
 }
 
-// InPlatform reports whether the file, by its path in the repository, translates for the platform.
-func InPlatform(path string) bool {
+// IsInPlatform reports whether the file, by its path in the repository, is in the platform's folder.
+func IsInPlatform(path string) bool {
 	return strings.HasPrefix(path, "platform/")
 }
 
-// NameFits reports whether a package's name is as long as the layout asks.
-func NameFits(name string) bool {
+// IsAllowedPackageName reports whether a package's name has a length that the layout allows.
+func IsAllowedPackageName(name string) bool {
 	if name == "main" {
 		return true
 	}
-	return len(name) >= shortestName && len(name) <= longestName
+	return len(name) >= minNameLength && len(name) <= maxNameLength
 }
 
-// ReadsClock reports whether a call of the time package reads the clock or waits on it.
+// ReadsClock reports whether the function of package time reads the clock or waits for it.
 func ReadsClock(name string) bool {
 	switch name {
 	case "Now", "Since", "Until", "After", "AfterFunc", "NewTimer", "NewTicker", "Tick", "Sleep":
--- a/core/shape/tree_test.go
+++ b/core/shape/tree_test.go
@@ -22,7 +22,7 @@
 	file *ast.File
 }
 
-func sources(t *testing.T) []source {
+func parseSources(t *testing.T) []source {
 	t.Helper()
 	var all []source
 	err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
@@ -52,23 +52,23 @@
 }
 
 func TestCoreImportsNoIO(t *testing.T) {
-	for _, s := range sources(t) {
-		if isTest(s.path) || !shape.InCore("endivehitch/"+s.path) {
+	for _, s := range parseSources(t) {
+		if isTest(s.path) || !shape.IsInCore("endivehitch/"+s.path) {
 			continue
 		}
 		for _, i := range s.file.Imports {
 			path := strings.Trim(i.Path.Value, `"`)
-			assert.Assert(t, !shape.Forbidden(path), "%s imports %s", s.path, path)
+			assert.Assert(t, !shape.IsForbiddenInCore(path), "%s imports %s", s.path, path)
 		}
 	}
 }
 
 func TestNoClockInCoreAndNoSleepInProduct(t *testing.T) {
-	for _, s := range sources(t) {
+	for _, s := range parseSources(t) {
 		if isTest(s.path) {
 			continue
 		}
-		inCore := shape.InCore("endivehitch/" + s.path)
+		inCore := shape.IsInCore("endivehitch/" + s.path)
 		ast.Inspect(s.file, func(n ast.Node) bool {
 			sel, ok := n.(*ast.SelectorExpr)
 			if !ok {
@@ -78,30 +78,30 @@
 			if !ok || pkg.Name != "time" || pkg.Obj != nil {
 				return true
 			}
-			assert.Assert(t, sel.Sel.Name != "Sleep", "%s sleeps", s.path)
+			assert.Assert(t, sel.Sel.Name != "Sleep", "%s calls time.Sleep", s.path)
 			assert.Assert(t, !inCore || !shape.ReadsClock(sel.Sel.Name), "%s calls time.%s", s.path, sel.Sel.Name)
 			return true
 		})
 	}
 }
 
-func TestTestsAreExternal(t *testing.T) {
-	for _, s := range sources(t) {
+func TestTestPackagesAreExternal(t *testing.T) {
+	for _, s := range parseSources(t) {
 		if !isTest(s.path) {
 			continue
 		}
 		assert.Assert(t, strings.HasSuffix(s.file.Name.Name, "_test"), "%s is in package %s", s.path, s.file.Name.Name)
-		assert.Assert(t, !strings.HasSuffix(s.path, "export_test.go"), "%s opens a package to its tests", s.path)
+		assert.Assert(t, !strings.HasSuffix(s.path, "export_test.go"), "%s gives tests access to unexported names", s.path)
 	}
 }
 
-func TestPackagesAreNamedAndDescribed(t *testing.T) {
-	for _, s := range sources(t) {
+func TestPackagesHaveAllowedNamesAndDocFiles(t *testing.T) {
+	for _, s := range parseSources(t) {
 		if isTest(s.path) {
 			continue
 		}
 		name := s.file.Name.Name
-		assert.Assert(t, shape.NameFits(name), "%s: package name %s", s.path, name)
+		assert.Assert(t, shape.IsAllowedPackageName(name), "%s: package name %s", s.path, name)
 		if name == "main" {
 			continue
 		}
@@ -111,29 +111,29 @@
 	}
 }
 
-func TestOnlyThePlatformFolderNamesThePlatform(t *testing.T) {
-	for _, s := range sources(t) {
-		if isTest(s.path) || shape.InPlatform(s.path) || strings.HasPrefix(s.path, "core/shape/") {
+func TestOnlyThePlatformFolderMentionsThePlatform(t *testing.T) {
+	for _, s := range parseSources(t) {
+		if isTest(s.path) || shape.IsInPlatform(s.path) || strings.HasPrefix(s.path, "core/shape/") {
 			continue
 		}
 		ast.Inspect(s.file, func(n ast.Node) bool {
 			if l, ok := n.(*ast.BasicLit); ok && l.Kind == token.STRING {
-				assert.Assert(t, !shape.NamesPlatform(l.Value), "%s names %s", s.path, l.Value)
+				assert.Assert(t, !shape.MentionsPlatform(l.Value), "%s names %s", s.path, l.Value)
 			}
 			return true
 		})
 	}
 }
 
-func TestRulesRefuse(t *testing.T) {
-	assert.Assert(t, shape.Forbidden("net/http"))
-	assert.Assert(t, shape.Forbidden("encoding/json"))
-	assert.Assert(t, shape.Forbidden("endivehitch/io/plat"))
-	assert.Assert(t, !shape.Forbidden("endivehitch/core/value"))
-	assert.Assert(t, !shape.NameFits("cli"))
-	assert.Assert(t, !shape.NameFits("balancer"))
-	assert.Assert(t, shape.NamesPlatform("X-Endivehitch-Attempt-Id"))
-	assert.Assert(t, !shape.NamesPlatform("Endivehitch-Kind"))
+func TestRulesRejectForbiddenImportsNamesAndClockCalls(t *testing.T) {
+	assert.Assert(t, shape.IsForbiddenInCore("net/http"))
+	assert.Assert(t, shape.IsForbiddenInCore("encoding/json"))
+	assert.Assert(t, shape.IsForbiddenInCore("endivehitch/io/plat"))
+	assert.Assert(t, !shape.IsForbiddenInCore("endivehitch/core/value"))
+	assert.Assert(t, !shape.IsAllowedPackageName("cli"))
+	assert.Assert(t, !shape.IsAllowedPackageName("balancer"))
+	assert.Assert(t, shape.MentionsPlatform("X-Endivehitch-Attempt-Id"))
+	assert.Assert(t, !shape.MentionsPlatform("Endivehitch-Kind"))
 	assert.Assert(t, shape.ReadsClock("Now"))
 	assert.Assert(t, !shape.ReadsClock("Duration"))
 }
