--- a/core/policy/doc.go
+++ b/core/policy/doc.go
@@ -7,6 +7,7 @@
 // concurrency, Backoff, Budget and Quota bound retries and other extra work, and Estimate, Quantile,
 // Smooth and Watch are statistics over samples.
 //
-// Each policy is an immutable value that is used with a configuration struct; a With method returns
-// its next state. Time and randomness come in as arguments.
+// All types but Cell, Cells and Top are immutable values, whose With methods return the next state.
+// Structs such as LimiterConfig and QuotaConfig configure them; time and randomness are passed as
+// arguments.
 package policy
