--- a/core/ledger/trim.go
+++ b/core/ledger/trim.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// withTimeouts returns the journal with all changes that are due by the time: expired records are
-// removed, and an abandoned execution becomes in doubt. An execution that may still be in progress is
-// never removed.
+// withTimeouts returns the journal with the changes that time alone brings about: expired records are
+// removed, and abandoned executions become in doubt. The record of an execution that may still be in
+// progress is never removed.
 func (j Journal) withTimeouts(rule Rule, setting Setting) Journal {
 	for id, r := range j.records.All() {
 		switch {
@@ -20,7 +20,8 @@
 	return j
 }
 
-// isAbandoned reports whether the holder of an execution can no longer report its result.
+// isAbandoned reports whether the execution's deadline has passed or its holder has departed, and
+// rule.Wait has passed as well, so that the holder is not expected to report a result any more.
 func isAbandoned(r Record, rule Rule, setting Setting) bool {
 	if !setting.Now.Before(r.Until.Add(rule.Wait)) {
 		return true
