--- a/io/flow/board.go
+++ b/io/flow/board.go
@@ -8,57 +8,60 @@
 	"endivehitch/core/value"
 )
 
-// Board holds what this instance's traffic has observed of each backend server.
-type Board struct {
+// ServerLoads holds the load of each backend server, from this instance's own requests and from the
+// server's load reports.
+type ServerLoads struct {
 	cells sync.Map
-	// known counts the cells.
-	known atomic.Int64
+	// count is the number of cells.
+	count atomic.Int64
 }
 
-// NewBoard returns an empty board.
-func NewBoard() *Board {
-	return new(Board)
+// NewServerLoads returns an empty table of loads.
+func NewServerLoads() *ServerLoads {
+	return new(ServerLoads)
 }
 
-// Load returns what has been observed of the server.
-func (b *Board) Load(id value.ServerID) value.Load {
-	c, ok := b.cells.Load(id)
+// Load returns the load of the server; the zero value means that nothing is known.
+func (l *ServerLoads) Load(id value.ServerID) value.Load {
+	c, ok := l.cells.Load(id)
 	if !ok {
 		return value.Load{}
 	}
 	return c.(*policy.Cell[value.Load]).Get()
 }
 
-// Update replaces what is known of the server by what the pure function makes of it.
-func (b *Board) Update(id value.ServerID, next func(value.Load) value.Load) value.Load {
-	return b.cell(id).Update(next)
+// Update replaces the server's load by the function's result and returns it. The function must have
+// no side effects, because it may be called more than once.
+func (l *ServerLoads) Update(id value.ServerID, next func(value.Load) value.Load) value.Load {
+	return l.cell(id).Update(next)
 }
 
-// TryUpdate is like Update, but the pure function may decline, which leaves the value as it is.
-func (b *Board) TryUpdate(id value.ServerID, next func(value.Load) (value.Load, bool)) bool {
-	return b.cell(id).TryUpdate(next)
+// TryUpdate is like Update, but the function may return false to leave the load unchanged.
+func (l *ServerLoads) TryUpdate(id value.ServerID, next func(value.Load) (value.Load, bool)) bool {
+	return l.cell(id).TryUpdate(next)
 }
 
-// Prune drops what is known of idle servers that aren't listed any more.
-func (b *Board) Prune(listed policy.Table[value.ServerID, value.BackendServer]) {
-	if int(b.known.Load()) <= listed.Len() {
+// Prune drops the loads of idle servers that are no longer listed. It does nothing unless there are
+// more loads than listed servers.
+func (l *ServerLoads) Prune(listed policy.Table[value.ServerID, value.BackendServer]) {
+	if int(l.count.Load()) <= listed.Len() {
 		return
 	}
-	b.cells.Range(func(k, c any) bool {
+	l.cells.Range(func(k, c any) bool {
 		_, ok := listed.Get(k.(value.ServerID))
-		if !ok && c.(*policy.Cell[value.Load]).Get().InFlight == 0 && b.cells.CompareAndDelete(k, c) {
-			b.known.Add(-1)
+		if !ok && c.(*policy.Cell[value.Load]).Get().InFlight == 0 && l.cells.CompareAndDelete(k, c) {
+			l.count.Add(-1)
 		}
 		return true
 	})
 }
 
-func (b *Board) cell(id value.ServerID) *policy.Cell[value.Load] {
-	c, ok := b.cells.Load(id)
+func (l *ServerLoads) cell(id value.ServerID) *policy.Cell[value.Load] {
+	c, ok := l.cells.Load(id)
 	if !ok {
 		var had bool
-		if c, had = b.cells.LoadOrStore(id, new(policy.Cell[value.Load])); !had {
-			b.known.Add(1)
+		if c, had = l.cells.LoadOrStore(id, new(policy.Cell[value.Load])); !had {
+			l.count.Add(1)
 		}
 	}
 	return c.(*policy.Cell[value.Load])
--- a/io/flow/cascade.go
+++ b/io/flow/cascade.go
@@ -10,146 +10,155 @@
 	"endivehitch/io/engine"
 )
 
-// Judge assesses the answer of a cascade's first step.
+// Judge assesses the answer of a cascade's first version.
 type Judge interface {
-	// Judge reports whether the answer is good enough for the caller; an error counts as a rejection.
-	Judge(ctx context.Context, r value.Request, a Held) (bool, error)
+	// Judge reports whether the answer is good enough for the caller; an error counts as a
+	// rejection.
+	Judge(ctx context.Context, r value.Request, a HeldAnswer) (bool, error)
 }
 
-// Held is a whole answer that no caller has seen.
-type Held struct {
+// HeldAnswer is a complete answer that is held back from the caller until the judge has assessed
+// it.
+type HeldAnswer struct {
 	Head    engine.Head
 	Version value.VersionKey
 	Pieces  []engine.Piece
 }
 
-// The errors that end a step of a cascade although its answer is whole.
+// The errors that end a step of a cascade although its answer is complete.
 var (
 	errRejected    = errors.New("judge rejected the answer")
 	errJudgeFailed = errors.New("judge failed")
 )
 
-// judgePatience is how many times its expected latency a judge may take.
-const judgePatience = 4
+// judgeTimeoutFactor times its expected latency is the time that a judge may take.
+const judgeTimeoutFactor = 4
 
-// cascade is the part of a run that holds answers back.
+// cascade is the state of an execution that tries a cheaper version first and holds its answer back
+// until the judge has accepted it.
 type cascade struct {
-	// rest is the versions still to be tried after the present one.
-	rest []value.VersionKey
-	// caller is the sink that gets the accepted answer.
-	caller Sink
-	held   *held
+	// remaining holds the versions to try after the current one.
+	remaining []value.VersionKey
+	// callerWriter is the sink of the caller, which gets the accepted answer.
+	callerWriter Sink
+	// buffer is nil while no answer is held back.
+	buffer *answerBuffer
 	// spentMicros is the cost of rejected answers and of verdicts, in micro-units of currency.
 	spentMicros int64
 }
 
-// held is a sink that keeps the answer back.
-type held struct {
-	Held
+// answerBuffer is a sink that holds the answer in memory.
+type answerBuffer struct {
+	HeldAnswer
 }
 
-// Begin notes who answers.
-func (h *held) Begin(head engine.Head, v value.VersionKey) error {
-	h.Head = head
-	h.Version = v
+// Begin stores the head and the version.
+func (b *answerBuffer) Begin(head engine.Head, v value.VersionKey) error {
+	b.Head = head
+	b.Version = v
 	return nil
 }
 
-// Write keeps the piece.
-func (h *held) Write(p engine.Piece) error {
-	h.Pieces = append(h.Pieces, p)
+// Write stores the piece.
+func (b *answerBuffer) Write(p engine.Piece) error {
+	b.Pieces = append(b.Pieces, p)
 	return nil
 }
 
-// End does nothing: the run ends with the caller's sink.
-func (*held) End(engine.Usage) error {
+// End does nothing: the answer is ended at the caller's sink.
+func (*answerBuffer) End(engine.Usage) error {
 	return nil
 }
 
-// open returns the first version to try; where the plan is a cascade, its answer is held back.
-func (r *run) open(p query.Plan) value.VersionKey {
-	if !p.Cascade() || r.flow.Judge == nil {
-		return p.Last()
+// firstVersion returns the first version to try. If the plan is a cascade, the version's answer
+// will be held back.
+func (e *execution) firstVersion(plan query.Plan) value.VersionKey {
+	if !plan.Cascade() || e.flow.Judge == nil {
+		return plan.Last()
 	}
-	r.cascade.rest = p.Versions[1:]
-	r.cascade.caller = r.sink
-	r.cascade.held = new(held)
-	r.sink = r.cascade.held
-	return p.Versions[0]
+	e.cascade.remaining = plan.Versions[1:]
+	e.cascade.callerWriter = e.writer
+	e.cascade.buffer = new(answerBuffer)
+	e.writer = e.cascade.buffer
+	return plan.Versions[0]
 }
 
-// accept asks the judge about an answer that is held back, and hands it to the caller if it passes.
-func (r *run) accept(ctx context.Context, t query.Target, a engine.Answer) error {
-	h := r.cascade.held
-	if h == nil {
+// checkAnswer lets the judge assess an answer that is held back, and writes it to the caller if the
+// judge accepts it. An answer that is not held back needs no check.
+func (e *execution) checkAnswer(ctx context.Context, target query.Target, answer engine.Answer) error {
+	buffer := e.cascade.buffer
+	if buffer == nil {
 		return nil
 	}
-	ok, err := r.judge(ctx, h.Held)
-	r.cascade.spentMicros += r.admitted.Kind.Judge.CostMicros
+	ok, err := e.askJudge(ctx, buffer.HeldAnswer)
+	e.cascade.spentMicros += e.admitted.Kind.Judge.CostMicros
 	if err == nil && ok {
-		r.record(r.decision(value.StepEscalate).WithChoice(t.Version, "", 1, value.ReasonJudgeAccepted))
-		return r.handOver()
+		e.record(e.newDecision(value.StepEscalate).WithChoice(target.Version, "", 1, value.ReasonJudgeAccepted))
+		return e.releaseHeldAnswer()
 	}
-	r.cascade.spentMicros += r.price(t.Version, a.Usage())
+	e.cascade.spentMicros += e.price(target.Version, answer.Usage())
 	if err != nil {
 		return fmt.Errorf("%w: %w", errJudgeFailed, err)
 	}
 	return errRejected
 }
 
-// judge leaves time for the next version where the judge is slow.
-func (r *run) judge(ctx context.Context, h Held) (bool, error) {
-	if latency := r.admitted.Kind.Judge.Latency; latency > 0 {
+// askJudge returns the judge's verdict. It limits the judge's time, so that enough is left for the
+// next version.
+func (e *execution) askJudge(ctx context.Context, answer HeldAnswer) (bool, error) {
+	if latency := e.admitted.Kind.Judge.Latency; latency > 0 {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, judgePatience*latency)
+		ctx, cancel = context.WithTimeout(ctx, judgeTimeoutFactor*latency)
 		defer cancel()
 	}
-	return r.flow.Judge.Judge(ctx, r.job.Request, h)
+	return e.flow.Judge.Judge(ctx, e.job.Request, answer)
 }
 
-// handOver gives the held answer to the caller.
-func (r *run) handOver() error {
-	h := r.cascade.held
-	r.cascade.held = nil
-	r.sink = r.cascade.caller
-	if err := r.sink.Begin(h.Head, h.Version); err != nil {
+// releaseHeldAnswer writes the held answer to the caller.
+func (e *execution) releaseHeldAnswer() error {
+	buffer := e.cascade.buffer
+	e.cascade.buffer = nil
+	e.writer = e.cascade.callerWriter
+	if err := e.writer.Begin(buffer.Head, buffer.Version); err != nil {
 		return err
 	}
-	for _, p := range h.Pieces {
-		if err := r.sink.Write(p); err != nil {
+	for _, p := range buffer.Pieces {
+		if err := e.writer.Write(p); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// escalate goes on to the cascade's next version after any failure of the held step; false leaves the failure as it is.
-func (r *run) escalate(ctx context.Context, t query.Target, cause error) (query.Target, bool) {
-	if r.cascade.held == nil || ctx.Err() != nil {
-		return t, false
+// escalate returns the cascade's next version as the target after any failure of the held step. It
+// returns false if there is no held step or the request has ended; the failure then stands.
+func (e *execution) escalate(ctx context.Context, target query.Target, cause error) (query.Target, bool) {
+	if e.cascade.buffer == nil || ctx.Err() != nil {
+		return target, false
 	}
-	if err := r.life.move(ctx, eventEscalate); err != nil {
-		return t, false
+	if err := e.lifecycle.apply(ctx, eventEscalate); err != nil {
+		return target, false
 	}
-	why := value.ReasonServerFailed
+	reason := value.ReasonServerFailed
 	switch {
 	case errors.Is(cause, errRejected):
-		why = value.ReasonJudgeRejected
+		reason = value.ReasonJudgeRejected
 	case errors.Is(cause, errJudgeFailed):
-		why = value.ReasonJudgeFailed
+		reason = value.ReasonJudgeFailed
 	}
-	t.Version = r.cascade.rest[0]
-	r.cascade.rest = r.cascade.rest[1:]
-	r.record(r.decision(value.StepEscalate).WithChoice(t.Version, "", 1, why).WithCost(r.cascade.spentMicros))
-	// The caller has seen nothing yet, so that the next answer may be streamed and retried as any other.
-	r.cascade.held = nil
-	r.sink = r.cascade.caller
-	r.begun = false
-	r.tried = nil
-	return t, true
+	target.Version = e.cascade.remaining[0]
+	e.cascade.remaining = e.cascade.remaining[1:]
+	e.record(e.newDecision(value.StepEscalate).WithChoice(target.Version, "", 1, reason).WithCost(e.cascade.spentMicros))
+	// Nothing has been written to the caller yet, so the next answer is streamed and retried like
+	// any other.
+	e.cascade.buffer = nil
+	e.writer = e.cascade.callerWriter
+	e.answerStarted = false
+	e.triedServers = nil
+	return target, true
 }
 
-func (r *run) price(k value.VersionKey, u engine.Usage) int64 {
-	v, _ := r.flow.Snapshot().Version(k)
+func (e *execution) price(k value.VersionKey, u engine.Usage) int64 {
+	v, _ := e.flow.Snapshot().Version(k)
 	return v.Cost(u.InputTokens, u.OutputTokens)
 }
--- a/io/flow/cascade_test.go
+++ b/io/flow/cascade_test.go
@@ -22,17 +22,19 @@
 	large = value.VersionKey("drafting-llm/large")
 )
 
-// answer is a scripted answer of one version.
-type answer struct {
+// versionAnswer is the scripted answer of one version.
+type versionAnswer struct {
 	pieces []string
 	err    error
 }
 
-func (a *answer) Head() engine.Head   { return engine.Head{Status: 200} }
-func (a *answer) Usage() engine.Usage { return engine.Usage{InputTokens: 1000, OutputTokens: 1000} }
-func (a *answer) Cancel()             {}
+func (a *versionAnswer) Head() engine.Head { return engine.Head{Status: 200} }
+func (a *versionAnswer) Usage() engine.Usage {
+	return engine.Usage{InputTokens: 1000, OutputTokens: 1000}
+}
+func (a *versionAnswer) Cancel() {}
 
-func (a *answer) Next(context.Context) (engine.Piece, error) {
+func (a *versionAnswer) Next(context.Context) (engine.Piece, error) {
 	if len(a.pieces) == 0 {
 		return engine.Piece{}, a.err
 	}
@@ -41,50 +43,50 @@
 	return p, nil
 }
 
-// engines answers each version by its script and counts the runs.
-type engines struct {
-	scripts map[value.VersionKey]answer
-	runs    map[value.VersionKey]int
+// scriptedEngines gives each version's scripted answer and counts the attempts.
+type scriptedEngines struct {
+	scripts  map[value.VersionKey]versionAnswer
+	attempts map[value.VersionKey]int
 }
 
-func (e *engines) Start(_ context.Context, _ value.BackendServer, c engine.Call) (engine.Answer, error) {
-	e.runs[c.Version]++
+func (e *scriptedEngines) Start(_ context.Context, _ value.BackendServer, c engine.Call) (engine.Answer, error) {
+	e.attempts[c.Version]++
 	a := e.scripts[c.Version]
 	return &a, nil
 }
 
-type judge func(ctx context.Context, a flow.Held) (bool, error)
+type judgeFunc func(ctx context.Context, a flow.HeldAnswer) (bool, error)
 
-func (j judge) Judge(ctx context.Context, _ value.Request, a flow.Held) (bool, error) {
+func (j judgeFunc) Judge(ctx context.Context, _ value.Request, a flow.HeldAnswer) (bool, error) {
 	return j(ctx, a)
 }
 
-// caller is a sink that notes what a caller sees.
-type caller struct {
-	begun   int
+// versionRecorder is a sink that records the version and the text that a caller receives.
+type versionRecorder struct {
+	heads   int
 	version value.VersionKey
 	text    string
 	ended   bool
 }
 
-func (c *caller) Begin(_ engine.Head, v value.VersionKey) error {
-	c.begun++
-	c.version = v
+func (r *versionRecorder) Begin(_ engine.Head, v value.VersionKey) error {
+	r.heads++
+	r.version = v
 	return nil
 }
 
-func (c *caller) Write(p engine.Piece) error {
-	c.text += string(p.Data)
+func (r *versionRecorder) Write(p engine.Piece) error {
+	r.text += string(p.Data)
 	return nil
 }
 
-func (c *caller) End(engine.Usage) error {
-	c.ended = true
+func (r *versionRecorder) End(engine.Usage) error {
+	r.ended = true
 	return nil
 }
 
 func cascadeState() state.State {
-	d := value.Document{
+	document := value.Document{
 		ClientAccounts: []value.ClientAccount{{Name: "ward-12", Versions: []value.VersionKey{small, large}, Kinds: []value.KindName{"draft"}}},
 		Models: []value.Model{{Name: "drafting-llm", Versions: []value.Version{
 			{Name: "small", InputMicros: 100, OutputMicros: 300, Quality: 0.8},
@@ -96,7 +98,7 @@
 		}},
 		RollOuts: []value.RollOut{{Name: "large", Model: "drafting-llm", From: "old", To: "large", CostAbove: 1, MaxCostlyRate: 0.5, Stages: []value.Stage{{Percent: 100}}}},
 	}
-	s, _ := cmds.InstallConfig{Accepted: value.Accepted{Document: d, Revision: 1}}.Apply(state.New(value.Instance{ID: "a"}), time.Time{})
+	s, _ := cmds.InstallConfig{Accepted: value.Accepted{Document: document, Revision: 1}}.Apply(state.New(value.Instance{ID: "a"}), time.Time{})
 	s = s.WithProgress(value.Progress{Name: "large", Version: large, Phase: value.PhaseDone, Epoch: 1})
 	return s.
 		WithServer(value.BackendServer{ID: "s1", State: value.ServerLive, Versions: []value.VersionKey{small}}).
@@ -104,66 +106,66 @@
 }
 
 type outcome struct {
-	caller  caller
-	engines *engines
+	caller  versionRecorder
+	engines *scriptedEngines
 	result  flow.Result
 	flow    *flow.Flow
 	err     error
 }
 
-func serve(t *testing.T, first answer, j flow.Judge) outcome {
+func serveCascade(t *testing.T, first versionAnswer, j flow.Judge) outcome {
 	t.Helper()
-	e := &engines{runs: make(map[value.VersionKey]int), scripts: map[value.VersionKey]answer{
+	engines := &scriptedEngines{attempts: make(map[value.VersionKey]int), scripts: map[value.VersionKey]versionAnswer{
 		small: first, large: {pieces: []string{"dear ", "answer"}, err: io.EOF},
 	}}
 	s := cascadeState()
 	f, err := flow.New(flow.Config{
-		Snapshot: func() state.State { return s }, Runner: e, Biller: &bills{}, Guard: &guard{},
+		Snapshot: func() state.State { return s }, Runner: engines, Biller: &memoryBiller{}, Guard: &memoryGuard{},
 		Judge: j, Record: func(value.Decision) {}, Now: time.Now,
 	})
 	assert.NilError(t, err)
-	o := outcome{engines: e, flow: f}
+	o := outcome{engines: engines, flow: f}
 	r := value.Request{ID: "r1", Account: "ward-12", Kind: "draft", InputTokens: 1000, MaxTokens: 1000, Deadline: time.Now().Add(time.Minute)}
 	o.result, o.err = f.Serve(context.Background(), flow.Job{Request: r}, &o.caller)
 	return o
 }
 
-func says(ok bool, err error) judge {
-	return func(context.Context, flow.Held) (bool, error) { return ok, err }
+func returnVerdict(ok bool, err error) judgeFunc {
+	return func(context.Context, flow.HeldAnswer) (bool, error) { return ok, err }
 }
 
-var cheap = answer{pieces: []string{"cheap ", "answer"}, err: io.EOF}
+var cheapAnswer = versionAnswer{pieces: []string{"cheap ", "answer"}, err: io.EOF}
 
-func TestAcceptedAnswerStopsTheCascade(t *testing.T) {
-	o := serve(t, cheap, judge(func(_ context.Context, a flow.Held) (bool, error) {
+func TestAcceptedAnswerEndsTheCascade(t *testing.T) {
+	o := serveCascade(t, cheapAnswer, judgeFunc(func(_ context.Context, a flow.HeldAnswer) (bool, error) {
 		return len(a.Pieces) == 2 && a.Version == small, nil
 	}))
 	assert.NilError(t, o.err)
-	assert.Equal(t, o.caller, caller{begun: 1, version: small, text: "cheap answer", ended: true})
-	assert.Equal(t, o.engines.runs[large], 0)
+	assert.Equal(t, o.caller, versionRecorder{heads: 1, version: small, text: "cheap answer", ended: true})
+	assert.Equal(t, o.engines.attempts[large], 0)
 	assert.Equal(t, o.result.Bill.CostMicros, int64(450))
 }
 
-func TestCallerSeesOneAnswerAfterEscalation(t *testing.T) {
+func TestCallerGetsOnlyTheSecondAnswerAfterEscalation(t *testing.T) {
 	cases := map[string]struct {
-		first answer
-		judge judge
+		first versionAnswer
+		judge judgeFunc
 		cost  int64
 	}{
-		"rejected":     {first: cheap, judge: says(false, nil), cost: 4450},
-		"judge failed": {first: cheap, judge: says(true, errors.New("away")), cost: 4450},
-		"judge hangs": {first: cheap, cost: 4450, judge: func(ctx context.Context, _ flow.Held) (bool, error) {
+		"judge rejects the answer": {first: cheapAnswer, judge: returnVerdict(false, nil), cost: 4450},
+		"judge fails":              {first: cheapAnswer, judge: returnVerdict(true, errors.New("judge unreachable")), cost: 4450},
+		"judge hangs": {first: cheapAnswer, cost: 4450, judge: func(ctx context.Context, _ flow.HeldAnswer) (bool, error) {
 			<-ctx.Done()
 			return true, ctx.Err()
 		}},
-		"cut off": {first: answer{pieces: []string{"half"}, err: engine.ErrCutOff}, judge: says(true, nil), cost: 4000},
+		"first answer is cut off": {first: versionAnswer{pieces: []string{"half"}, err: engine.ErrCutOff}, judge: returnVerdict(true, nil), cost: 4000},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				o := serve(t, c.first, c.judge)
+				o := serveCascade(t, c.first, c.judge)
 				assert.NilError(t, o.err)
-				assert.Equal(t, o.caller, caller{begun: 1, version: large, text: "dear answer", ended: true})
+				assert.Equal(t, o.caller, versionRecorder{heads: 1, version: large, text: "dear answer", ended: true})
 				assert.Equal(t, o.result.Bill.CostMicros, c.cost)
 				assert.Equal(t, o.result.Bill.Runs, 2)
 			})
@@ -171,15 +173,15 @@
 	}
 }
 
-func TestNoJudgeNoCascade(t *testing.T) {
-	o := serve(t, cheap, nil)
+func TestWithoutAJudgeNoCascadeIsTried(t *testing.T) {
+	o := serveCascade(t, cheapAnswer, nil)
 	assert.NilError(t, o.err)
 	assert.Equal(t, o.caller.version, large)
-	assert.Equal(t, o.engines.runs[small], 0)
+	assert.Equal(t, o.engines.attempts[small], 0)
 }
 
-func TestRunsOfANewVersionAreCountedOnce(t *testing.T) {
-	o := serve(t, cheap, says(false, nil))
+func TestAttemptsOfARolledOutVersionAreCountedOnce(t *testing.T) {
+	o := serveCascade(t, cheapAnswer, returnVerdict(false, nil))
 	assert.DeepEqual(t, o.flow.Drain(), []value.Runs{{Version: large, Total: 1, Costly: 1}})
 	assert.Equal(t, len(o.flow.Drain()), 0)
 }
--- a/io/flow/current.go
+++ b/io/flow/current.go
@@ -7,26 +7,28 @@
 	"endivehitch/core/value"
 )
 
-// errRetired ends the wait of a request whose version was withdrawn meanwhile.
-var errRetired = value.Refusal{Reason: value.ReasonVersionRetired, Detail: "version was withdrawn while the request waited"}
+// errWithdrawn ends the wait of a request whose version was withdrawn in the meantime.
+var errWithdrawn = value.Refusal{Reason: value.ReasonVersionRetired, Detail: "version was withdrawn while the request waited"}
 
-// retired reports whether the request has to be planned anew, because its version was withdrawn.
-func retired(err error) bool {
+// isWithdrawn reports whether the error says that the version was withdrawn, so that the request
+// needs another one.
+func isWithdrawn(err error) bool {
 	var refusal value.Refusal
 	return errors.As(err, &refusal) && refusal.Reason == value.ReasonVersionRetired
 }
 
-// current returns the target, or another one if its version was withdrawn since the request was planned.
-func (r *run) current(t query.Target) (query.Target, error) {
-	s := r.flow.Snapshot()
-	if !query.Retired(s, t) {
-		return t, nil
+// currentTarget returns the target, with another version if its own was withdrawn since the request
+// was planned.
+func (e *execution) currentTarget(target query.Target) (query.Target, error) {
+	s := e.flow.Snapshot()
+	if !query.Retired(s, target) {
+		return target, nil
 	}
-	plan, err := query.Choose(s, r.admitted, r.job.Request, r.flow.Now())
+	plan, err := query.Choose(s, e.admitted, e.job.Request, e.flow.Now())
 	if err != nil {
-		return t, err
+		return target, err
 	}
-	t.Version = plan.Last()
-	r.record(r.decision(value.StepPlan).WithChoice(t.Version, "", plan.Candidates, value.ReasonVersionRetired).WithCost(plan.CostMicros))
-	return t, nil
+	target.Version = plan.Last()
+	e.record(e.newDecision(value.StepPlan).WithChoice(target.Version, "", plan.Candidates, value.ReasonVersionRetired).WithCost(plan.CostMicros))
+	return target, nil
 }
--- a/io/flow/fault_test.go
+++ b/io/flow/fault_test.go
@@ -17,76 +17,77 @@
 )
 
 var (
-	errReset = errors.New("connection reset")
-	good     = act{pieces: []string{"dear ", "answer"}}
+	errReset       = errors.New("connection reset")
+	completeScript = script{pieces: []string{"dear ", "answer"}}
 )
 
-func TestEveryFailureEndsTruly(t *testing.T) {
-	notSent := act{refuse: engine.ErrNotSent}
-	reset := act{refuse: errReset}
+func TestEachFailureIsReportedCorrectly(t *testing.T) {
+	notSent := script{startErr: engine.ErrNotSent}
+	reset := script{startErr: errReset}
 	cases := map[string]struct {
-		kind    value.Kind
-		first   act
-		others  act
-		sink    seen
-		billing error
-		text    string
-		reason  value.Reason
-		notRun  bool
-		runs    int
-		bills   int
-		settled string
+		kind     value.Kind
+		first    script
+		later    script
+		writer   recordingWriter
+		billErr  error
+		text     string
+		reason   value.Reason
+		notRun   bool
+		attempts int
+		bills    int
+		settled  string
 	}{
-		"whole answer":                       {kind: spelling, first: good, text: "dear answer", runs: 1, bills: 1},
-		"nothing sent, then whole":           {kind: spelling, first: notSent, others: good, text: "dear answer", runs: 2, bills: 1},
-		"nothing sent anywhere":              {kind: spelling, first: notSent, others: notSent, reason: value.ReasonBackend, notRun: true, runs: 2},
-		"lost after sending, then whole":     {kind: spelling, first: reset, others: good, text: "dear answer", runs: 2, bills: 1},
-		"lost everywhere":                    {kind: spelling, first: reset, others: reset, reason: value.ReasonBackend, runs: 2},
-		"connection ends before the head":    {kind: spelling, first: act{refuse: fmt.Errorf("call: %w", io.EOF)}, others: good, text: "dear answer", runs: 2, bills: 1},
-		"connection ends before a piece":     {kind: spelling, first: act{end: errors.Join(engine.ErrCutOff, io.EOF)}, others: good, text: "dear answer", runs: 2, bills: 1},
-		"connection ends after a piece":      {kind: spelling, first: act{pieces: []string{"dear "}, end: errors.Join(engine.ErrCutOff, io.EOF)}, text: "dear ", reason: value.ReasonBackend, runs: 1},
-		"once: connection ends":              {kind: reorder, first: act{refuse: fmt.Errorf("call: %w", io.EOF)}, others: good, reason: value.ReasonBackend, runs: 1, settled: "Doubt"},
-		"cut before the first piece":         {kind: spelling, first: act{end: engine.ErrCutOff}, others: good, text: "dear answer", runs: 2, bills: 1},
-		"cut after the first piece":          {kind: spelling, first: act{pieces: []string{"dear "}, end: engine.ErrCutOff}, others: good, text: "dear ", reason: value.ReasonBackend, runs: 1},
-		"stalls before the first piece":      {kind: spelling, first: act{head: time.Hour}, reason: value.ReasonDeadline, runs: 1},
-		"stalls after the first piece":       {kind: spelling, first: act{pieces: []string{"dear ", "x"}, every: 40 * time.Second}, text: "dear ", reason: value.ReasonDeadline, runs: 1},
-		"answers another request":            {kind: spelling, first: act{refuse: engine.ErrMismatch}, others: good, text: "dear answer", runs: 2, bills: 1},
-		"request at fault":                   {kind: spelling, first: act{refuse: engine.BadStatus{Status: 400}}, others: good, reason: value.ReasonBadRequest, runs: 1},
-		"server times out inside":            {kind: spelling, first: act{refuse: context.DeadlineExceeded}, others: act{refuse: context.DeadlineExceeded}, reason: value.ReasonBackend, runs: 2},
-		"bill can't be kept":                 {kind: spelling, first: good, billing: errReset, text: "dear answer", reason: value.ReasonBackend, runs: 1},
-		"caller's connection breaks":         {kind: spelling, first: good, sink: seen{fail: errReset}, text: "dear ", reason: value.ReasonBackend, runs: 1},
-		"once: whole answer":                 {kind: reorder, first: good, text: "dear answer", runs: 1, bills: 1, settled: "Finish dear \nanswer"},
-		"once: nothing sent, then whole":     {kind: reorder, first: notSent, others: good, text: "dear answer", runs: 2, bills: 1, settled: "Finish dear \nanswer"},
-		"once: nothing sent anywhere":        {kind: reorder, first: notSent, others: notSent, reason: value.ReasonBackend, notRun: true, runs: 2, settled: "Release"},
-		"once: lost after sending":           {kind: reorder, first: reset, others: good, reason: value.ReasonBackend, runs: 1, settled: "Doubt"},
-		"once: cut":                          {kind: reorder, first: act{pieces: []string{"dear "}, end: engine.ErrCutOff}, others: good, text: "dear ", reason: value.ReasonBackend, runs: 1, settled: "Doubt"},
-		"once: bill can't be kept":           {kind: reorder, first: good, billing: errReset, text: "dear answer", reason: value.ReasonBackend, runs: 1, settled: "Doubt"},
-		"once: caller's connection breaks":   {kind: reorder, first: good, sink: seen{fail: errReset}, text: "dear ", reason: value.ReasonBackend, runs: 1, bills: 1, settled: "Finish dear \nanswer"},
-		"once: stalls":                       {kind: reorder, first: act{head: time.Hour}, reason: value.ReasonDeadline, runs: 1, settled: "Doubt"},
-		"shared: cut after the first piece":  {kind: shared, first: act{pieces: []string{"dear "}, end: engine.ErrCutOff}, others: good, text: "dear ", reason: value.ReasonBackend, runs: 1},
-		"shared: nothing sent anywhere":      {kind: shared, first: notSent, others: notSent, reason: value.ReasonBackend, notRun: true, runs: 2},
-		"shared: lost after sending, whole ": {kind: shared, first: reset, others: good, text: "dear answer", runs: 2, bills: 1},
+		"complete answer is delivered and billed":                  {kind: spelling, first: completeScript, text: "dear answer", attempts: 1, bills: 1},
+		"not sent, retry succeeds":                                 {kind: spelling, first: notSent, later: completeScript, text: "dear answer", attempts: 2, bills: 1},
+		"not sent to any server":                                   {kind: spelling, first: notSent, later: notSent, reason: value.ReasonBackend, notRun: true, attempts: 2},
+		"connection reset after sending, retry succeeds":           {kind: spelling, first: reset, later: completeScript, text: "dear answer", attempts: 2, bills: 1},
+		"connection reset at every server":                         {kind: spelling, first: reset, later: reset, reason: value.ReasonBackend, attempts: 2},
+		"connection closed before the head, retry succeeds":        {kind: spelling, first: script{startErr: fmt.Errorf("call: %w", io.EOF)}, later: completeScript, text: "dear answer", attempts: 2, bills: 1},
+		"connection closed before the first piece, retry succeeds": {kind: spelling, first: script{endErr: errors.Join(engine.ErrCutOff, io.EOF)}, later: completeScript, text: "dear answer", attempts: 2, bills: 1},
+		"connection closed after a piece, not retried":             {kind: spelling, first: script{pieces: []string{"dear "}, endErr: errors.Join(engine.ErrCutOff, io.EOF)}, text: "dear ", reason: value.ReasonBackend, attempts: 1},
+		"once: connection closed, not retried":                     {kind: reorder, first: script{startErr: fmt.Errorf("call: %w", io.EOF)}, later: completeScript, reason: value.ReasonBackend, attempts: 1, settled: "Doubt"},
+		"cut off before the first piece, retry succeeds":           {kind: spelling, first: script{endErr: engine.ErrCutOff}, later: completeScript, text: "dear answer", attempts: 2, bills: 1},
+		"cut off after the first piece, not retried":               {kind: spelling, first: script{pieces: []string{"dear "}, endErr: engine.ErrCutOff}, later: completeScript, text: "dear ", reason: value.ReasonBackend, attempts: 1},
+		"stalled before the first piece until the deadline":        {kind: spelling, first: script{headDelay: time.Hour}, reason: value.ReasonDeadline, attempts: 1},
+		"stalled after the first piece until the deadline":         {kind: spelling, first: script{pieces: []string{"dear ", "x"}, pieceInterval: 40 * time.Second}, text: "dear ", reason: value.ReasonDeadline, attempts: 1},
+		"answer to another request, retry succeeds":                {kind: spelling, first: script{startErr: engine.ErrMismatch}, later: completeScript, text: "dear answer", attempts: 2, bills: 1},
+		"faulty request is not retried":                            {kind: spelling, first: script{startErr: engine.BadStatus{Status: 400}}, later: completeScript, reason: value.ReasonBadRequest, attempts: 1},
+		"time-out within the server is not the deadline":           {kind: spelling, first: script{startErr: context.DeadlineExceeded}, later: script{startErr: context.DeadlineExceeded}, reason: value.ReasonBackend, attempts: 2},
+		"bill cannot be stored":                                    {kind: spelling, first: completeScript, billErr: errReset, text: "dear answer", reason: value.ReasonBackend, attempts: 1},
+		"write to the caller fails":                                {kind: spelling, first: completeScript, writer: recordingWriter{writeErr: errReset}, text: "dear ", reason: value.ReasonBackend, attempts: 1},
+		"once: complete answer is stored":                          {kind: reorder, first: completeScript, text: "dear answer", attempts: 1, bills: 1, settled: "Finish dear \nanswer"},
+		"once: not sent, retry succeeds":                           {kind: reorder, first: notSent, later: completeScript, text: "dear answer", attempts: 2, bills: 1, settled: "Finish dear \nanswer"},
+		"once: not sent to any server, claim released":             {kind: reorder, first: notSent, later: notSent, reason: value.ReasonBackend, notRun: true, attempts: 2, settled: "Release"},
+		"once: connection reset after sending, not retried":        {kind: reorder, first: reset, later: completeScript, reason: value.ReasonBackend, attempts: 1, settled: "Doubt"},
+		"once: cut off after a piece, not retried":                 {kind: reorder, first: script{pieces: []string{"dear "}, endErr: engine.ErrCutOff}, later: completeScript, text: "dear ", reason: value.ReasonBackend, attempts: 1, settled: "Doubt"},
+		"once: bill cannot be stored, outcome in doubt":            {kind: reorder, first: completeScript, billErr: errReset, text: "dear answer", reason: value.ReasonBackend, attempts: 1, settled: "Doubt"},
+		"once: write to the caller fails, answer is stored":        {kind: reorder, first: completeScript, writer: recordingWriter{writeErr: errReset}, text: "dear ", reason: value.ReasonBackend, attempts: 1, bills: 1, settled: "Finish dear \nanswer"},
+		"once: stalled until the deadline, outcome in doubt":       {kind: reorder, first: script{headDelay: time.Hour}, reason: value.ReasonDeadline, attempts: 1, settled: "Doubt"},
+		"shared: cut off after the first piece, not retried":       {kind: shared, first: script{pieces: []string{"dear "}, endErr: engine.ErrCutOff}, later: completeScript, text: "dear ", reason: value.ReasonBackend, attempts: 1},
+		"shared: not sent to any server":                           {kind: shared, first: notSent, later: notSent, reason: value.ReasonBackend, notRun: true, attempts: 2},
+		"shared: connection reset after sending, retry succeeds":   {kind: shared, first: reset, later: completeScript, text: "dear answer", attempts: 2, bills: 1},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				// Whichever server comes first, its first run goes by the first script.
-				g := newRig(t, ward(c.kind), nil)
-				g.acts = map[value.ServerID][]act{"s1": {c.first}, "s2": {c.first}}
-				g.control = withServers(g.control, "s1", "s2")
-				g.others = c.others
-				g.billing = c.billing
-				_, err := g.flow.Serve(t.Context(), job("r1", c.kind), &c.sink)
+				// Both servers have the first script, so that the first attempt follows it at
+				// either one.
+				h := newHarness(t, newDocument(c.kind), nil)
+				h.scripts = map[value.ServerID][]script{"s1": {c.first}, "s2": {c.first}}
+				h.control = withServers(h.control, "s1", "s2")
+				h.laterAttempts = c.later
+				h.billErr = c.billErr
+				_, err := h.flow.Serve(t.Context(), newJob("r1", c.kind), &c.writer)
 				synctest.Wait()
 				assert.Equal(t, reasonOf(err), c.reason)
 				assert.Equal(t, notRun(err), c.notRun)
-				assert.Equal(t, c.sink.text, c.text)
-				assert.Equal(t, c.sink.ended, err == nil)
-				assert.Equal(t, g.runs["s1"]+g.runs["s2"], c.runs)
-				assert.Equal(t, len(g.bills), c.bills)
-				assert.Equal(t, strings.Join(g.settled, ","), c.settled)
-				assert.Equal(t, g.running, 0)
-				assert.Equal(t, g.inFlight(), 0)
+				assert.Equal(t, c.writer.text, c.text)
+				assert.Equal(t, c.writer.ended, err == nil)
+				assert.Equal(t, h.attempts["s1"]+h.attempts["s2"], c.attempts)
+				assert.Equal(t, len(h.bills), c.bills)
+				assert.Equal(t, strings.Join(h.settled, ","), c.settled)
+				assert.Equal(t, h.running, 0)
+				assert.Equal(t, h.inFlight(), 0)
 			})
 		})
 	}
@@ -105,88 +106,88 @@
 	return errors.As(err, &refusal) && refusal.NotRun
 }
 
-func TestPanicOfTheSinkLeavesNothingBehind(t *testing.T) {
+func TestPanicInTheResponseWriterReleasesSlotAndClaim(t *testing.T) {
 	for _, k := range []value.Kind{spelling, reorder, shared} {
 		synctest.Test(t, func(t *testing.T) {
-			g := newRig(t, ward(k), map[value.ServerID][]act{"s1": {good}})
+			h := newHarness(t, newDocument(k), map[value.ServerID][]script{"s1": {completeScript}})
 			func() {
 				defer func() { assert.Equal(t, recover(), "sink") }()
-				_, _ = g.flow.Serve(t.Context(), job("r1", k), &seen{panic: true})
+				_, _ = h.flow.Serve(t.Context(), newJob("r1", k), &recordingWriter{panics: true})
 			}()
 			synctest.Wait()
-			assert.Equal(t, g.running, 0)
-			assert.Equal(t, g.inFlight(), 0)
-			assert.Equal(t, len(g.settled) == 1, !k.Idempotent)
-			_, err := g.flow.Serve(t.Context(), job("r2", k), &seen{})
-			assert.NilError(t, err, "the only place must be free again")
+			assert.Equal(t, h.running, 0)
+			assert.Equal(t, h.inFlight(), 0)
+			assert.Equal(t, len(h.settled) == 1, !k.Idempotent)
+			_, err := h.flow.Serve(t.Context(), newJob("r2", k), &recordingWriter{})
+			assert.NilError(t, err, "the only slot must be released")
 		})
 	}
 }
 
-func TestRunUnderAClaimOutlivesItsCaller(t *testing.T) {
+func TestRequestUnderAClaimCompletesAfterItsCallerLeaves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := newRig(t, ward(reorder), map[value.ServerID][]act{"s1": {{head: 2 * time.Second, pieces: []string{"done"}}}})
+		h := newHarness(t, newDocument(reorder), map[value.ServerID][]script{"s1": {{headDelay: 2 * time.Second, pieces: []string{"done"}}}})
 		ctx, leave := context.WithTimeout(t.Context(), time.Second)
 		defer leave()
-		_, _ = g.flow.Serve(ctx, job("r1", reorder), &seen{})
-		assert.DeepEqual(t, g.settled, []string{"Finish done"})
-		assert.Equal(t, len(g.bills), 1)
+		_, _ = h.flow.Serve(ctx, newJob("r1", reorder), &recordingWriter{})
+		assert.DeepEqual(t, h.settled, []string{"Finish done"})
+		assert.Equal(t, len(h.bills), 1)
 	})
 }
 
-func TestLateLoserOfAHedgeIsNeverSeen(t *testing.T) {
+func TestSlowerAttemptOfAHedgeIsCancelledAndNotDelivered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		quick := act{head: 10 * time.Millisecond, pieces: []string{"quick"}}
-		slow := act{head: 10 * time.Second, pieces: []string{"slow"}}
-		g := newRig(t, ward(spelling), map[value.ServerID][]act{"s1": {quick}, "s2": {quick}})
+		quick := script{headDelay: 10 * time.Millisecond, pieces: []string{"quick"}}
+		slow := script{headDelay: 10 * time.Second, pieces: []string{"slow"}}
+		h := newHarness(t, newDocument(spelling), map[value.ServerID][]script{"s1": {quick}, "s2": {quick}})
 		for range 60 {
-			_, err := g.flow.Serve(t.Context(), job("r", spelling), &seen{})
+			_, err := h.flow.Serve(t.Context(), newJob("r", spelling), &recordingWriter{})
 			assert.NilError(t, err)
 		}
-		// The next run stalls, wherever it goes.
-		g.others = quick
-		g.acts = map[value.ServerID][]act{"s1": {slow}, "s2": {slow}}
-		g.runs = make(map[value.ServerID]int)
-		began := time.Now()
-		caller := &seen{}
-		result, err := g.flow.Serve(t.Context(), job("late", spelling), caller)
+		// The first attempt of the next request is slow at either server; the hedged one is quick.
+		h.laterAttempts = quick
+		h.scripts = map[value.ServerID][]script{"s1": {slow}, "s2": {slow}}
+		h.attempts = make(map[value.ServerID]int)
+		start := time.Now()
+		caller := &recordingWriter{}
+		result, err := h.flow.Serve(t.Context(), newJob("late", spelling), caller)
 		assert.NilError(t, err)
 		assert.Equal(t, caller.text, "quick")
 		assert.Equal(t, result.Bill.Runs, 2)
-		assert.Assert(t, time.Since(began) < time.Second)
+		assert.Assert(t, time.Since(start) < time.Second)
 		synctest.Wait()
-		assert.Equal(t, g.running, 0, "the loser must be cancelled")
-		assert.Equal(t, g.inFlight(), 0)
-		assert.Equal(t, len(g.bills), 61)
+		assert.Equal(t, h.running, 0, "the slower attempt must be cancelled")
+		assert.Equal(t, h.inFlight(), 0)
+		assert.Equal(t, len(h.bills), 61)
 	})
 }
 
-func TestWhatMustRunOnceIsNeverHedged(t *testing.T) {
+func TestNonIdempotentRequestIsNeverHedged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		quick := act{head: 10 * time.Millisecond, pieces: []string{"x"}}
-		g := newRig(t, ward(reorder), map[value.ServerID][]act{"s1": {quick}, "s2": {quick}})
+		quick := script{headDelay: 10 * time.Millisecond, pieces: []string{"x"}}
+		h := newHarness(t, newDocument(reorder), map[value.ServerID][]script{"s1": {quick}, "s2": {quick}})
 		for range 60 {
-			_, err := g.flow.Serve(t.Context(), job("r", reorder), &seen{})
+			_, err := h.flow.Serve(t.Context(), newJob("r", reorder), &recordingWriter{})
 			assert.NilError(t, err)
 		}
-		g.acts = map[value.ServerID][]act{"s1": {{head: 10 * time.Second, pieces: []string{"x"}}}, "s2": {{head: 10 * time.Second, pieces: []string{"x"}}}}
-		g.runs = make(map[value.ServerID]int)
-		_, err := g.flow.Serve(t.Context(), job("late", reorder), &seen{})
+		h.scripts = map[value.ServerID][]script{"s1": {{headDelay: 10 * time.Second, pieces: []string{"x"}}}, "s2": {{headDelay: 10 * time.Second, pieces: []string{"x"}}}}
+		h.attempts = make(map[value.ServerID]int)
+		_, err := h.flow.Serve(t.Context(), newJob("late", reorder), &recordingWriter{})
 		assert.NilError(t, err)
-		assert.Equal(t, g.runs["s1"]+g.runs["s2"], 1)
+		assert.Equal(t, h.attempts["s1"]+h.attempts["s2"], 1)
 	})
 }
 
-func TestRetriesStayInsideTheirBudget(t *testing.T) {
+func TestRetriesStayWithinTheirBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		down := []act{{refuse: errReset}}
-		g := newRig(t, ward(spelling), map[value.ServerID][]act{"s1": down, "s2": down, "s3": down})
-		const firsts = 400
-		for range firsts {
-			_, _ = g.flow.Serve(t.Context(), job("r", spelling), &seen{})
+		down := []script{{startErr: errReset}}
+		h := newHarness(t, newDocument(spelling), map[value.ServerID][]script{"s1": down, "s2": down, "s3": down})
+		const requests = 400
+		for range requests {
+			_, _ = h.flow.Serve(t.Context(), newJob("r", spelling), &recordingWriter{})
 		}
-		runs := g.runs["s1"] + g.runs["s2"] + g.runs["s3"]
-		assert.Assert(t, runs > firsts, "some retries must be made")
-		assert.Assert(t, runs <= firsts+firsts/10+10, "%d runs", runs)
+		attempts := h.attempts["s1"] + h.attempts["s2"] + h.attempts["s3"]
+		assert.Assert(t, attempts > requests, "some requests must be retried")
+		assert.Assert(t, attempts <= requests+requests/10+10, "%d attempts", attempts)
 	})
 }
--- a/io/flow/flow.go
+++ b/io/flow/flow.go
@@ -10,71 +10,73 @@
 	"endivehitch/io/engine"
 )
 
-// Config sets up a Flow.
+// Config holds the dependencies and settings of a Flow.
 type Config struct {
-	// Snapshot returns the control state of the moment.
+	// Snapshot returns the current control state.
 	Snapshot func() state.State
 	Runner   engine.Runner
 	Biller   Biller
 	Guard    Guard
-	// Judge assesses answers of cascades; without one no cascade is run.
+	// Judge assesses the answers of cascades; without it, no cascade is tried.
 	Judge Judge
-	// Record takes each decision; it must not block.
+	// Record is called for each decision; it must not block.
 	Record func(value.Decision)
 	Now    func() time.Time
-	// Seed makes the choices of an instance differ from those of others.
+	// Seed makes the random choices of an instance differ from those of the others.
 	Seed uint64
 }
 
-// Flow serves requests.
+// Flow serves the requests of one instance; its methods may be called concurrently.
 type Flow struct {
 	Config
-	board   *Board
-	past    *past
-	gate    *gate
-	flights *flights
-	tally   tally
+	loads    *ServerLoads
+	stats    *trafficStats
+	slots    *slotAllocator
+	shared   *sharedExecutions
+	counters attemptCounters
 }
 
-// New returns a flow, or an error that names what the configuration lacks.
-func New(c Config) (*Flow, error) {
+// New returns a flow, or an error that names the missing part of the configuration.
+func New(config Config) (*Flow, error) {
 	switch {
-	case c.Snapshot == nil:
-		return nil, errors.New("flow: no snapshot")
-	case c.Runner == nil:
-		return nil, errors.New("flow: no runner")
-	case c.Biller == nil:
-		return nil, errors.New("flow: no biller")
-	case c.Guard == nil:
-		return nil, errors.New("flow: no guard")
-	case c.Record == nil:
-		return nil, errors.New("flow: no record")
-	case c.Now == nil:
-		return nil, errors.New("flow: no clock")
+	case config.Snapshot == nil:
+		return nil, errors.New("flow: Config.Snapshot is not set")
+	case config.Runner == nil:
+		return nil, errors.New("flow: Config.Runner is not set")
+	case config.Biller == nil:
+		return nil, errors.New("flow: Config.Biller is not set")
+	case config.Guard == nil:
+		return nil, errors.New("flow: Config.Guard is not set")
+	case config.Record == nil:
+		return nil, errors.New("flow: Config.Record is not set")
+	case config.Now == nil:
+		return nil, errors.New("flow: Config.Now is not set")
 	}
-	f := &Flow{Config: c, board: NewBoard(), past: new(past), flights: newFlights()}
-	f.gate = &gate{flow: f}
+	f := &Flow{Config: config, loads: NewServerLoads(), stats: new(trafficStats), shared: newSharedExecutions()}
+	f.slots = &slotAllocator{flow: f}
 	return f, nil
 }
 
-// Board returns what the flow's traffic has observed of backend servers.
-func (f *Flow) Board() *Board {
-	return f.board
+// ServerLoads returns the loads of the backend servers as this instance knows them.
+func (f *Flow) ServerLoads() *ServerLoads {
+	return f.loads
 }
 
-// Kick lets waiting requests look for a place again; it is called when servers have come or gone.
-func (f *Flow) Kick() {
-	if f.gate.waiting.Load() > 0 {
-		f.gate.serve(f.gate.anywhere)
+// RetryWaiting tries again to get slots for the waiting requests. It is called for each new control
+// state and when an ejection ends.
+func (f *Flow) RetryWaiting() {
+	if f.slots.waiting.Load() > 0 {
+		f.slots.grantWaiting(f.slots.tryAnyServer)
 	}
 }
 
-// Follow forgets servers that have gone and calls Kick for each new control state, until the context ends.
+// Follow drops the loads of removed servers and calls RetryWaiting for each new control state,
+// until the context ends.
 func (f *Flow) Follow(ctx context.Context, watch func() (state.State, <-chan struct{})) {
 	for {
 		s, changed := watch()
-		f.board.Prune(s.Servers())
-		f.Kick()
+		f.loads.Prune(s.Servers())
+		f.RetryWaiting()
 		select {
 		case <-changed:
 		case <-ctx.Done():
@@ -83,19 +85,19 @@
 	}
 }
 
-// Waiting returns how many requests wait for a place.
+// Waiting returns how many requests wait for a slot.
 func (f *Flow) Waiting() int {
-	return int(f.gate.waiting.Load())
+	return int(f.slots.waiting.Load())
 }
 
-// Serve carries the request to a whole answer in the sink; the error is a value.Refusal.
+// Serve answers the request and writes the answer to the sink; the error is a value.Refusal.
 func (f *Flow) Serve(ctx context.Context, j Job, sink Sink) (Result, error) {
 	ctx, cancel := context.WithDeadline(ctx, j.Request.Deadline)
 	defer cancel()
-	r := newRun(f, j, sink)
-	result, err := r.serve(ctx)
+	e := newExecution(f, j, sink)
+	result, err := e.serve(ctx)
 	if err != nil {
-		return Result{}, r.refused(ctx, err)
+		return Result{}, e.refuse(ctx, err)
 	}
 	return result, nil
 }
--- a/io/flow/gate.go
+++ b/io/flow/gate.go
@@ -13,161 +13,168 @@
 	"endivehitch/core/value"
 )
 
-// gate hands out places at backend servers; requests that find none wait in a bounded, fair queue.
+// slotAllocator allocates slots at backend servers; requests that get none wait in a bounded fair
+// queue.
 //
-// Its lock is taken only by requests that wait and by those that may serve them.
-type gate struct {
+// Its lock is taken only by requests that wait and by those that may grant them a slot.
+type slotAllocator struct {
 	flow    *Flow
 	mu      sync.Mutex
 	queue   policy.Fair[value.AccountName, query.Lane, *waiter]
 	waiting atomic.Int64
 }
 
-// quest is a request in search of a place.
-type quest struct {
+// pendingAcquisition describes a request that needs a slot.
+type pendingAcquisition struct {
 	request  value.Request
 	admitted query.Admitted
 	target   query.Target
-	length   query.Length
+	estimate query.Length
 	rnd      *rand.Rand
 }
 
-// grant ends a wait: with a place or an error.
+// grant is the result of a wait: a slot or an error.
 type grant struct {
-	place *place
-	err   error
+	slot *serverSlot
+	err  error
 }
 
 type waiter struct {
-	quest
+	pendingAcquisition
 	granted chan grant
 }
 
-// acquire returns a place at a backend server, at once or after a wait.
-func (g *gate) acquire(ctx context.Context, q quest) (*place, error) {
-	if g.waiting.Load() == 0 {
-		p, err := g.try(q)
-		if !crowded(err) {
-			return p, err
+// acquire returns a slot at a backend server, at once or after a wait.
+func (a *slotAllocator) acquire(ctx context.Context, pending pendingAcquisition) (*serverSlot, error) {
+	if a.waiting.Load() == 0 {
+		slot, err := a.tryAcquire(pending)
+		if !isSaturated(err) {
+			return slot, err
 		}
 	}
-	w, p, err := g.enter(q)
-	if w == nil {
-		return p, err
+	queued, slot, err := a.enqueue(pending)
+	if queued == nil {
+		return slot, err
 	}
-	now := g.flow.Now()
-	g.flow.Record(value.NewDecision(q.request, value.StepQueue, now).WithReason(value.ReasonWaiting, ""))
+	now := a.flow.Now()
+	a.flow.Record(value.NewDecision(pending.request, value.StepQueue, now).WithReason(value.ReasonWaiting, ""))
 	select {
-	case got := <-w.granted:
-		return got.place, got.err
+	case got := <-queued.granted:
+		return got.slot, got.err
 	case <-ctx.Done():
-		return nil, g.abandon(w, context.Cause(ctx))
+		return nil, a.cancelWait(queued, context.Cause(ctx))
 	}
 }
 
-// try takes a place without waiting.
-func (g *gate) try(q quest) (*place, error) {
+// tryAcquire returns a slot without waiting.
+func (a *slotAllocator) tryAcquire(pending pendingAcquisition) (*serverSlot, error) {
 	for {
-		s := g.flow.Snapshot()
-		choice, err := query.Route(s, q.target, g.flow.board.Load, q.rnd, g.flow.Now())
+		s := a.flow.Snapshot()
+		choice, err := query.Route(s, pending.target, a.flow.loads.Load, pending.rnd, a.flow.Now())
 		if err != nil {
 			return nil, err
 		}
-		// Another request may have taken the last place since the choice.
-		if p, ok := g.reserve(s, q.target, choice); ok {
-			return p, nil
+		// Another request may have taken the last slot since the choice; then choose again.
+		if slot, ok := a.reserve(s, pending.target, choice); ok {
+			return slot, nil
 		}
 	}
 }
 
-func (g *gate) reserve(s state.State, t query.Target, c query.Choice) (*place, bool) {
-	at := g.flow.Now()
-	ok := g.flow.board.TryUpdate(c.Server.ID, func(l value.Load) (value.Load, bool) {
-		return l.WithStart(t.Long, at), query.HasRoom(s, c.Server.Pool, l, t.Long)
+func (a *slotAllocator) reserve(s state.State, target query.Target, choice query.Choice) (*serverSlot, bool) {
+	at := a.flow.Now()
+	ok := a.flow.loads.TryUpdate(choice.Server.ID, func(l value.Load) (value.Load, bool) {
+		return l.WithStart(target.Long, at), query.HasRoom(s, choice.Server.Pool, l, target.Long)
 	})
 	if !ok {
 		return nil, false
 	}
-	g.flow.past.pace(t).Update(query.Pace.WithStart)
-	return &place{gate: g, choice: c, target: t, started: at}, true
+	a.flow.stats.throughput(target).Update(query.Pace.WithStart)
+	return &serverSlot{allocator: a, choice: choice, target: target, started: at}, true
 }
 
-// enter lets the request wait, unless a place has become free or waiting is of no use.
-func (g *gate) enter(q quest) (*waiter, *place, error) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	// Whoever frees a place after the search below must see that someone may wait for it.
-	g.waiting.Store(int64(g.queue.Len()) + 1)
-	defer func() { g.waiting.Store(int64(g.queue.Len())) }()
-	// A request must not pass those that wait for the same target.
-	if !g.queue.Waiting(func(l query.Lane) bool { return l.Serves(q.target) }) {
-		p, err := g.try(q)
-		if !crowded(err) {
-			return nil, p, err
+// enqueue adds the request to the queue and returns its waiter. It returns no waiter if it got a
+// slot after all, or if the request is refused.
+func (a *slotAllocator) enqueue(pending pendingAcquisition) (*waiter, *serverSlot, error) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	// A slot may be released between the call of tryAcquire below and the queueing. With the count
+	// raised before, the releasing goroutine waits for the lock and then serves this request.
+	a.waiting.Store(int64(a.queue.Len()) + 1)
+	defer func() { a.waiting.Store(int64(a.queue.Len())) }()
+	// A request must not overtake those that wait for the same target.
+	if !a.queue.Waiting(func(l query.Lane) bool { return l.Serves(pending.target) }) {
+		slot, err := a.tryAcquire(pending)
+		if !isSaturated(err) {
+			return nil, slot, err
 		}
 	}
-	s, now := g.flow.Snapshot(), g.flow.Now()
-	line := query.LineOf(s, g.queue, q.admitted, g.flow.past.pace(q.target).Get().PerSecond())
-	if err := query.Wait(s, q.admitted, q.request, q.length, line, now); err != nil {
+	s, now := a.flow.Snapshot(), a.flow.Now()
+	queueState := query.LineOf(s, a.queue, pending.admitted, a.flow.stats.throughput(pending.target).Get().PerSecond())
+	if err := query.Wait(s, pending.admitted, pending.request, pending.estimate, queueState, now); err != nil {
 		return nil, nil, err
 	}
-	w := &waiter{quest: q, granted: make(chan grant, 1)}
-	g.set(g.queue.With(query.Entry(q.admitted, q.target, q.length, w)))
-	return w, nil, nil
+	queued := &waiter{pendingAcquisition: pending, granted: make(chan grant, 1)}
+	a.setQueue(a.queue.With(query.Entry(pending.admitted, pending.target, pending.estimate, queued)))
+	return queued, nil, nil
 }
 
-// abandon takes the waiter out; a place that it was granted meanwhile goes back.
-func (g *gate) abandon(w *waiter, cause error) error {
-	g.mu.Lock()
-	rest, found := g.queue.Without(w.admitted.Account.Name, func(v *waiter) bool { return v == w })
-	g.set(rest)
-	g.mu.Unlock()
+// cancelWait removes the waiter from the queue. If it has been granted a slot in the meantime, the
+// slot is released.
+func (a *slotAllocator) cancelWait(cancelled *waiter, cause error) error {
+	a.mu.Lock()
+	rest, found := a.queue.Without(cancelled.admitted.Account.Name, func(v *waiter) bool { return v == cancelled })
+	a.setQueue(rest)
+	a.mu.Unlock()
 	if found {
 		return cause
 	}
-	if got := <-w.granted; got.place != nil {
-		got.place.free()
+	if got := <-cancelled.granted; got.slot != nil {
+		got.slot.release()
 	}
 	return cause
 }
 
-// served gives the server's free places to those who wait for them.
-func (g *gate) served(id value.ServerID) {
-	if g.waiting.Load() == 0 {
+// grantSlotsOf grants the server's free slots to waiting requests. If the server is removed or
+// ejected, the waiting requests try all servers.
+func (a *slotAllocator) grantSlotsOf(id value.ServerID) {
+	if a.waiting.Load() == 0 {
 		return
 	}
-	s := g.flow.Snapshot()
-	b, ok := s.Server(id)
-	if !ok || g.flow.board.Load(id).Ejected.After(g.flow.Now()) {
-		g.serve(g.anywhere)
+	s := a.flow.Snapshot()
+	server, ok := s.Server(id)
+	if !ok || a.flow.loads.Load(id).Ejected.After(a.flow.Now()) {
+		a.grantWaiting(a.tryAnyServer)
 		return
 	}
-	g.serve(func(w *waiter) (grant, bool) {
-		choice, ok := query.Takes(s, w.target, b, g.flow.board.Load, g.flow.Now())
+	a.grantWaiting(func(w *waiter) (grant, bool) {
+		choice, ok := query.Takes(s, w.target, server, a.flow.loads.Load, a.flow.Now())
 		if !ok {
 			return grant{}, false
 		}
-		p, ok := g.reserve(s, w.target, choice)
-		return grant{place: p}, ok
+		slot, ok := a.reserve(s, w.target, choice)
+		return grant{slot: slot}, ok
 	})
 }
 
-// anywhere looks for a place at all servers; a waiter that no server can take any more is refused.
-func (g *gate) anywhere(w *waiter) (grant, bool) {
-	p, err := g.try(w.quest)
-	if crowded(err) {
+// tryAnyServer tries to get a slot at any server; a waiter that no server can take any more gets
+// the error.
+func (a *slotAllocator) tryAnyServer(w *waiter) (grant, bool) {
+	slot, err := a.tryAcquire(w.pendingAcquisition)
+	if isSaturated(err) {
 		return grant{}, false
 	}
-	return grant{place: p, err: err}, true
+	return grant{slot: slot, err: err}, true
 }
 
-// serve grants as many waiters as the function finds a place for, in fair order.
-func (g *gate) serve(find func(*waiter) (grant, bool)) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+// grantWaiting offers the waiters to the function in fair order and ends the wait of those for
+// which it returns a grant.
+func (a *slotAllocator) grantWaiting(find func(*waiter) (grant, bool)) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
 	for {
 		var found grant
-		w, rest, ok := g.queue.Next(func(w *waiter) bool {
+		w, rest, ok := a.queue.Next(func(w *waiter) bool {
 			got, ok := find(w)
 			found = got
 			return ok
@@ -175,18 +182,18 @@
 		if !ok {
 			return
 		}
-		g.set(rest)
+		a.setQueue(rest)
 		w.granted <- found
 	}
 }
 
-// set is called with the lock held.
-func (g *gate) set(q policy.Fair[value.AccountName, query.Lane, *waiter]) {
-	g.queue = q
-	g.waiting.Store(int64(q.Len()))
+// setQueue replaces the queue; the caller holds the lock.
+func (a *slotAllocator) setQueue(q policy.Fair[value.AccountName, query.Lane, *waiter]) {
+	a.queue = q
+	a.waiting.Store(int64(q.Len()))
 }
 
-func crowded(err error) bool {
+func isSaturated(err error) bool {
 	var refusal value.Refusal
 	return errors.As(err, &refusal) && refusal.Reason == value.ReasonOverloaded
 }
--- a/io/flow/leg.go
+++ b/io/flow/leg.go
@@ -12,210 +12,219 @@
 	"endivehitch/io/engine"
 )
 
-// leg is one run of a request at one backend server, up to its first piece.
-type leg struct {
-	place  *place
+// attempt is one send of a request to one backend server, up to the first piece of the answer.
+type attempt struct {
+	slot   *serverSlot
 	cancel context.CancelFunc
 	answer engine.Answer
 	first  engine.Piece
-	// at is when the first piece or the error came.
-	at time.Time
-	// err is io.EOF for a whole answer without pieces.
+	// receivedAt is when the first piece or the error was received.
+	receivedAt time.Time
+	// err is io.EOF for a complete answer without pieces.
 	err  error
 	once sync.Once
 }
 
-func (l *leg) won() bool {
-	return l.answer != nil && (l.err == nil || isWhole(l.err))
+func (a *attempt) hasAnswer() bool {
+	return a.answer != nil && (a.err == nil || isComplete(a.err))
 }
 
-// isWhole reports whether an answer's error says that it is whole; a connection that ends is an io.EOF too.
-func isWhole(err error) bool {
+// isComplete reports whether the error marks the end of a complete answer. A connection that is cut
+// off may be an io.EOF too, joined with engine.ErrCutOff.
+func isComplete(err error) bool {
 	return errors.Is(err, io.EOF) && !errors.Is(err, engine.ErrCutOff)
 }
 
-// end stops the run and gives its place back; calls after the first do nothing.
-func (l *leg) end() {
-	l.once.Do(func() {
-		l.cancel()
-		if l.answer != nil {
-			l.answer.Cancel()
+// end cancels the attempt and releases its slot; calls after the first do nothing.
+func (a *attempt) end() {
+	a.once.Do(func() {
+		a.cancel()
+		if a.answer != nil {
+			a.answer.Cancel()
 		}
-		l.place.free()
+		a.slot.release()
 	})
 }
 
-// race is the runs of one attempt: the first one and perhaps a hedge.
-type race struct {
-	run     *run
-	target  query.Target
-	running []*leg
-	done    chan *leg
+// attemptRace runs a first attempt and at most one hedged attempt concurrently.
+type attemptRace struct {
+	execution *execution
+	target    query.Target
+	running   []*attempt
+	done      chan *attempt
 }
 
-// racers bounds the runs of one attempt.
-const racers = 2
+// maxRacingAttempts is the number of attempts in a race: the first one and a hedged one.
+const maxRacingAttempts = 2
 
-// race returns the run whose first piece comes first, and cancels the other.
-func (r *run) race(ctx context.Context, t query.Target, p *place) (*leg, error) {
-	c := &race{run: r, target: t, done: make(chan *leg, racers)}
-	if err := r.life.move(ctx, eventDispatch); err != nil {
-		p.free()
+// runRace starts an attempt, and a hedged one if the first piece is late. It returns the attempt
+// that gets an answer first, and cancels the other.
+func (e *execution) runRace(ctx context.Context, target query.Target, slot *serverSlot) (*attempt, error) {
+	race := &attemptRace{execution: e, target: target, done: make(chan *attempt, maxRacingAttempts)}
+	if err := e.lifecycle.apply(ctx, eventDispatch); err != nil {
+		slot.release()
 		return nil, err
 	}
-	c.start(ctx, p)
-	late, stop := r.hedgeTimer()
+	race.startAttempt(ctx, slot)
+	late, stop := e.hedgeTimer()
 	defer stop()
 	for {
 		select {
-		case l := <-c.done:
-			c.left(l)
-			if l.won() {
-				c.discard()
-				r.sawFirst(l)
-				if err := r.life.move(ctx, eventHead); err != nil {
-					l.end()
+		case ended := <-race.done:
+			race.remove(ended)
+			if ended.hasAnswer() {
+				race.cancelRemaining()
+				e.observeFirstToken(ended)
+				if err := e.lifecycle.apply(ctx, eventHead); err != nil {
+					ended.end()
 					return nil, err
 				}
-				return l, nil
+				return ended, nil
 			}
-			c.lost(ctx, l)
-			if len(c.running) == 0 || atFault(l.err) {
-				c.discard()
-				return nil, l.err
+			race.handleFailure(ctx, ended)
+			if len(race.running) == 0 || isRequestFault(ended.err) {
+				race.cancelRemaining()
+				return nil, ended.err
 			}
 		case <-late:
 			late = nil
-			c.hedge(ctx)
+			race.startHedge(ctx)
 		case <-ctx.Done():
-			c.discard()
+			race.cancelRemaining()
 			return nil, context.Cause(ctx)
 		}
 	}
 }
 
-// start counts the run as sent before it is, so that no failure on the way can claim the contrary.
-func (c *race) start(ctx context.Context, p *place) {
-	r := c.run
-	call := r.job.Call
-	call.Request = r.job.Request.ID
-	call.Version = c.target.Version
-	call.Priority = r.admitted.Kind.Priority
-	r.attempts++
-	r.sends++
-	r.tried = append(r.tried, p.choice.Server.ID)
+// startAttempt starts an attempt in the slot. The attempt counts as sent before it is started, so
+// that no failure on the way is reported as not sent by mistake.
+func (r *attemptRace) startAttempt(ctx context.Context, slot *serverSlot) {
+	e := r.execution
+	call := e.job.Call
+	call.Request = e.job.Request.ID
+	call.Version = r.target.Version
+	call.Priority = e.admitted.Kind.Priority
+	e.attempts++
+	e.sentAttempts++
+	e.triedServers = append(e.triedServers, slot.choice.Server.ID)
 	ctx, cancel := context.WithCancel(ctx)
-	l := &leg{place: p, cancel: cancel}
-	c.running = append(c.running, l)
+	started := &attempt{slot: slot, cancel: cancel}
+	r.running = append(r.running, started)
 	go func() {
-		l.answer, l.err = r.flow.Runner.Start(ctx, p.choice.Server, call)
-		if l.err == nil {
-			l.first, l.err = l.answer.Next(ctx)
+		started.answer, started.err = e.flow.Runner.Start(ctx, slot.choice.Server, call)
+		if started.err == nil {
+			started.first, started.err = started.answer.Next(ctx)
 		}
-		l.at = r.flow.Now()
-		c.done <- l
+		started.receivedAt = e.flow.Now()
+		r.done <- started
 	}()
 }
 
-func (c *race) left(l *leg) {
-	for i, other := range c.running {
-		if other == l {
-			c.running = append(c.running[:i], c.running[i+1:]...)
+func (r *attemptRace) remove(ended *attempt) {
+	for i, other := range r.running {
+		if other == ended {
+			r.running = append(r.running[:i], r.running[i+1:]...)
 			return
 		}
 	}
 }
 
-// lost takes note of a run that failed.
-func (c *race) lost(ctx context.Context, l *leg) {
-	defer l.end()
-	if errors.Is(l.err, engine.ErrNotSent) {
-		c.run.sends--
+// handleFailure ends a failed attempt and attributes the failure to its server, unless the request
+// or the caller caused it.
+func (r *attemptRace) handleFailure(ctx context.Context, failed *attempt) {
+	defer failed.end()
+	if errors.Is(failed.err, engine.ErrNotSent) {
+		r.execution.sentAttempts--
 	}
-	if ctx.Err() != nil || atFault(l.err) {
+	if ctx.Err() != nil || isRequestFault(failed.err) {
 		return
 	}
-	l.place.sawFailure(c.run, l.err)
+	failed.slot.observeFailure(r.execution, failed.err)
 }
 
-// atFault reports whether the request itself made the run fail, so that no server would do better.
-func atFault(err error) bool {
+// isRequestFault reports whether the request itself caused the failure, so that a retry at another
+// server would fail too.
+func isRequestFault(err error) bool {
 	var status engine.BadStatus
 	return errors.As(err, &status) && status.Permanent()
 }
 
-// discard cancels what still runs; each place goes back once its run has ended.
-func (c *race) discard() {
-	now := c.run.flow.Now()
-	for _, l := range c.running {
-		l.cancel()
-		l.place.sawDelay(c.run, now.Sub(l.place.started))
+// cancelRemaining cancels the attempts that still run and counts their elapsed time against their
+// servers. The slot of each is released once it has ended.
+func (r *attemptRace) cancelRemaining() {
+	now := r.execution.flow.Now()
+	for _, remaining := range r.running {
+		remaining.cancel()
+		remaining.slot.observeCancelled(r.execution, now.Sub(remaining.slot.started))
 	}
-	n := len(c.running)
+	n := len(r.running)
 	if n == 0 {
 		return
 	}
-	done := c.done
+	done := r.done
 	go func() {
 		for range n {
-			l := <-done
-			l.end()
+			ended := <-done
+			ended.end()
 		}
 	}()
 }
 
-// hedgeTimer fires when a second run is worth its cost; the returned function stops it.
-func (r *run) hedgeTimer() (<-chan time.Time, func()) {
-	after := query.HedgeAfter(r.flow.Snapshot(), r.admitted.Kind, r.flow.past.history(r.job.Request))
-	if after == 0 || r.attempts >= r.admitted.Kind.MaxAttempts {
+// hedgeTimer returns a channel that fires when a hedged attempt is due, or nil if none is allowed;
+// the returned function stops the timer.
+func (e *execution) hedgeTimer() (<-chan time.Time, func()) {
+	after := query.HedgeAfter(e.flow.Snapshot(), e.admitted.Kind, e.flow.stats.history(e.job.Request))
+	if after == 0 || e.attempts >= e.admitted.Kind.MaxAttempts {
 		return nil, func() {}
 	}
 	t := time.NewTimer(after)
 	return t.C, func() { t.Stop() }
 }
 
-// hedge starts a second run if a server has room now and the budget allows it.
-func (c *race) hedge(ctx context.Context) {
-	r := c.run
-	t := c.target
-	t.Tried = r.tried
-	if r.flow.gate.waiting.Load() > 0 {
+// startHedge starts a hedged attempt if no request waits, a server has capacity now, and the budget
+// allows it.
+func (r *attemptRace) startHedge(ctx context.Context) {
+	e := r.execution
+	target := r.target
+	target.Tried = e.triedServers
+	if e.flow.slots.waiting.Load() > 0 {
 		return
 	}
-	p, err := r.flow.gate.try(quest{request: r.job.Request, admitted: r.admitted, target: t, length: r.length, rnd: r.rnd})
+	slot, err := e.flow.slots.tryAcquire(pendingAcquisition{request: e.job.Request, admitted: e.admitted, target: target, estimate: e.estimate, rnd: e.rnd})
 	if err != nil {
 		return
 	}
-	if !spend(&r.flow.past.hedges, query.HedgeBudget(r.flow.Snapshot())) {
-		p.free()
+	if !spendBudget(&e.flow.stats.hedges, query.HedgeBudget(e.flow.Snapshot())) {
+		slot.release()
 		return
 	}
-	r.record(r.decision(value.StepHedge).WithChoice(t.Version, p.choice.Server.ID, p.choice.Candidates, value.ReasonHedged))
-	c.start(ctx, p)
+	e.record(e.newDecision(value.StepHedge).WithChoice(target.Version, slot.choice.Server.ID, slot.choice.Candidates, value.ReasonHedged))
+	r.startAttempt(ctx, slot)
 }
 
-func (r *run) sawFirst(l *leg) {
-	after := l.at.Sub(l.place.started)
-	r.flow.past.sawFirst(r.job.Request, after)
-	l.place.sawFirst(r, after)
+func (e *execution) observeFirstToken(winner *attempt) {
+	elapsed := winner.receivedAt.Sub(winner.slot.started)
+	e.flow.stats.observeFirstToken(e.job.Request, elapsed)
+	winner.slot.observeFirstToken(e, elapsed)
 }
 
-// deliver passes the winner's answer on until it is whole.
-func (r *run) deliver(ctx context.Context, t query.Target, l *leg) error {
-	h := l.answer.Head()
-	if err := r.begin(h, t.Version); err != nil {
+// relay writes the winner's answer piece by piece until it is complete; any read error counts as a
+// failure of the server.
+func (e *execution) relay(ctx context.Context, target query.Target, winner *attempt) error {
+	head := winner.answer.Head()
+	if err := e.beginAnswer(head, target.Version); err != nil {
 		return err
 	}
-	p, err := l.first, l.err
+	piece, err := winner.first, winner.err
 	for err == nil {
-		if err := r.pass(p); err != nil {
+		if err := e.writePiece(piece); err != nil {
 			return err
 		}
-		p, err = l.answer.Next(ctx)
+		piece, err = winner.answer.Next(ctx)
 	}
-	if !isWhole(err) {
-		l.place.sawFailure(r, err)
+	if !isComplete(err) {
+		winner.slot.observeFailure(e, err)
 		return err
 	}
-	return r.life.move(ctx, eventComplete)
+	return e.lifecycle.apply(ctx, eventComplete)
 }
--- a/io/flow/life.go
+++ b/io/flow/life.go
@@ -7,7 +7,7 @@
 	"github.com/looplab/fsm"
 )
 
-// The states of a request's life.
+// The states of a request.
 const (
 	stateAccepted   = "Accepted"
 	stateAdmitted   = "Admitted"
@@ -15,13 +15,13 @@
 	stateRouted     = "Routed"
 	stateDispatched = "Dispatched"
 	stateAnswering  = "Answering"
-	stateWhole      = "Whole"
+	stateComplete   = "Whole"
 	stateBilled     = "Billed"
 	stateAnswered   = "Answered"
 	stateRefused    = "Refused"
 )
 
-// The events that move a request on.
+// The events that cause transitions between the states.
 const (
 	eventAdmit    = "Admit"
 	eventPlan     = "Plan"
@@ -38,33 +38,34 @@
 	eventLeave    = "Leave"
 )
 
-var lifeEvents = fsm.Events{
+var lifecycleEvents = fsm.Events{
 	{Name: eventAdmit, Src: []string{stateAccepted}, Dst: stateAdmitted},
 	{Name: eventPlan, Src: []string{stateAdmitted}, Dst: statePlanned},
 	{Name: eventRoute, Src: []string{statePlanned}, Dst: stateRouted},
 	{Name: eventDispatch, Src: []string{stateRouted}, Dst: stateDispatched},
 	{Name: eventHead, Src: []string{stateDispatched}, Dst: stateAnswering},
-	{Name: eventComplete, Src: []string{stateAnswering}, Dst: stateWhole},
-	{Name: eventBill, Src: []string{stateWhole}, Dst: stateBilled},
+	{Name: eventComplete, Src: []string{stateAnswering}, Dst: stateComplete},
+	{Name: eventBill, Src: []string{stateComplete}, Dst: stateBilled},
 	{Name: eventAnswer, Src: []string{stateBilled}, Dst: stateAnswered},
 	{Name: eventRetry, Src: []string{statePlanned, stateRouted, stateDispatched, stateAnswering}, Dst: statePlanned},
 	{Name: eventJoin, Src: []string{stateAdmitted}, Dst: stateAnswering},
 	{Name: eventLeave, Src: []string{stateAnswering}, Dst: stateAdmitted},
-	{Name: eventEscalate, Src: []string{statePlanned, stateRouted, stateDispatched, stateAnswering, stateWhole}, Dst: statePlanned},
+	{Name: eventEscalate, Src: []string{statePlanned, stateRouted, stateDispatched, stateAnswering, stateComplete}, Dst: statePlanned},
 	{Name: eventRefuse, Src: []string{
-		stateAccepted, stateAdmitted, statePlanned, stateRouted, stateDispatched, stateAnswering, stateWhole, stateBilled,
+		stateAccepted, stateAdmitted, statePlanned, stateRouted, stateDispatched, stateAnswering, stateComplete, stateBilled,
 	}, Dst: stateRefused},
 }
 
-type life struct {
+// lifecycle is the state machine of one request; it rejects steps that are out of order.
+type lifecycle struct {
 	machine *fsm.FSM
 }
 
-func newLife() life {
-	return life{machine: fsm.NewFSM(stateAccepted, lifeEvents, fsm.Callbacks{})}
+func newLifecycle() lifecycle {
+	return lifecycle{machine: fsm.NewFSM(stateAccepted, lifecycleEvents, fsm.Callbacks{})}
 }
 
-func (l life) move(ctx context.Context, event string) error {
+func (l lifecycle) apply(ctx context.Context, event string) error {
 	if err := l.machine.Event(ctx, event); err != nil {
 		return fmt.Errorf("move request to %s: %w", event, err)
 	}
--- a/io/flow/measure_test.go
+++ b/io/flow/measure_test.go
@@ -13,15 +13,16 @@
 )
 
 const (
-	shortWork = 200 * time.Millisecond
-	longWork  = 50 * shortWork
-	patience  = 2 * time.Second
-	// stragglerSeeds is how many streams of requests are tried.
+	shortWork    = 200 * time.Millisecond
+	longWork     = 50 * shortWork
+	shortTimeout = 2 * time.Second
+	// stragglerSeeds is the number of seeds, each of which gives another stream of requests.
 	stragglerSeeds = 4
-	longAgo        = 10 * time.Minute
+	longTimeout    = 10 * time.Minute
 )
 
-// inVirtualTime runs the function in a bubble of virtual time, on one processor, so that each run gives the same figures.
+// inVirtualTime runs the function in a synctest bubble and on one processor, so that each run gives
+// the same figures.
 func inVirtualTime(b *testing.B, do func()) {
 	b.Helper()
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
@@ -29,7 +30,7 @@
 		{Name: b.Name(), F: func(t *testing.T) {
 			synctest.Test(t, func(*testing.T) {
 				do()
-				// Time must go on until the workers of the measurement have ended.
+				// Virtual time must advance until the goroutines of the measurement have ended.
 				time.Sleep(time.Minute)
 			})
 		}},
@@ -39,26 +40,28 @@
 	}
 }
 
-func (s site) capacity() float64 {
-	return float64(s.servers*slots) / shortWork.Seconds()
+func (d deployment) capacity() float64 {
+	return float64(d.servers*serverSlots) / shortWork.Seconds()
 }
 
-func steady(servers float64, part float64) wave {
-	return wave{until: time.Minute, perSecond: part * servers, kind: "short", account: "ward-9", work: shortWork, patience: longAgo}
+// steady returns a stream of short requests that use the given share of the capacity.
+func steady(capacity float64, load float64) requestStream {
+	return requestStream{until: time.Minute, perSecond: load * capacity, kind: "short", account: "ward-9", work: shortWork, timeout: longTimeout}
 }
 
 func normalSpeed(value.ServerID) float64 { return 1 }
 
-// lame makes a tenth of the servers ten times slower after a quiet start; each spell hits other servers.
-func (s site) lame(spell time.Duration) func(value.ServerID) float64 {
+// withSlowServers returns a slowdown: after ten normal seconds, a tenth of the servers are ten
+// times slower. They are others in each spell.
+func (d deployment) withSlowServers(spell time.Duration) func(value.ServerID) float64 {
 	began := time.Now()
 	return func(id value.ServerID) float64 {
 		since := time.Since(began) - 10*time.Second
 		if since < 0 {
 			return 1
 		}
-		for i := range s.servers / 10 {
-			if id == serverName((int(since/spell)*3+i*7)%s.servers) {
+		for i := range d.servers / 10 {
+			if id == serverName((int(since/spell)*3+i*7)%d.servers) {
 				return 10
 			}
 		}
@@ -66,94 +69,96 @@
 	}
 }
 
-func p99(all []served, want func(served) bool) time.Duration {
-	var took []time.Duration
-	for _, r := range all {
-		if want(r) && r.err == nil {
-			took = append(took, r.took)
+func p99(results []requestResult, matches func(requestResult) bool) time.Duration {
+	var latencies []time.Duration
+	for _, r := range results {
+		if matches(r) && r.err == nil {
+			latencies = append(latencies, r.latency)
 		}
 	}
-	if len(took) == 0 {
+	if len(latencies) == 0 {
 		return 0
 	}
-	slices.Sort(took)
-	return took[int(math.Ceil(float64(len(took))*0.99))-1]
+	slices.Sort(latencies)
+	return latencies[int(math.Ceil(float64(len(latencies))*0.99))-1]
 }
 
-func mean(all []served, want func(served) bool) time.Duration {
+func mean(results []requestResult, matches func(requestResult) bool) time.Duration {
 	var sum time.Duration
 	n := 0
-	for _, r := range all {
-		if want(r) && r.err == nil {
-			sum += r.took
+	for _, r := range results {
+		if matches(r) && r.err == nil {
+			sum += r.latency
 			n++
 		}
 	}
 	return sum / time.Duration(max(1, n))
 }
 
-func count(all []served, want func(served) bool) float64 {
+func count(results []requestResult, matches func(requestResult) bool) float64 {
 	n := 0
-	for _, r := range all {
-		if want(r) {
+	for _, r := range results {
+		if matches(r) {
 			n++
 		}
 	}
 	return float64(n)
 }
 
-func after(from time.Duration) func(served) bool {
-	return func(r served) bool { return r.at >= from }
+func arrivedAfter(from time.Duration) func(requestResult) bool {
+	return func(r requestResult) bool { return r.arrival >= from }
 }
 
-func ofKind(k value.KindName) func(served) bool {
-	return func(r served) bool { return r.kind == k && r.at >= 5*time.Second }
+// ofKind matches the requests of a kind that arrive after the first five seconds.
+func ofKind(k value.KindName) func(requestResult) bool {
+	return func(r requestResult) bool { return r.kind == k && r.arrival >= 5*time.Second }
 }
 
-// way is one way to serve, real or a baseline.
-type way struct {
-	name string
-	make func(s site, p *plant) serving
+// variant is a way to serve requests: the flow in some configuration, or a baseline.
+type variant struct {
+	name     string
+	newServe func(d deployment, sim *simulation) serveFunc
 }
 
-func actual(edit func(*value.Document)) func(s site, p *plant) serving {
-	return func(s site, p *plant) serving {
-		d := s.document()
+// newFlowVariant returns the flow under the configuration as the function edits it.
+func newFlowVariant(edit func(*value.Document)) func(d deployment, sim *simulation) serveFunc {
+	return func(d deployment, sim *simulation) serveFunc {
+		document := d.document()
 		if edit != nil {
-			edit(&d)
+			edit(&document)
 		}
-		return s.flows(p, d)
+		return d.newFlows(sim, document)
 	}
 }
 
 var (
-	ours        = way{"Ours", actual(nil)}
-	leastLoaded = way{"LeastInFlight", func(s site, p *plant) serving { return s.plain(p, leastInFlight) }}
-	robin       = way{"RoundRobin", func(s site, p *plant) serving { return s.plain(p, roundRobin) }}
+	defaultFlow    = variant{"Ours", newFlowVariant(nil)}
+	leastLoaded    = variant{"LeastInFlight", func(d deployment, sim *simulation) serveFunc { return d.newBaseline(sim, leastInFlight) }}
+	roundRobinOnly = variant{"RoundRobin", func(d deployment, sim *simulation) serveFunc { return d.newBaseline(sim, roundRobin) }}
 )
 
-var ways = []way{
-	ours,
-	{"Probed", func(s site, p *plant) serving {
-		p.reports = 500 * time.Millisecond
-		return s.flows(p, s.document())
+var variants = []variant{
+	defaultFlow,
+	{"Probed", func(d deployment, sim *simulation) serveFunc {
+		sim.reportInterval = 500 * time.Millisecond
+		return d.newFlows(sim, d.document())
 	}},
-	{"NoHedge", actual(func(d *value.Document) { d.Limits.HedgePercent = 0 })},
-	{"NoLimit", actual(func(d *value.Document) { d.Pools[0].MaxInFlight = 0 })},
+	{"NoHedge", newFlowVariant(func(d *value.Document) { d.Limits.HedgePercent = 0 })},
+	{"NoLimit", newFlowVariant(func(d *value.Document) { d.Pools[0].MaxInFlight = 0 })},
 	leastLoaded,
-	robin,
-	{"FIFO", func(s site, p *plant) serving { return s.fifo(s.plain(p, leastInFlight)) }},
+	roundRobinOnly,
+	{"FIFO", func(d deployment, sim *simulation) serveFunc { return d.withFIFO(d.newBaseline(sim, leastInFlight)) }},
 }
 
-// each runs the measurement for every size and way, and reports its metrics.
-func each(b *testing.B, ways []way, do func(s site, w way) map[string]float64) {
+// measureAll runs the measurement for every deployment and variant, and reports its metrics.
+func measureAll(b *testing.B, selected []variant, do func(size deployment, tested variant) map[string]float64) {
 	b.Helper()
-	for _, s := range sites {
-		for _, w := range ways {
-			b.Run(s.name+"/"+w.name, func(b *testing.B) {
+	for _, size := range deployments {
+		for _, each := range selected {
+			b.Run(size.name+"/"+each.name, func(b *testing.B) {
 				var metrics map[string]float64
 				for range b.N {
-					inVirtualTime(b, func() { metrics = do(s, w) })
+					inVirtualTime(b, func() { metrics = do(size, each) })
 				}
 				for unit, v := range metrics {
 					b.ReportMetric(v, strings.ReplaceAll(unit, " ", "_"))
@@ -163,27 +168,28 @@
 	}
 }
 
-// BenchmarkMeasureStragglers: p99 with a tenth of the servers ten times slow against that without, and the extra runs.
+// BenchmarkMeasureStragglers measures the p99 latency with a tenth of the servers ten times slower,
+// relative to that without slow servers, and the attempts in excess of the requests.
 func BenchmarkMeasureStragglers(b *testing.B) {
-	each(b, ways, func(s site, w way) map[string]float64 {
-		wave := steady(s.capacity(), 0.5)
-		wave.until = 25 * time.Second
+	measureAll(b, variants, func(size deployment, tested variant) map[string]float64 {
+		stream := steady(size.capacity(), 0.5)
+		stream.until = 25 * time.Second
 		metrics := make(map[string]float64)
-		// The worst of the seeds is what counts.
+		// The worst value of all seeds is reported.
 		for seed := range uint64(stragglerSeeds) {
-			without := s.play(w.make(s, newPlant(s.servers, normalSpeed)), seed, wave)
+			without := size.simulate(tested.newServe(size, newSimulation(size.servers, normalSpeed)), seed, stream)
 			for name, spell := range map[string]time.Duration{"lasting": time.Hour, "brief": 5 * time.Second} {
-				ill := newPlant(s.servers, s.lame(spell))
-				with := s.play(w.make(s, ill), seed, wave)
-				worse(metrics, name+" p99 ratio (goal 1.3)", ratio(p99(with, after(10*time.Second)), p99(without, after(10*time.Second))))
-				worse(metrics, name+" extra runs % (goal 5)", 100*(float64(ill.runs)/float64(len(with))-1))
+				slowSim := newSimulation(size.servers, size.withSlowServers(spell))
+				with := size.simulate(tested.newServe(size, slowSim), seed, stream)
+				recordWorst(metrics, name+" p99 ratio (goal 1.3)", ratio(p99(with, arrivedAfter(10*time.Second)), p99(without, arrivedAfter(10*time.Second))))
+				recordWorst(metrics, name+" extra runs % (goal 5)", 100*(float64(slowSim.attempts)/float64(len(with))-1))
 			}
 		}
 		return metrics
 	})
 }
 
-func worse(metrics map[string]float64, unit string, v float64) {
+func recordWorst(metrics map[string]float64, unit string, v float64) {
 	metrics[unit] = max(metrics[unit], v)
 }
 
@@ -191,51 +197,57 @@
 	return float64(a) / float64(max(1, b))
 }
 
-// BenchmarkMeasureCrest: three times the capacity for ten seconds, from one account beside another inside its share.
-func BenchmarkMeasureCrest(b *testing.B) {
+// BenchmarkMeasurePeak measures a peak of three times the capacity for ten seconds. One client
+// account causes it while another one stays within its share.
+func BenchmarkMeasurePeak(b *testing.B) {
 	const from, until = 10 * time.Second, 20 * time.Second
-	each(b, ways, func(s site, w way) map[string]float64 {
-		c := s.capacity()
-		quiet := wave{until: 30 * time.Second, perSecond: 0.3 * c, kind: "short", account: "ward-9", work: shortWork, patience: patience}
-		flood := wave{from: from, until: until, perSecond: 2.7 * c, kind: "short", account: "ward-12", work: shortWork, patience: patience}
-		all := s.play(w.make(s, newPlant(s.servers, normalSpeed)), 1, quiet, flood)
-		good := count(all, func(r served) bool { end := r.at + r.took; return r.err == nil && end >= from && end < until })
+	measureAll(b, variants, func(size deployment, tested variant) map[string]float64 {
+		capacity := size.capacity()
+		quiet := requestStream{until: 30 * time.Second, perSecond: 0.3 * capacity, kind: "short", account: "ward-9", work: shortWork, timeout: shortTimeout}
+		flood := requestStream{from: from, until: until, perSecond: 2.7 * capacity, kind: "short", account: "ward-12", work: shortWork, timeout: shortTimeout}
+		results := size.simulate(tested.newServe(size, newSimulation(size.servers, normalSpeed)), 1, quiet, flood)
+		good := count(results, func(r requestResult) bool {
+			end := r.arrival + r.latency
+			return r.err == nil && end >= from && end < until
+		})
 		return map[string]float64{
-			"goodput of capacity (goal 0.95)": good / (c * (until - from).Seconds()),
-			"refused inside share % (goal 0)": 100 * part(all, func(r served) bool { return r.from == "ward-9" }),
-			"recovery s (goal 2)":             recovery(all, until).Seconds(),
-			"p99 inside share in the crest s": p99(all, func(r served) bool { return r.from == "ward-9" && r.at >= from && r.at < until }).Seconds(),
+			"goodput of capacity (goal 0.95)": good / (capacity * (until - from).Seconds()),
+			"refused inside share % (goal 0)": 100 * failedShare(results, func(r requestResult) bool { return r.account == "ward-9" }),
+			"recovery s (goal 2)":             recovery(results, until).Seconds(),
+			"p99 inside share in the crest s": p99(results, func(r requestResult) bool { return r.account == "ward-9" && r.arrival >= from && r.arrival < until }).Seconds(),
 		}
 	})
 }
 
-// part is the share of the requests that failed.
-func part(all []served, want func(served) bool) float64 {
-	failed := count(all, func(r served) bool { return want(r) && r.err != nil })
-	return failed / max(1, count(all, want))
+// failedShare returns the share of the matching requests that failed.
+func failedShare(results []requestResult, matches func(requestResult) bool) float64 {
+	failed := count(results, func(r requestResult) bool { return matches(r) && r.err != nil })
+	return failed / max(1, count(results, matches))
 }
 
-// recovery is how long after the crest's end the last request arrived that failed or took longer than twice the p99 before.
-func recovery(all []served, end time.Duration) time.Duration {
-	normal := p99(all, func(r served) bool { return r.at >= 5*time.Second && r.at < 10*time.Second })
+// recovery returns how long after the end of the peak the last request arrived that failed or took
+// longer than twice the p99 before the peak.
+func recovery(results []requestResult, end time.Duration) time.Duration {
+	normal := p99(results, func(r requestResult) bool { return r.arrival >= 5*time.Second && r.arrival < 10*time.Second })
 	var last time.Duration
-	for _, r := range all {
-		if r.at >= end && (r.err != nil || r.took > 2*normal) {
-			last = max(last, r.at-end)
+	for _, r := range results {
+		if r.arrival >= end && (r.err != nil || r.latency > 2*normal) {
+			last = max(last, r.arrival-end)
 		}
 	}
 	return last
 }
 
-// BenchmarkMeasureLong: one job in twenty is fifty times longer.
+// BenchmarkMeasureLong measures the latency of short and long requests when one in twenty is fifty
+// times longer.
 func BenchmarkMeasureLong(b *testing.B) {
-	each(b, ways, func(s site, w way) map[string]float64 {
-		// The work of both together is six tenths of the capacity.
-		jobs := 0.6 * s.capacity() / (0.95 + 0.05*50)
-		short := wave{until: time.Minute, perSecond: 0.95 * jobs, kind: "short", account: "ward-9", work: shortWork, patience: longAgo}
-		long := wave{until: time.Minute, perSecond: 0.05 * jobs, kind: "long", account: "ward-9", work: longWork, patience: longAgo}
-		without := s.play(w.make(s, newPlant(s.servers, normalSpeed)), 1, short)
-		with := s.play(w.make(s, newPlant(s.servers, normalSpeed)), 1, short, long)
+	measureAll(b, variants, func(size deployment, tested variant) map[string]float64 {
+		// Both streams together use six tenths of the capacity.
+		jobs := 0.6 * size.capacity() / (0.95 + 0.05*50)
+		short := requestStream{until: time.Minute, perSecond: 0.95 * jobs, kind: "short", account: "ward-9", work: shortWork, timeout: longTimeout}
+		long := requestStream{until: time.Minute, perSecond: 0.05 * jobs, kind: "long", account: "ward-9", work: longWork, timeout: longTimeout}
+		without := size.simulate(tested.newServe(size, newSimulation(size.servers, normalSpeed)), 1, short)
+		with := size.simulate(tested.newServe(size, newSimulation(size.servers, normalSpeed)), 1, short, long)
 		return map[string]float64{
 			"short p99 ratio (goal 1.5)":       ratio(p99(with, ofKind("short")), p99(without, ofKind("short"))),
 			"long mean of its work (goal 1.2)": ratio(mean(with, ofKind("long")), longWork),
@@ -243,31 +255,33 @@
 	})
 }
 
-// BenchmarkMeasurePrefix: how many runs find their prompt's prefix cached, and what that is worth.
+// BenchmarkMeasurePrefix measures how many attempts find their prompt's prefix cached, and the
+// latency.
 func BenchmarkMeasurePrefix(b *testing.B) {
-	each(b, []way{ours, leastLoaded, robin}, func(s site, w way) map[string]float64 {
-		wave := steady(s.capacity(), 0.5)
-		wave.prefixes = 6 * s.servers
-		p := newPlant(s.servers, normalSpeed)
-		all := s.play(w.make(s, p), 1, wave)
+	measureAll(b, []variant{defaultFlow, leastLoaded, roundRobinOnly}, func(size deployment, tested variant) map[string]float64 {
+		stream := steady(size.capacity(), 0.5)
+		stream.prefixes = 6 * size.servers
+		sim := newSimulation(size.servers, normalSpeed)
+		results := size.simulate(tested.newServe(size, sim), 1, stream)
 		return map[string]float64{
-			"hits %":  100 * float64(p.hits) / float64(p.runs),
-			"p99 s":   p99(all, after(5*time.Second)).Seconds(),
-			"mean ms": 1000 * mean(all, after(5*time.Second)).Seconds(),
+			"hits %":  100 * float64(sim.cacheHits) / float64(sim.attempts),
+			"p99 s":   p99(results, arrivedAfter(5*time.Second)).Seconds(),
+			"mean ms": 1000 * mean(results, arrivedAfter(5*time.Second)).Seconds(),
 		}
 	})
 }
 
-// BenchmarkMeasureShare: the same question from many devices at once.
+// BenchmarkMeasureShare measures the attempts and the latency when many callers ask the same
+// question at once.
 func BenchmarkMeasureShare(b *testing.B) {
-	each(b, []way{ours, leastLoaded, robin}, func(s site, w way) map[string]float64 {
-		burst := wave{until: time.Second, perSecond: 4 * s.capacity(), kind: "same", account: "ward-9", work: shortWork, patience: patience}
-		p := newPlant(s.servers, normalSpeed)
-		all := s.play(w.make(s, p), 1, burst)
+	measureAll(b, []variant{defaultFlow, leastLoaded, roundRobinOnly}, func(size deployment, tested variant) map[string]float64 {
+		burst := requestStream{until: time.Second, perSecond: 4 * size.capacity(), kind: "same", account: "ward-9", work: shortWork, timeout: shortTimeout}
+		sim := newSimulation(size.servers, normalSpeed)
+		results := size.simulate(tested.newServe(size, sim), 1, burst)
 		return map[string]float64{
-			"runs for each 100 requests": 100 * float64(p.runs) / float64(len(all)),
-			"failed %":                   100 * part(all, after(0)),
-			"p99 s":                      p99(all, after(0)).Seconds(),
+			"runs for each 100 requests": 100 * float64(sim.attempts) / float64(len(results)),
+			"failed %":                   100 * failedShare(results, arrivedAfter(0)),
+			"p99 s":                      p99(results, arrivedAfter(0)).Seconds(),
 		}
 	})
 }
--- a/io/flow/observe.go
+++ b/io/flow/observe.go
@@ -11,15 +11,16 @@
 	"endivehitch/io/engine"
 )
 
-// tally counts the runs of versions that a roll-out brings in, until the control loop takes them.
-type tally struct {
+// attemptCounters counts the outcomes of the versions that roll-outs introduce, until the control
+// loop takes the counts.
+type attemptCounters struct {
 	cells sync.Map
 }
 
-// Drain returns the runs counted since the last call, for an ObserveRuns command.
+// Drain returns the outcomes counted since the last call, for an ObserveRuns command.
 func (f *Flow) Drain() []value.Runs {
 	var list []value.Runs
-	f.tally.cells.Range(func(_, c any) bool {
+	f.counters.cells.Range(func(_, c any) bool {
 		var runs value.Runs
 		c.(*policy.Cell[value.Runs]).Update(func(was value.Runs) value.Runs {
 			runs = was
@@ -33,23 +34,25 @@
 	return list
 }
 
-// observe counts a run of a version that a roll-out brings in.
-func (r *run) observe(ctx context.Context, k value.VersionKey, began time.Time, u engine.Usage, err error) {
-	plan, ok := r.flow.Snapshot().RollOutTo(k)
-	if !ok || !tells(ctx, err) {
+// countOutcome counts an outcome of a version that a roll-out introduces; it ignores other
+// versions.
+func (e *execution) countOutcome(ctx context.Context, version value.VersionKey, start time.Time, usage engine.Usage, err error) {
+	rollOut, found := e.flow.Snapshot().RollOutTo(version)
+	if !found || !isVersionEvidence(ctx, err) {
 		return
 	}
-	slow := plan.SlowAfter > 0 && r.flow.Now().Sub(began) > plan.SlowAfter
-	costly := plan.CostAbove > 0 && r.price(k, u) > plan.CostAbove
-	c, _ := r.flow.tally.cells.LoadOrStore(k, policy.NewCell(value.Runs{Version: k}))
-	c.(*policy.Cell[value.Runs]).Update(func(was value.Runs) value.Runs {
+	slow := rollOut.SlowAfter > 0 && e.flow.Now().Sub(start) > rollOut.SlowAfter
+	costly := rollOut.CostAbove > 0 && e.price(version, usage) > rollOut.CostAbove
+	counter, _ := e.flow.counters.cells.LoadOrStore(version, policy.NewCell(value.Runs{Version: version}))
+	counter.(*policy.Cell[value.Runs]).Update(func(was value.Runs) value.Runs {
 		return was.WithRun(err != nil, slow, costly)
 	})
 }
 
-// tells reports whether the end of a run says something about its version: a caller that left, a
-// server that was not reached and a request at fault do not.
-func tells(ctx context.Context, err error) bool {
+// isVersionEvidence reports whether the outcome counts for the version. A complete answer, one that
+// was cut off, an error status that the server is responsible for and a time-out count. Otherwise a
+// caller that left, a connection error and a faulty request do not.
+func isVersionEvidence(ctx context.Context, err error) bool {
 	var status engine.BadStatus
 	switch {
 	case err == nil, errors.Is(err, engine.ErrCutOff):
--- a/io/flow/past.go
+++ b/io/flow/past.go
@@ -9,23 +9,27 @@
 	"endivehitch/core/value"
 )
 
-// past keeps what the instance has seen of earlier runs, for estimates and budgets.
-type past struct {
-	classes sync.Map
-	paces   sync.Map
-	// accounts counts the requests in flight of each client account.
-	accounts sync.Map
-	typical  policy.Cell[query.Typical]
+// trafficStats holds the instance's measurements of earlier requests, from which estimates and
+// budgets are derived.
+type trafficStats struct {
+	// histories holds a query.History for each query.Class.
+	histories sync.Map
+	// throughputs holds a query.Pace for each throughputKey.
+	throughputs sync.Map
+	// inFlight counts the requests in flight of each client account.
+	inFlight sync.Map
+	median   policy.Cell[query.Typical]
 	retries  policy.Cell[policy.Budget]
 	hedges   policy.Cell[policy.Budget]
 }
 
-// served identifies what a pace is kept for.
-type served struct {
+// throughputKey identifies the target of a throughput: a version, or a plain service.
+type throughputKey struct {
 	version value.VersionKey
 	service value.ServiceName
 }
 
+// cellOf returns the cell of the key, which it adds if there is none.
 func cellOf[T any](m *sync.Map, key any) *policy.Cell[T] {
 	c, ok := m.Load(key)
 	if !ok {
@@ -34,52 +38,54 @@
 	return c.(*policy.Cell[T])
 }
 
-func (p *past) history(r value.Request) query.History {
-	return cellOf[query.History](&p.classes, query.ClassOf(r)).Get()
+func (s *trafficStats) history(r value.Request) query.History {
+	return cellOf[query.History](&s.histories, query.ClassOf(r)).Get()
 }
 
-func (p *past) expect(r value.Request) query.Length {
-	return query.Expect(p.history(r), p.typical.Get())
+func (s *trafficStats) estimate(r value.Request) query.Length {
+	return query.Expect(s.history(r), s.median.Get())
 }
 
-func (p *past) sawFirst(r value.Request, after time.Duration) {
-	cellOf[query.History](&p.classes, query.ClassOf(r)).Update(func(h query.History) query.History {
-		return h.WithFirst(after)
+func (s *trafficStats) observeFirstToken(r value.Request, elapsed time.Duration) {
+	cellOf[query.History](&s.histories, query.ClassOf(r)).Update(func(h query.History) query.History {
+		return h.WithFirst(elapsed)
 	})
 }
 
-func (p *past) sawRun(r value.Request, took time.Duration, at time.Time) {
-	cellOf[query.History](&p.classes, query.ClassOf(r)).Update(func(h query.History) query.History {
-		return h.WithRun(took, at)
+func (s *trafficStats) observeCompletion(r value.Request, duration time.Duration, at time.Time) {
+	cellOf[query.History](&s.histories, query.ClassOf(r)).Update(func(h query.History) query.History {
+		return h.WithRun(duration, at)
 	})
-	p.typical.Update(func(t query.Typical) query.Typical { return t.WithRun(took) })
+	s.median.Update(func(t query.Typical) query.Typical { return t.WithRun(duration) })
 }
 
-func (p *past) pace(t query.Target) *policy.Cell[query.Pace] {
-	return cellOf[query.Pace](&p.paces, served{t.Version, t.Service})
+func (s *trafficStats) throughput(t query.Target) *policy.Cell[query.Pace] {
+	return cellOf[query.Pace](&s.throughputs, throughputKey{t.Version, t.Service})
 }
 
-// enter counts a request of the client account in flight, unless the account has its most.
-func (p *past) enter(a value.ClientAccount) error {
+// addInFlight adds one to the client account's requests in flight; it returns a refusal if the
+// account is at its limit.
+func (s *trafficStats) addInFlight(a value.ClientAccount) error {
 	var refused error
-	cellOf[int](&p.accounts, a.Name).TryUpdate(func(n int) (int, bool) {
+	cellOf[int](&s.inFlight, a.Name).TryUpdate(func(n int) (int, bool) {
 		refused = query.Within(a, n)
 		return n + 1, refused == nil
 	})
 	return refused
 }
 
-// leave counts the request off again.
-func (p *past) leave(a value.ClientAccount) {
-	cellOf[int](&p.accounts, a.Name).Update(func(n int) int { return n - 1 })
+// removeInFlight subtracts one from the client account's requests in flight.
+func (s *trafficStats) removeInFlight(a value.ClientAccount) {
+	cellOf[int](&s.inFlight, a.Name).Update(func(n int) int { return n - 1 })
 }
 
-// countFirst feeds both budgets with a first attempt.
-func (p *past) countFirst(retry, hedge policy.BudgetConfig) {
-	p.retries.Update(func(b policy.Budget) policy.Budget { return b.WithFirst(retry) })
-	p.hedges.Update(func(b policy.Budget) policy.Budget { return b.WithFirst(hedge) })
+// countFirstAttempt adds a first attempt to both budgets.
+func (s *trafficStats) countFirstAttempt(retry, hedge policy.BudgetConfig) {
+	s.retries.Update(func(b policy.Budget) policy.Budget { return b.WithFirst(retry) })
+	s.hedges.Update(func(b policy.Budget) policy.Budget { return b.WithFirst(hedge) })
 }
 
-func spend(c *policy.Cell[policy.Budget], bounds policy.BudgetConfig) bool {
+// spendBudget takes one attempt from the budget and reports whether there was one left.
+func spendBudget(c *policy.Cell[policy.Budget], bounds policy.BudgetConfig) bool {
 	return c.TryUpdate(func(b policy.Budget) (policy.Budget, bool) { return b.WithExtra(bounds) })
 }
--- a/io/flow/place.go
+++ b/io/flow/place.go
@@ -10,88 +10,92 @@
 	"endivehitch/io/engine"
 )
 
-// place is one of the concurrent requests that a backend server is given by this instance.
-type place struct {
-	gate    *gate
-	choice  query.Choice
-	target  query.Target
-	started time.Time
-	once    sync.Once
+// serverSlot is the capacity at a backend server for one concurrent request of this instance.
+type serverSlot struct {
+	allocator *slotAllocator
+	choice    query.Choice
+	target    query.Target
+	started   time.Time
+	once      sync.Once
 }
 
-// free gives the place back; calls after the first do nothing.
-func (p *place) free() {
-	p.once.Do(func() {
-		f := p.gate.flow
-		id := p.choice.Server.ID
-		f.board.Update(id, func(l value.Load) value.Load { return l.WithEnd(p.target.Long, p.started) })
-		f.past.pace(p.target).Update(query.Pace.WithEnd)
-		p.gate.served(id)
+// release gives the slot back and grants free slots of the server to waiting requests; calls after
+// the first do nothing.
+func (s *serverSlot) release() {
+	s.once.Do(func() {
+		f := s.allocator.flow
+		id := s.choice.Server.ID
+		f.loads.Update(id, func(l value.Load) value.Load { return l.WithEnd(s.target.Long, s.started) })
+		f.stats.throughput(s.target).Update(query.Pace.WithEnd)
+		s.allocator.grantSlotsOf(id)
 	})
 }
 
-// sawFirst feeds the observation of a first piece into what is known of the server.
-func (p *place) sawFirst(r *run, after time.Duration) {
-	f := p.gate.flow
-	s, now := f.Snapshot(), f.Now()
-	b := p.choice.Server
-	limits, bounded := query.Limits(s, b.Pool)
-	normal := r.perUnit(after)
-	f.board.Update(b.ID, func(l value.Load) value.Load {
+// observeFirstToken updates the server's load by the time to a first piece.
+func (s *serverSlot) observeFirstToken(e *execution, elapsed time.Duration) {
+	f := s.allocator.flow
+	control, now := f.Snapshot(), f.Now()
+	server := s.choice.Server
+	limits, bounded := query.Limits(control, server.Pool)
+	normal := e.normalizeFirstToken(elapsed)
+	f.loads.Update(server.ID, func(l value.Load) value.Load {
 		if bounded {
 			l = l.WithLimiter(l.Limiter.WithSample(limits, normal, l.InFlight))
 		}
-		return l.WithFirst(query.FirstSmooth, p.started, now, normal)
+		return l.WithFirst(query.FirstSmooth, s.started, now, normal)
 	})
-	p.judge(r)
+	s.updateEjection(e)
 }
 
-const givenUpFactor = 2
+// cancelledFactor times its elapsed time is the assumed time to first token of a cancelled attempt,
+// of which it is known only that it would have taken longer.
+const cancelledFactor = 2
 
-// sawDelay feeds the time that a run waited in vain, where it is longer than what is expected.
-func (p *place) sawDelay(r *run, after time.Duration) {
-	f := p.gate.flow
-	// Of a run that was given up it is known only that it would have taken longer.
-	normal := givenUpFactor * r.perUnit(after)
-	if normal <= f.board.Load(p.choice.Server.ID).FirstToken.Mean {
+// observeCancelled updates the server's load by an attempt that was cancelled before its first
+// piece, if the assumed time to first token exceeds the server's mean.
+func (s *serverSlot) observeCancelled(e *execution, elapsed time.Duration) {
+	f := s.allocator.flow
+	normal := cancelledFactor * e.normalizeFirstToken(elapsed)
+	if normal <= f.loads.Load(s.choice.Server.ID).FirstToken.Mean {
 		return
 	}
 	now := f.Now()
-	f.board.Update(p.choice.Server.ID, func(l value.Load) value.Load {
-		return l.WithFirst(query.FirstSmooth, p.started, now, normal)
+	f.loads.Update(s.choice.Server.ID, func(l value.Load) value.Load {
+		return l.WithFirst(query.FirstSmooth, s.started, now, normal)
 	})
-	p.judge(r)
+	s.updateEjection(e)
 }
 
-// sawFailure feeds a failed run into what is known of the server.
-func (p *place) sawFailure(r *run, err error) {
-	f := p.gate.flow
-	b := p.choice.Server
-	limits, bounded := query.Limits(f.Snapshot(), b.Pool)
+// observeFailure updates the server's load by a failed attempt.
+func (s *serverSlot) observeFailure(e *execution, err error) {
+	f := s.allocator.flow
+	server := s.choice.Server
+	limits, bounded := query.Limits(f.Snapshot(), server.Pool)
 	var status engine.BadStatus
 	overloaded := errors.As(err, &status) && status.Overloaded()
-	f.board.Update(b.ID, func(l value.Load) value.Load {
+	f.loads.Update(server.ID, func(l value.Load) value.Load {
 		if bounded && overloaded {
 			l = l.WithLimiter(l.Limiter.WithOverload(limits))
 		}
 		return l.WithFailure()
 	})
-	p.judge(r)
+	s.updateEjection(e)
 }
 
-// judge ejects the server if it has become an outlier.
-func (p *place) judge(r *run) {
-	f := p.gate.flow
-	s, now := f.Snapshot(), f.Now()
-	b := p.choice.Server
-	until := query.Eject(s, b, f.board.Load, r.rnd, now)
+// updateEjection ejects the server if it has become an outlier, and clears its ejections if it has
+// recovered from them.
+func (s *serverSlot) updateEjection(e *execution) {
+	f := s.allocator.flow
+	control, now := f.Snapshot(), f.Now()
+	server := s.choice.Server
+	until := query.Eject(control, server, f.loads.Load, e.rnd, now)
 	if until.IsZero() {
-		if query.HasRecovered(s, b, f.board.Load, r.rnd, now) {
-			f.board.Update(b.ID, value.Load.WithRecovery)
+		if query.HasRecovered(control, server, f.loads.Load, e.rnd, now) {
+			f.loads.Update(server.ID, value.Load.WithRecovery)
 		}
 		return
 	}
-	f.board.Update(b.ID, func(l value.Load) value.Load { return l.WithEjection(until) })
-	f.Record(r.decision(value.StepEject).WithChoice(p.target.Version, b.ID, p.choice.Candidates, value.ReasonOutlier))
-	time.AfterFunc(until.Sub(now), f.Kick)
+	f.loads.Update(server.ID, func(l value.Load) value.Load { return l.WithEjection(until) })
+	f.Record(e.newDecision(value.StepEject).WithChoice(s.target.Version, server.ID, s.choice.Candidates, value.ReasonOutlier))
+	time.AfterFunc(until.Sub(now), f.RetryWaiting)
 }
--- a/io/flow/plant_test.go
+++ b/io/flow/plant_test.go
@@ -12,156 +12,159 @@
 	"endivehitch/io/engine"
 )
 
-// slots is how many runs a simulated server has under way at once; more wait inside it in order.
-const slots = 8
+// serverSlots is how many attempts a simulated server runs at once; more wait there in order of
+// arrival.
+const serverSlots = 8
 
-// firstPart is the share of a run's work before its first piece.
-const firstPart = 0.2
+// firstPieceShare is the share of an attempt's work that precedes its first piece.
+const firstPieceShare = 0.2
 
-// machine is a simulated backend server.
-type machine struct {
+// simulatedServer is the state of one backend server in a simulation.
+type simulatedServer struct {
 	busy    int
 	waiting []chan struct{}
 	cached  []uint64
 }
 
-// plant is the simulated servers, which all instances share; a call's body says how much work it is.
-type plant struct {
-	mu       sync.Mutex
-	machines map[value.ServerID]*machine
-	// factor returns how many times slower than normal the server is.
-	factor func(value.ServerID) float64
-	// reports is how often instances read load reports; zero means never.
-	reports time.Duration
-	runs    int
-	work    time.Duration
-	hits    int
+// simulation holds the simulated backend servers, which all instances share. The body of a call is
+// its work in nanoseconds, and its path the number of its prompt's prefix, if it has one.
+type simulation struct {
+	mu      sync.Mutex
+	servers map[value.ServerID]*simulatedServer
+	// slowdown returns how many times slower than normal the server is at present.
+	slowdown func(value.ServerID) float64
+	// reportInterval is how often instances read load reports; zero means never.
+	reportInterval time.Duration
+	attempts       int
+	work           time.Duration
+	cacheHits      int
 }
 
-func newPlant(servers int, factor func(value.ServerID) float64) *plant {
-	p := &plant{machines: make(map[value.ServerID]*machine), factor: factor}
+func newSimulation(servers int, slowdown func(value.ServerID) float64) *simulation {
+	s := &simulation{servers: make(map[value.ServerID]*simulatedServer), slowdown: slowdown}
 	for i := range servers {
-		p.machines[serverName(i)] = new(machine)
+		s.servers[serverName(i)] = new(simulatedServer)
 	}
-	return p
+	return s
 }
 
 func serverName(i int) value.ServerID {
 	return value.ServerID(fmt.Sprintf("s%02d", i))
 }
 
-func (p *plant) locked(do func()) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+func (s *simulation) withLock(do func()) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	do()
 }
 
-// enter takes a slot of the machine, after those that came before.
-func (p *plant) enter(ctx context.Context, m *machine) error {
-	var turn chan struct{}
-	p.locked(func() {
-		p.runs++
-		if m.busy < slots {
-			m.busy++
+// acquire takes a slot of the server; attempts get the slots in order of arrival.
+func (s *simulation) acquire(ctx context.Context, server *simulatedServer) error {
+	var granted chan struct{}
+	s.withLock(func() {
+		s.attempts++
+		if server.busy < serverSlots {
+			server.busy++
 			return
 		}
-		turn = make(chan struct{})
-		m.waiting = append(m.waiting, turn)
+		granted = make(chan struct{})
+		server.waiting = append(server.waiting, granted)
 	})
-	if turn == nil {
+	if granted == nil {
 		return nil
 	}
 	select {
-	case <-turn:
+	case <-granted:
 		return nil
 	case <-ctx.Done():
 	}
-	p.locked(func() {
-		for i, w := range m.waiting {
-			if w == turn {
-				m.waiting = append(m.waiting[:i], m.waiting[i+1:]...)
-				turn = nil
+	s.withLock(func() {
+		for i, waiting := range server.waiting {
+			if waiting == granted {
+				server.waiting = append(server.waiting[:i], server.waiting[i+1:]...)
+				granted = nil
 				return
 			}
 		}
 	})
-	if turn != nil {
-		p.leave(m)
+	if granted != nil {
+		s.release(server)
 	}
 	return ctx.Err()
 }
 
-func (p *plant) leave(m *machine) {
-	p.locked(func() {
-		if len(m.waiting) == 0 {
-			m.busy--
+func (s *simulation) release(server *simulatedServer) {
+	s.withLock(func() {
+		if len(server.waiting) == 0 {
+			server.busy--
 			return
 		}
-		close(m.waiting[0])
-		m.waiting = m.waiting[1:]
+		close(server.waiting[0])
+		server.waiting = server.waiting[1:]
 	})
 }
 
-func (p *plant) Start(ctx context.Context, b value.BackendServer, c engine.Call) (engine.Answer, error) {
-	m := p.machines[b.ID]
-	if err := p.enter(ctx, m); err != nil {
+func (s *simulation) Start(ctx context.Context, target value.BackendServer, call engine.Call) (engine.Answer, error) {
+	server := s.servers[target.ID]
+	if err := s.acquire(ctx, server); err != nil {
 		return nil, err
 	}
-	n, err := strconv.ParseInt(string(c.Body), 10, 64)
+	work, err := strconv.ParseInt(string(call.Body), 10, 64)
 	if err != nil {
-		p.leave(m)
+		s.release(server)
 		return nil, err
 	}
-	took := time.Duration(float64(n) * p.factor(b.ID))
-	p.locked(func() { p.work += took })
-	first := time.Duration(float64(took) * firstPart)
-	if prefix, err := strconv.ParseUint(c.Path, 10, 64); err == nil && p.holds(m, prefix) {
+	duration := time.Duration(float64(work) * s.slowdown(target.ID))
+	s.withLock(func() { s.work += duration })
+	first := time.Duration(float64(duration) * firstPieceShare)
+	if prefix, err := strconv.ParseUint(call.Path, 10, 64); err == nil && s.hasCached(server, prefix) {
 		first /= 10
 	}
-	return &yield{plant: p, machine: m, parts: []time.Duration{first, took - took/5}}, nil
+	return &simulatedAnswer{simulation: s, server: server, delays: []time.Duration{first, duration - duration/5}}, nil
 }
 
-// cacheSize is how many prefixes a machine keeps.
+// cacheSize is how many prefixes a server caches; the least recently used one is evicted.
 const cacheSize = 12
 
-func (p *plant) holds(m *machine, prefix uint64) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	at := -1
-	for i, have := range m.cached {
+// hasCached reports whether the server had the prefix cached, and caches it.
+func (s *simulation) hasCached(server *simulatedServer, prefix uint64) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	found := -1
+	for i, have := range server.cached {
 		if have == prefix {
-			at = i
+			found = i
 		}
 	}
-	if at >= 0 {
-		p.hits++
-		m.cached = append(m.cached[:at], m.cached[at+1:]...)
+	if found >= 0 {
+		s.cacheHits++
+		server.cached = append(server.cached[:found], server.cached[found+1:]...)
 	}
-	m.cached = append(m.cached, prefix)
-	m.cached = m.cached[max(0, len(m.cached)-cacheSize):]
-	return at >= 0
+	server.cached = append(server.cached, prefix)
+	server.cached = server.cached[max(0, len(server.cached)-cacheSize):]
+	return found >= 0
 }
 
-// yield is a running answer of the plant.
-type yield struct {
-	plant   *plant
-	machine *machine
-	parts   []time.Duration
-	once    sync.Once
+// simulatedAnswer is an answer in progress, which holds a slot of its server.
+type simulatedAnswer struct {
+	simulation *simulation
+	server     *simulatedServer
+	delays     []time.Duration
+	once       sync.Once
 }
 
-func (*yield) Head() engine.Head   { return engine.Head{Status: 200} }
-func (*yield) Usage() engine.Usage { return engine.Usage{OutputTokens: 1} }
-func (y *yield) Cancel()           { y.once.Do(func() { y.plant.leave(y.machine) }) }
+func (*simulatedAnswer) Head() engine.Head   { return engine.Head{Status: 200} }
+func (*simulatedAnswer) Usage() engine.Usage { return engine.Usage{OutputTokens: 1} }
+func (a *simulatedAnswer) Cancel()           { a.once.Do(func() { a.simulation.release(a.server) }) }
 
-func (y *yield) Next(ctx context.Context) (engine.Piece, error) {
-	if len(y.parts) == 0 {
-		y.Cancel()
+func (a *simulatedAnswer) Next(ctx context.Context) (engine.Piece, error) {
+	if len(a.delays) == 0 {
+		a.Cancel()
 		return engine.Piece{}, io.EOF
 	}
-	if err := pause(ctx, y.parts[0]); err != nil {
+	if err := pause(ctx, a.delays[0]); err != nil {
 		return engine.Piece{}, err
 	}
-	y.parts = y.parts[1:]
+	a.delays = a.delays[1:]
 	return engine.Piece{Data: []byte("x")}, nil
 }
--- a/io/flow/poll.go
+++ b/io/flow/poll.go
@@ -10,59 +10,60 @@
 	"endivehitch/io/engine"
 )
 
-// PollConfig sets up the reading of load reports.
+// PollConfig configures the polling of load reports.
 type PollConfig struct {
 	From engine.Reporter
-	// Every is the time between two readings, which also bounds one of them.
+	// Every is the time between two batches, and the time-out of each.
 	Every time.Duration
-	// Batch is how many servers are read at a time; the others have their turn later.
+	// Batch is how many servers are polled at a time; the others follow in later batches.
 	Batch int
 }
 
-// Poll reads what servers report of their load, some at a time, until the context ends.
+// Poll reads the load reports of the servers, batch by batch, until the context ends.
 //
-// A report that can't be read is left out: routing does without it.
-func (f *Flow) Poll(ctx context.Context, c PollConfig) {
-	tick := time.NewTicker(c.Every)
+// A report that cannot be read is skipped; routing works without it.
+func (f *Flow) Poll(ctx context.Context, config PollConfig) {
+	tick := time.NewTicker(config.Every)
 	defer tick.Stop()
-	var turn []value.ServerID
+	var remaining []value.ServerID
 	for {
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
 			return
 		}
-		if len(turn) == 0 {
-			turn = f.Snapshot().Servers().Keys()
+		if len(remaining) == 0 {
+			remaining = f.Snapshot().Servers().Keys()
 		}
-		n := min(c.Batch, len(turn))
-		f.read(ctx, c, turn[:n])
-		turn = turn[n:]
+		n := min(config.Batch, len(remaining))
+		f.readReports(ctx, config, remaining[:n])
+		remaining = remaining[n:]
 	}
 }
 
-func (f *Flow) read(ctx context.Context, c PollConfig, ids []value.ServerID) {
-	ctx, cancel := context.WithTimeout(ctx, c.Every)
+func (f *Flow) readReports(ctx context.Context, config PollConfig, ids []value.ServerID) {
+	ctx, cancel := context.WithTimeout(ctx, config.Every)
 	defer cancel()
 	s := f.Snapshot()
-	var all errgroup.Group
+	var group errgroup.Group
 	for _, id := range ids {
-		b, ok := s.Server(id)
-		if !ok || b.State != value.ServerLive || plain(b) {
+		server, ok := s.Server(id)
+		if !ok || server.State != value.ServerLive || isPlainService(server) {
 			continue
 		}
-		all.Go(func() error {
-			r, err := c.From.Load(ctx, b)
+		group.Go(func() error {
+			report, err := config.From.Load(ctx, server)
 			if err == nil {
-				f.board.Update(id, func(l value.Load) value.Load { return l.WithReport(r.Queued, r.At) })
+				f.loads.Update(id, func(l value.Load) value.Load { return l.WithReport(report.Queued, report.At) })
 			}
 			return nil
 		})
 	}
-	_ = all.Wait()
+	_ = group.Wait()
 }
 
-// plain reports whether the server is of a plain service, which gets no call that no caller has made.
-func plain(b value.BackendServer) bool {
+// isPlainService reports whether the server belongs to a plain service. Such a server gets only
+// calls that a caller has made, so it is not polled.
+func isPlainService(b value.BackendServer) bool {
 	return len(b.Versions) == 0
 }
--- a/io/flow/poll_test.go
+++ b/io/flow/poll_test.go
@@ -13,11 +13,12 @@
 	"endivehitch/io/flow"
 )
 
-// gauges reports a queue for each server; a server without one fails, and a negative one hangs.
-type gauges map[value.ServerID]int
+// queueReporter reports the queue length of each server. The report of a server that is not in the
+// map fails, and that of a server with a negative length hangs.
+type queueReporter map[value.ServerID]int
 
-func (g gauges) Load(ctx context.Context, b value.BackendServer) (engine.Report, error) {
-	n, ok := g[b.ID]
+func (q queueReporter) Load(ctx context.Context, b value.BackendServer) (engine.Report, error) {
+	n, ok := q[b.ID]
 	if !ok {
 		return engine.Report{}, errReset
 	}
@@ -28,30 +29,30 @@
 	return engine.Report{Server: b.ID, Queued: n, At: time.Now()}, nil
 }
 
-func (gauges) CacheEvents(context.Context, value.BackendServer, int64) ([]engine.CacheEvent, error) {
+func (queueReporter) CacheEvents(context.Context, value.BackendServer, int64) ([]engine.CacheEvent, error) {
 	return nil, engine.ErrUnsupported
 }
 
-func TestServersThatDoNotReportHoldUpNoOther(t *testing.T) {
+func TestFailedLoadReportsDoNotDelayOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := newRig(t, ward(spelling), map[value.ServerID][]act{"s1": {good}, "s2": {good}, "s3": {good}, "s4": {good}})
+		h := newHarness(t, newDocument(spelling), map[value.ServerID][]script{"s1": {completeScript}, "s2": {completeScript}, "s3": {completeScript}, "s4": {completeScript}})
 		ctx, stop := context.WithTimeout(t.Context(), 3500*time.Millisecond)
 		defer stop()
-		g.flow.Poll(ctx, flow.PollConfig{From: gauges{"s1": -1, "s3": 4, "s4": 7}, Every: time.Second, Batch: 2})
-		board := g.flow.Board()
-		assert.Equal(t, board.Load("s3").ReportedQueue, 4)
-		assert.Equal(t, board.Load("s4").ReportedQueue, 7)
-		assert.Assert(t, board.Load("s1").Reported.IsZero() && board.Load("s2").Reported.IsZero())
+		h.flow.Poll(ctx, flow.PollConfig{From: queueReporter{"s1": -1, "s3": 4, "s4": 7}, Every: time.Second, Batch: 2})
+		loads := h.flow.ServerLoads()
+		assert.Equal(t, loads.Load("s3").ReportedQueue, 4)
+		assert.Equal(t, loads.Load("s4").ReportedQueue, 7)
+		assert.Assert(t, loads.Load("s1").Reported.IsZero() && loads.Load("s2").Reported.IsZero())
 	})
 }
 
-func TestPlainServicesGetNoCallThatNoCallerMade(t *testing.T) {
+func TestPlainServicesAreNotPolled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := newRig(t, ward(spelling), nil)
-		g.control = g.control.WithServer(value.BackendServer{ID: "desk", Pool: "engines", State: value.ServerLive})
+		h := newHarness(t, newDocument(spelling), nil)
+		h.control = h.control.WithServer(value.BackendServer{ID: "desk", Pool: "engines", State: value.ServerLive})
 		ctx, stop := context.WithTimeout(t.Context(), 3500*time.Millisecond)
 		defer stop()
-		g.flow.Poll(ctx, flow.PollConfig{From: gauges{"desk": 4}, Every: time.Second, Batch: 2})
-		assert.Assert(t, g.flow.Board().Load("desk").Reported.IsZero())
+		h.flow.Poll(ctx, flow.PollConfig{From: queueReporter{"desk": 4}, Every: time.Second, Batch: 2})
+		assert.Assert(t, h.flow.ServerLoads().Load("desk").Reported.IsZero())
 	})
 }
--- a/io/flow/ports.go
+++ b/io/flow/ports.go
@@ -7,13 +7,13 @@
 	"endivehitch/io/engine"
 )
 
-// Job is a request together with the call that carries its body.
+// Job is a request together with the engine call that holds its body.
 type Job struct {
 	Request value.Request
 	Call    engine.Call
 }
 
-// Result is what became of a request that was answered.
+// Result describes the answer of a request.
 type Result struct {
 	Version value.VersionKey
 	Server  value.ServerID
@@ -21,41 +21,44 @@
 	Bill    value.Bill
 }
 
-// Sink receives one answer; it is used by one goroutine.
+// Sink writes one answer to the caller; it is used by one goroutine.
 type Sink interface {
-	// Begin is called once, before the first piece, with the version that answers.
+	// Begin is called once, before the first piece, with the version that answers. The version is
+	// empty for a plain service and for a stored answer.
 	Begin(h engine.Head, v value.VersionKey) error
-	// Write takes the next piece.
+	// Write writes the next piece.
 	Write(p engine.Piece) error
-	// End is called once the answer is whole and its bill is kept.
+	// End is called once the answer is complete and its bill is stored.
 	End(u engine.Usage) error
 }
 
-// Biller keeps bills so that each request is charged once.
+// Biller stores bills so that each request is charged once.
 type Biller interface {
-	// Keep returns once the bill survives the loss of this instance.
+	// Keep stores the bill and returns once it survives the loss of this instance.
 	Keep(ctx context.Context, b value.Bill) error
 }
 
-// Stored is the kept answer of a request that ran earlier under the same idempotency key.
+// Stored is the stored answer of an earlier request with the same idempotency key.
 type Stored struct {
 	Head engine.Head
 	Body []byte
 }
 
-// Claim is the right to run a request that must run at most once.
+// Claim is the right to execute a request that must run at most once.
 type Claim interface {
-	// Finish keeps the answer for later calls with the same key.
+	// Finish stores the answer for later calls with the same key.
 	Finish(ctx context.Context, s Stored) error
-	// Release gives the key back; it is called only when nothing was dispatched.
+	// Release makes the key available again; it is called only if nothing was dispatched.
 	Release(ctx context.Context) error
-	// Doubt marks the outcome as unknown, after a dispatch that did not end in a whole answer.
+	// Doubt marks the outcome as unknown, after a dispatch whose bill and answer were not both
+	// stored.
 	Doubt(ctx context.Context) error
 }
 
-// Guard lets a request that is not idempotent run at most once across the fleet.
+// Guard ensures that a request that is not idempotent runs at most once in the fleet.
 type Guard interface {
-	// Claim returns the right to run, or the kept answer of an earlier run; the error is a
-	// value.Refusal with StillRunning, OutcomeUnknown, IdempotencyKeyReused or JournalUnavailable.
+	// Claim returns the right to execute the request, or the stored answer of an earlier request
+	// with the same key. The error is a value.Refusal with StillRunning, OutcomeUnknown,
+	// IdempotencyKeyReused or JournalUnavailable.
 	Claim(ctx context.Context, r value.Request) (Claim, *Stored, error)
 }
--- a/io/flow/replay_test.go
+++ b/io/flow/replay_test.go
@@ -14,49 +14,49 @@
 	"endivehitch/io/flow"
 )
 
-// keeper is a guard of one key.
-type keeper struct{ stored *flow.Stored }
+// singleKeyGuard is a guard for requests that all have the same key.
+type singleKeyGuard struct{ stored *flow.Stored }
 
-func (k *keeper) Claim(context.Context, value.Request) (flow.Claim, *flow.Stored, error) {
-	if k.stored != nil {
-		return nil, k.stored, nil
+func (g *singleKeyGuard) Claim(context.Context, value.Request) (flow.Claim, *flow.Stored, error) {
+	if g.stored != nil {
+		return nil, g.stored, nil
 	}
-	return k, nil, nil
+	return g, nil, nil
 }
 
-func (k *keeper) Finish(_ context.Context, s flow.Stored) error {
-	k.stored = &s
+func (g *singleKeyGuard) Finish(_ context.Context, s flow.Stored) error {
+	g.stored = &s
 	return nil
 }
 
-func (k *keeper) Release(context.Context) error { return nil }
-func (k *keeper) Doubt(context.Context) error   { return nil }
+func (g *singleKeyGuard) Release(context.Context) error { return nil }
+func (g *singleKeyGuard) Doubt(context.Context) error   { return nil }
 
-// pieces keeps an answer's pieces apart.
-type pieces struct{ all []string }
+// pieceRecorder is a sink that records each piece of an answer separately.
+type pieceRecorder struct{ data []string }
 
-func (p *pieces) Begin(engine.Head, value.VersionKey) error { return nil }
-func (p *pieces) End(engine.Usage) error                    { return nil }
+func (p *pieceRecorder) Begin(engine.Head, value.VersionKey) error { return nil }
+func (p *pieceRecorder) End(engine.Usage) error                    { return nil }
 
-func (p *pieces) Write(piece engine.Piece) error {
-	p.all = append(p.all, string(piece.Data))
+func (p *pieceRecorder) Write(piece engine.Piece) error {
+	p.data = append(p.data, string(piece.Data))
 	return nil
 }
 
-func TestKeptStreamComesBackPieceByPiece(t *testing.T) {
+func TestStoredStreamIsReplayedPieceByPiece(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := newRig(t, ward(reorder), map[value.ServerID][]act{"s1": {{pieces: []string{`{"a":1}`, `{"b":2}`}}}})
+		h := newHarness(t, newDocument(reorder), map[value.ServerID][]script{"s1": {{pieces: []string{`{"a":1}`, `{"b":2}`}}}})
 		f, err := flow.New(flow.Config{
-			Snapshot: func() state.State { return g.snapshot() },
-			Runner:   g, Biller: g, Guard: &keeper{}, Now: time.Now, Record: func(value.Decision) {},
+			Snapshot: func() state.State { return h.snapshot() },
+			Runner:   h, Biller: h, Guard: &singleKeyGuard{}, Now: time.Now, Record: func(value.Decision) {},
 		})
 		assert.NilError(t, err)
-		first, again := &pieces{}, &pieces{}
-		_, err = f.Serve(t.Context(), job("r1", reorder), first)
+		first, again := &pieceRecorder{}, &pieceRecorder{}
+		_, err = f.Serve(t.Context(), newJob("r1", reorder), first)
 		assert.NilError(t, err)
-		_, err = f.Serve(t.Context(), job("r2", reorder), again)
+		_, err = f.Serve(t.Context(), newJob("r2", reorder), again)
 		assert.NilError(t, err)
-		assert.DeepEqual(t, again.all, first.all)
-		assert.Equal(t, g.runs["s1"], 1)
+		assert.DeepEqual(t, again.data, first.data)
+		assert.Equal(t, h.attempts["s1"], 1)
 	})
 }
--- a/io/flow/rig_test.go
+++ b/io/flow/rig_test.go
@@ -16,70 +16,75 @@
 	"endivehitch/io/flow"
 )
 
-const oneVersion = value.VersionKey("drafting-llm/small")
+// defaultVersion is carried by the servers that withServers adds.
+const defaultVersion = value.VersionKey("drafting-llm/small")
 
-// act is what a scripted server does with one run.
-type act struct {
-	refuse error
-	head   time.Duration
-	pieces []string
-	every  time.Duration
-	end    error
+// script is the behaviour of a scripted server in one attempt.
+type script struct {
+	startErr      error
+	headDelay     time.Duration
+	pieces        []string
+	pieceInterval time.Duration
+	endErr        error
 }
 
-func (a act) set() bool {
-	return a.refuse != nil || a.head > 0 || len(a.pieces) > 0 || a.end != nil
+func (s script) isSet() bool {
+	return s.startErr != nil || s.headDelay > 0 || len(s.pieces) > 0 || s.endErr != nil
 }
 
-// rig is a flow over scripted servers; the last act of a server is repeated.
-type rig struct {
+// harness is a flow over scripted servers. Each attempt at a server follows its next script; the
+// last one is repeated.
+type harness struct {
 	mu      sync.Mutex
 	control state.State
-	acts    map[value.ServerID][]act
-	// others, if set, is what every run but the first does.
-	others   act
-	runs     map[value.ServerID]int
-	running  int
-	cut      int
-	bills    []value.Bill
-	billing  error
-	settled  []string
-	deciding []value.Decision
-	flow     *flow.Flow
-}
-
-func newRig(t *testing.T, d value.Document, acts map[value.ServerID][]act) *rig {
+	scripts map[value.ServerID][]script
+	// laterAttempts, if set, is the script of every attempt but the first.
+	laterAttempts script
+	attempts      map[value.ServerID]int
+	running       int
+	cancelled     int
+	bills         []value.Bill
+	billErr       error
+	settled       []string
+	decisions     []value.Decision
+	flow          *flow.Flow
+}
+
+// newHarness returns a harness with a live server for each key of the scripts.
+func newHarness(t *testing.T, document value.Document, scripts map[value.ServerID][]script) *harness {
 	t.Helper()
-	g := &rig{acts: acts, runs: make(map[value.ServerID]int)}
-	s, _ := cmds.InstallConfig{Accepted: value.Accepted{Document: d, Revision: 1}}.Apply(state.New(value.Instance{ID: "a"}), time.Now())
-	g.control = s
-	for id := range acts {
-		g.control = withServers(g.control, id)
+	h := &harness{scripts: scripts, attempts: make(map[value.ServerID]int)}
+	s, _ := cmds.InstallConfig{Accepted: value.Accepted{Document: document, Revision: 1}}.Apply(state.New(value.Instance{ID: "a"}), time.Now())
+	h.control = s
+	for id := range scripts {
+		h.control = withServers(h.control, id)
 	}
 	f, err := flow.New(flow.Config{
-		Snapshot: g.snapshot, Runner: g, Biller: g, Guard: g, Now: time.Now, Seed: 7,
-		Record: func(d value.Decision) { g.locked(func() { g.deciding = append(g.deciding, d) }) },
+		Snapshot: h.snapshot, Runner: h, Biller: h, Guard: h, Now: time.Now, Seed: 7,
+		Record: func(d value.Decision) { h.withLock(func() { h.decisions = append(h.decisions, d) }) },
 	})
 	assert.NilError(t, err)
-	g.flow = f
-	return g
+	h.flow = f
+	return h
 }
 
 func withServers(s state.State, ids ...value.ServerID) state.State {
 	for _, id := range ids {
-		s = s.WithServer(value.BackendServer{ID: id, Pool: "engines", State: value.ServerLive, Versions: []value.VersionKey{oneVersion}})
+		s = s.WithServer(value.BackendServer{ID: id, Pool: "engines", State: value.ServerLive, Versions: []value.VersionKey{defaultVersion}})
 	}
 	return s
 }
 
-func ward(kinds ...value.Kind) value.Document {
+// newDocument returns a configuration with two client accounts that may use every kind, and one
+// slot per server.
+func newDocument(kinds ...value.Kind) value.Document {
 	names := make([]value.KindName, 0, len(kinds))
 	for _, k := range kinds {
 		names = append(names, k.Name)
 	}
 	accounts := []value.ClientAccount{
-		{Name: "ward-12", Share: 1, Versions: []value.VersionKey{oneVersion}, Kinds: names},
-		{Name: "ward-9", Share: 1, Versions: []value.VersionKey{oneVersion}, Kinds: names},
+		{Name: "ward-12", Share: 1, Versions: []value.VersionKey{defaultVersion}, Kinds: names},
+		{Name: "ward-9", Share: 1, Versions: []value.VersionKey{defaultVersion}, Kinds: names},
 	}
 	return value.Document{
 		ClientAccounts: accounts, Kinds: kinds,
@@ -96,7 +101,7 @@
 	shared   = value.Kind{Name: "shared", Model: "drafting-llm", Priority: value.PriorityInteractive, Idempotent: true, MaxAttempts: 3, Share: true}
 )
 
-func job(id string, k value.Kind) flow.Job {
+func newJob(id string, k value.Kind) flow.Job {
 	return flow.Job{
 		Request: value.Request{
 			ID: value.RequestID(id), Account: "ward-12", Kind: k.Name, Key: "k", Question: 1, Stream: true,
@@ -106,39 +111,40 @@
 	}
 }
 
-func (g *rig) locked(do func()) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+func (h *harness) withLock(do func()) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	do()
 }
 
-func (g *rig) snapshot() state.State {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.control
+func (h *harness) snapshot() state.State {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.control
 }
 
-func (g *rig) Start(ctx context.Context, b value.BackendServer, _ engine.Call) (engine.Answer, error) {
-	var a act
-	g.locked(func() {
-		n := min(g.runs[b.ID], len(g.acts[b.ID])-1)
-		a = g.acts[b.ID][n]
-		if len(g.runs) > 0 && g.others.set() {
-			a = g.others
+func (h *harness) Start(ctx context.Context, server value.BackendServer, _ engine.Call) (engine.Answer, error) {
+	var current script
+	h.withLock(func() {
+		n := min(h.attempts[server.ID], len(h.scripts[server.ID])-1)
+		current = h.scripts[server.ID][n]
+		if len(h.attempts) > 0 && h.laterAttempts.isSet() {
+			current = h.laterAttempts
 		}
-		g.runs[b.ID]++
-		g.running++
+		h.attempts[server.ID]++
+		h.running++
 	})
-	if err := pause(ctx, a.head); err != nil || a.refuse != nil {
-		g.locked(func() { g.running-- })
+	if err := pause(ctx, current.headDelay); err != nil || current.startErr != nil {
+		h.withLock(func() { h.running-- })
 		if err == nil {
-			err = a.refuse
+			err = current.startErr
 		}
 		return nil, err
 	}
-	return &reply{rig: g, act: a}, nil
+	return &scriptedAnswer{harness: h, script: current}, nil
 }
 
+// pause waits for the duration or until the context ends.
 func pause(ctx context.Context, d time.Duration) error {
 	select {
 	case <-time.After(d):
@@ -148,93 +154,94 @@
 	}
 }
 
-type reply struct {
-	rig  *rig
-	act  act
-	once sync.Once
-	sent int
+type scriptedAnswer struct {
+	harness *harness
+	script  script
+	once    sync.Once
+	sent    int
 }
 
-func (*reply) Head() engine.Head   { return engine.Head{Status: 200} }
-func (*reply) Usage() engine.Usage { return engine.Usage{OutputTokens: 10} }
+func (*scriptedAnswer) Head() engine.Head   { return engine.Head{Status: 200} }
+func (*scriptedAnswer) Usage() engine.Usage { return engine.Usage{OutputTokens: 10} }
 
-func (a *reply) Cancel() {
+func (a *scriptedAnswer) Cancel() {
 	a.once.Do(func() {
-		a.rig.locked(func() {
-			a.rig.running--
-			if a.sent < len(a.act.pieces) {
-				a.rig.cut++
+		a.harness.withLock(func() {
+			a.harness.running--
+			if a.sent < len(a.script.pieces) {
+				a.harness.cancelled++
 			}
 		})
 	})
 }
 
-func (a *reply) Next(ctx context.Context) (engine.Piece, error) {
-	if err := pause(ctx, a.act.every); err != nil {
+func (a *scriptedAnswer) Next(ctx context.Context) (engine.Piece, error) {
+	if err := pause(ctx, a.script.pieceInterval); err != nil {
 		return engine.Piece{}, err
 	}
-	if a.sent < len(a.act.pieces) {
+	if a.sent < len(a.script.pieces) {
 		a.sent++
-		return engine.Piece{Data: []byte(a.act.pieces[a.sent-1])}, nil
+		return engine.Piece{Data: []byte(a.script.pieces[a.sent-1])}, nil
 	}
-	if a.act.end != nil {
-		return engine.Piece{}, a.act.end
+	if a.script.endErr != nil {
+		return engine.Piece{}, a.script.endErr
 	}
 	return engine.Piece{}, io.EOF
 }
 
-func (g *rig) Keep(_ context.Context, b value.Bill) error {
-	g.locked(func() {
-		if g.billing == nil {
-			g.bills = append(g.bills, b)
+func (h *harness) Keep(_ context.Context, b value.Bill) error {
+	h.withLock(func() {
+		if h.billErr == nil {
+			h.bills = append(h.bills, b)
 		}
 	})
-	return g.billing
+	return h.billErr
 }
 
-func (g *rig) Claim(context.Context, value.Request) (flow.Claim, *flow.Stored, error) {
-	return g, nil, nil
+func (h *harness) Claim(context.Context, value.Request) (flow.Claim, *flow.Stored, error) {
+	return h, nil, nil
 }
 
-func (g *rig) settle(how string) error {
-	g.locked(func() { g.settled = append(g.settled, how) })
+func (h *harness) recordSettlement(result string) error {
+	h.withLock(func() { h.settled = append(h.settled, result) })
 	return nil
 }
 
-func (g *rig) Finish(_ context.Context, s flow.Stored) error {
-	return g.settle("Finish " + string(s.Body))
+func (h *harness) Finish(_ context.Context, s flow.Stored) error {
+	return h.recordSettlement("Finish " + string(s.Body))
 }
-func (g *rig) Release(context.Context) error { return g.settle("Release") }
-func (g *rig) Doubt(context.Context) error   { return g.settle("Doubt") }
+func (h *harness) Release(context.Context) error { return h.recordSettlement("Release") }
+func (h *harness) Doubt(context.Context) error   { return h.recordSettlement("Doubt") }
 
-// inFlight sums the places that the flow counts as taken.
-func (g *rig) inFlight() int {
+// inFlight returns how many slots the flow counts as taken at all servers.
+func (h *harness) inFlight() int {
 	n := 0
-	for id := range g.acts {
-		n += g.flow.Board().Load(id).InFlight
+	for id := range h.scripts {
+		n += h.flow.ServerLoads().Load(id).InFlight
 	}
 	return n
 }
 
-// seen is a sink that notes what a caller sees; it may fail or panic at the first piece.
-type seen struct {
-	text  string
-	ended bool
-	fail  error
-	panic bool
+// recordingWriter is a sink that records the text that a caller receives; it may fail or panic at a
+// piece.
+type recordingWriter struct {
+	text     string
+	ended    bool
+	writeErr error
+	panics   bool
 }
 
-func (s *seen) Begin(engine.Head, value.VersionKey) error { return nil }
+func (w *recordingWriter) Begin(engine.Head, value.VersionKey) error { return nil }
 
-func (s *seen) Write(p engine.Piece) error {
-	if s.panic {
+func (w *recordingWriter) Write(p engine.Piece) error {
+	if w.panics {
 		panic("sink")
 	}
-	s.text += string(p.Data)
-	return s.fail
+	w.text += string(p.Data)
+	return w.writeErr
 }
 
-func (s *seen) End(engine.Usage) error {
-	s.ended = true
+func (w *recordingWriter) End(engine.Usage) error {
+	w.ended = true
 	return nil
 }
--- a/io/flow/run.go
+++ b/io/flow/run.go
@@ -13,125 +13,129 @@
 	"endivehitch/io/engine"
 )
 
-// run is one request under way; it belongs to one goroutine.
-type run struct {
-	flow     *Flow
-	job      Job
-	sink     Sink
-	life     life
-	rnd      *rand.Rand
-	admitted query.Admitted
-	length   query.Length
-	tried    []value.ServerID
-	attempts int
-	// sends counts the runs that a backend server may have received.
-	sends int
-	// begun is set once the caller has part of the answer.
-	begun   bool
-	claim   Claim
-	body    []byte
-	cascade cascade
-	// gone is the error by which the caller's connection failed under a run that had to go on.
-	gone error
+// execution is the state of one request from its admission to its answer or refusal. It is used by
+// one goroutine.
+type execution struct {
+	flow         *Flow
+	job          Job
+	writer       Sink
+	lifecycle    lifecycle
+	rnd          *rand.Rand
+	admitted     query.Admitted
+	estimate     query.Length
+	triedServers []value.ServerID
+	attempts     int
+	// sentAttempts counts the attempts that a backend server may have received.
+	sentAttempts int
+	// answerStarted is set once the head of an answer has been passed to the writer.
+	answerStarted bool
+	claim         Claim
+	storedBody    []byte
+	cascade       cascade
+	// callerErr is the write error of the caller's connection, while the request continues under
+	// its claim.
+	callerErr error
 }
 
-// produced is a whole answer, before it is billed.
-type produced struct {
+// completeAnswer describes an answer that is complete and not yet billed.
+type completeAnswer struct {
 	target query.Target
 	server value.ServerID
 	head   engine.Head
 	usage  engine.Usage
-	// spentMicros is what rejected answers and verdicts cost, in micro-units of currency.
+	// spentMicros is the cost of rejected answers and of verdicts, in micro-units of currency.
 	spentMicros int64
 }
 
-func newRun(f *Flow, j Job, s Sink) *run {
-	return &run{
-		flow: f,
-		job:  j,
-		sink: s,
-		life: newLife(),
-		rnd:  rand.New(rand.NewPCG(f.Seed, xxhash.Sum64String(string(j.Request.ID)))),
+func newExecution(f *Flow, job Job, writer Sink) *execution {
+	return &execution{
+		flow:      f,
+		job:       job,
+		writer:    writer,
+		lifecycle: newLifecycle(),
+		rnd:       rand.New(rand.NewPCG(f.Seed, xxhash.Sum64String(string(job.Request.ID)))),
 	}
 }
 
-func (r *run) serve(ctx context.Context) (Result, error) {
-	if err := r.admit(); err != nil {
+func (e *execution) serve(ctx context.Context) (Result, error) {
+	if err := e.admit(); err != nil {
 		return Result{}, err
 	}
-	defer r.flow.past.leave(r.admitted.Account)
-	if err := r.life.move(ctx, eventAdmit); err != nil {
+	defer e.flow.stats.removeInFlight(e.admitted.Account)
+	if err := e.lifecycle.apply(ctx, eventAdmit); err != nil {
 		return Result{}, err
 	}
-	if !r.admitted.Kind.Idempotent {
-		return r.executeOnce(ctx)
+	if !e.admitted.Kind.Idempotent {
+		return e.executeOnce(ctx)
 	}
-	if query.Shares(r.admitted.Kind, r.job.Request) {
-		return r.executeShared(ctx)
+	if query.Shares(e.admitted.Kind, e.job.Request) {
+		return e.executeShared(ctx)
 	}
-	return r.execute(ctx)
+	return e.execute(ctx)
 }
 
-func (r *run) admit() error {
-	s := r.flow.Snapshot()
-	a, err := query.Admit(s, r.job.Request, r.flow.Now())
+func (e *execution) admit() error {
+	s := e.flow.Snapshot()
+	a, err := query.Admit(s, e.job.Request, e.flow.Now())
 	if err != nil {
 		return err
 	}
-	if err := r.flow.past.enter(a.Account); err != nil {
+	if err := e.flow.stats.addInFlight(a.Account); err != nil {
 		return err
 	}
-	r.admitted = a
-	r.length = r.flow.past.expect(r.job.Request)
-	r.record(r.decision(value.StepAdmit).WithReason(value.ReasonAdmitted, ""))
+	e.admitted = a
+	e.estimate = e.flow.stats.estimate(e.job.Request)
+	e.record(e.newDecision(value.StepAdmit).WithReason(value.ReasonAdmitted, ""))
 	return nil
 }
 
-// execute produces the answer, keeps the bill and only then tells the caller that the answer is whole.
-func (r *run) execute(ctx context.Context) (Result, error) {
-	p, err := r.produce(ctx)
+// execute produces the answer, stores the bill, and only then ends the answer to the caller.
+func (e *execution) execute(ctx context.Context) (Result, error) {
+	answer, err := e.produce(ctx)
 	if err != nil {
 		return Result{}, err
 	}
-	return r.finish(ctx, p)
+	return e.finish(ctx, answer)
 }
 
-// produce passes a whole answer to the sink, from as many runs as it takes.
-func (r *run) produce(ctx context.Context) (produced, error) {
-	target, err := r.plan(ctx)
+// produce writes a complete answer, except for its end, and tries further servers and versions as
+// retries and the cascade allow.
+func (e *execution) produce(ctx context.Context) (completeAnswer, error) {
+	target, err := e.plan(ctx)
 	if err != nil {
-		return produced{}, err
+		return completeAnswer{}, err
 	}
-	s := r.flow.Snapshot()
-	r.flow.past.countFirst(query.RetryBudget(s), query.HedgeBudget(s))
+	s := e.flow.Snapshot()
+	e.flow.stats.countFirstAttempt(query.RetryBudget(s), query.HedgeBudget(s))
 	var failed error
 	for {
-		if target, err = r.current(target); err != nil {
-			return produced{}, err
+		if target, err = e.currentTarget(target); err != nil {
+			return completeAnswer{}, err
 		}
-		p, err := r.attempt(ctx, target)
+		answer, err := e.tryTarget(ctx, target)
 		if err == nil {
-			return p, nil
+			return answer, nil
 		}
-		if retired(err) {
+		if isWithdrawn(err) {
 			continue
 		}
-		if next, ok := r.escalate(ctx, target, err); ok {
+		if next, ok := e.escalate(ctx, target, err); ok {
 			target = next
 			continue
 		}
-		if !r.mayRetry(ctx, err) {
-			return produced{}, telling(failed, err)
+		if !e.allowRetry(ctx, err) {
+			return completeAnswer{}, moreInformative(failed, err)
 		}
 		failed = err
-		if err := r.life.move(ctx, eventRetry); err != nil {
-			return produced{}, err
+		if err := e.lifecycle.apply(ctx, eventRetry); err != nil {
+			return completeAnswer{}, err
 		}
 	}
 }
 
-// telling prefers the failure of a run to the lack of a further server, which tells the caller nothing.
-func telling(failed, err error) error {
+// moreInformative returns the earlier attempt's failure if the later error only says that there is
+// no further server, and the later error otherwise.
+func moreInformative(failed, err error) error {
 	var refusal value.Refusal
 	if failed != nil && errors.As(err, &refusal) && refusal.Reason == value.ReasonNoServer {
 		return failed
@@ -139,120 +143,127 @@
 	return err
 }
 
-func (r *run) plan(ctx context.Context) (query.Target, error) {
-	target := query.Target{Long: r.length.Long, Prefix: r.job.Request.Prefix}
-	if r.admitted.Kind.Service != "" {
-		target.Service = r.admitted.Kind.Service
-		return target, r.life.move(ctx, eventPlan)
+func (e *execution) plan(ctx context.Context) (query.Target, error) {
+	target := query.Target{Long: e.estimate.Long, Prefix: e.job.Request.Prefix}
+	if e.admitted.Kind.Service != "" {
+		target.Service = e.admitted.Kind.Service
+		return target, e.lifecycle.apply(ctx, eventPlan)
 	}
-	plan, err := query.Choose(r.flow.Snapshot(), r.admitted, r.job.Request, r.flow.Now())
+	plan, err := query.Choose(e.flow.Snapshot(), e.admitted, e.job.Request, e.flow.Now())
 	if err != nil {
 		return query.Target{}, err
 	}
-	target.Version = r.open(plan)
-	r.record(r.decision(value.StepPlan).WithChoice(target.Version, "", plan.Candidates, plan.Reason).WithCost(plan.CostMicros))
-	return target, r.life.move(ctx, eventPlan)
+	target.Version = e.firstVersion(plan)
+	e.record(e.newDecision(value.StepPlan).WithChoice(target.Version, "", plan.Candidates, plan.Reason).WithCost(plan.CostMicros))
+	return target, e.lifecycle.apply(ctx, eventPlan)
 }
 
-// attempt gets one answer; it ends all runs that it started.
-func (r *run) attempt(ctx context.Context, t query.Target) (produced, error) {
-	t.Tried = r.tried
-	p, err := r.route(ctx, t)
+// tryTarget gets one complete answer for the target, by one attempt or a hedged pair. When it
+// returns, it has ended or cancelled all its attempts.
+func (e *execution) tryTarget(ctx context.Context, target query.Target) (completeAnswer, error) {
+	target.Tried = e.triedServers
+	slot, err := e.route(ctx, target)
 	if err != nil {
-		return produced{}, err
+		return completeAnswer{}, err
 	}
-	began := r.flow.Now()
-	l, err := r.race(ctx, t, p)
+	start := e.flow.Now()
+	winner, err := e.runRace(ctx, target, slot)
 	if err != nil {
-		r.observe(ctx, t.Version, began, engine.Usage{}, err)
-		return produced{}, err
+		e.countOutcome(ctx, target.Version, start, engine.Usage{}, err)
+		return completeAnswer{}, err
 	}
-	defer l.end()
-	err = r.deliver(ctx, t, l)
-	r.observe(ctx, t.Version, began, l.answer.Usage(), err)
+	defer winner.end()
+	err = e.relay(ctx, target, winner)
+	e.countOutcome(ctx, target.Version, start, winner.answer.Usage(), err)
 	if err != nil {
-		return produced{}, err
+		return completeAnswer{}, err
 	}
-	r.sawWhole(l)
-	// What follows needs no place at the server.
-	l.end()
-	if err := r.accept(ctx, t, l.answer); err != nil {
-		return produced{}, err
+	e.observeCompletion(winner)
+	// The verdict of the judge needs no slot at the server.
+	winner.end()
+	if err := e.checkAnswer(ctx, target, winner.answer); err != nil {
+		return completeAnswer{}, err
 	}
-	return produced{
-		target: t, server: l.place.choice.Server.ID, head: l.answer.Head(), usage: l.answer.Usage(),
-		spentMicros: r.cascade.spentMicros,
+	return completeAnswer{
+		target: target, server: winner.slot.choice.Server.ID, head: winner.answer.Head(), usage: winner.answer.Usage(),
+		spentMicros: e.cascade.spentMicros,
 	}, nil
 }
 
-func (r *run) route(ctx context.Context, t query.Target) (*place, error) {
-	p, err := r.flow.gate.acquire(ctx, quest{
-		request: r.job.Request, admitted: r.admitted, target: t, length: r.length, rnd: r.rnd,
+// route acquires a slot, which may take a while, and then checks that the version and the deadline
+// still allow an attempt.
+func (e *execution) route(ctx context.Context, target query.Target) (*serverSlot, error) {
+	slot, err := e.flow.slots.acquire(ctx, pendingAcquisition{
+		request: e.job.Request, admitted: e.admitted, target: target, estimate: e.estimate, rnd: e.rnd,
 	})
 	if err != nil {
 		return nil, err
 	}
-	if query.Retired(r.flow.Snapshot(), t) {
-		p.free()
-		return nil, errRetired
+	if query.Retired(e.flow.Snapshot(), target) {
+		slot.release()
+		return nil, errWithdrawn
 	}
-	if err := r.useful(); err != nil {
-		p.free()
+	if err := e.checkDeadline(); err != nil {
+		slot.release()
 		return nil, err
 	}
-	r.record(r.decision(value.StepRoute).WithChoice(t.Version, p.choice.Server.ID, p.choice.Candidates, p.choice.Reason))
-	if err := r.life.move(ctx, eventRoute); err != nil {
-		p.free()
+	e.record(e.newDecision(value.StepRoute).WithChoice(target.Version, slot.choice.Server.ID, slot.choice.Candidates, slot.choice.Reason))
+	if err := e.lifecycle.apply(ctx, eventRoute); err != nil {
+		slot.release()
 		return nil, err
 	}
-	return p, nil
+	return slot, nil
 }
 
-// useful refuses to start what would end too late; an accepted draft is run all the same.
-func (r *run) useful() error {
-	if r.admitted.Kind.Priority == value.PriorityDraft {
+// checkDeadline returns a refusal if an attempt that starts now would end after the deadline.
+// Drafts are exempt once they are admitted.
+func (e *execution) checkDeadline() error {
+	if e.admitted.Kind.Priority == value.PriorityDraft {
 		return nil
 	}
-	return query.StillUseful(r.job.Request, r.length, r.flow.Now())
+	return query.StillUseful(e.job.Request, e.estimate, e.flow.Now())
 }
 
-func (r *run) sawWhole(l *leg) {
-	now := r.flow.Now()
-	took := now.Sub(l.place.started)
-	r.flow.past.sawRun(r.job.Request, took, now)
-	r.flow.past.pace(l.place.target).Update(func(p query.Pace) query.Pace { return p.WithRun(took, now) })
+func (e *execution) observeCompletion(winner *attempt) {
+	now := e.flow.Now()
+	duration := now.Sub(winner.slot.started)
+	e.flow.stats.observeCompletion(e.job.Request, duration, now)
+	e.flow.stats.throughput(winner.slot.target).Update(func(p query.Pace) query.Pace { return p.WithRun(duration, now) })
 }
 
-// perUnit turns the time to a first piece into that of a typical run: the first piece of an answer
-// that isn't streamed is the whole of it, and comes the later the longer the answer is.
-func (r *run) perUnit(after time.Duration) time.Duration {
-	if r.job.Call.Stream {
-		return after
+// normalizeFirstToken converts the time to the first piece into that of a request of typical
+// length. Without streaming, the first piece is the complete answer, so that its time grows with
+// the length.
+func (e *execution) normalizeFirstToken(elapsed time.Duration) time.Duration {
+	if e.job.Call.Stream {
+		return elapsed
 	}
-	return time.Duration(float64(after) / max(r.length.Cost, 1))
+	return time.Duration(float64(elapsed) / max(e.estimate.Cost, 1))
 }
 
-func (r *run) mayRetry(ctx context.Context, err error) bool {
+// allowRetry reports whether to retry after the failure, and takes the retry from the budget if it
+// counts against it.
+func (e *execution) allowRetry(ctx context.Context, err error) bool {
 	var refusal value.Refusal
-	if errors.As(err, &refusal) || ctx.Err() != nil || atFault(err) {
+	if errors.As(err, &refusal) || ctx.Err() != nil || isRequestFault(err) {
 		return false
 	}
-	failed := query.Failed{Sent: r.sends > 0, Begun: r.begun, Attempts: r.attempts}
-	if !query.Retry(r.admitted.Kind, r.job.Request, failed, r.flow.Now()) {
+	failed := query.Failed{Sent: e.sentAttempts > 0, Begun: e.answerStarted, Attempts: e.attempts}
+	if !query.Retry(e.admitted.Kind, e.job.Request, failed, e.flow.Now()) {
 		return false
 	}
-	if query.RetryCosts(failed) && !spend(&r.flow.past.retries, query.RetryBudget(r.flow.Snapshot())) {
-		r.record(r.decision(value.StepRetry).WithReason(value.ReasonBudgetSpent, err.Error()))
+	if query.RetryCosts(failed) && !spendBudget(&e.flow.stats.retries, query.RetryBudget(e.flow.Snapshot())) {
+		e.record(e.newDecision(value.StepRetry).WithReason(value.ReasonBudgetSpent, err.Error()))
 		return false
 	}
-	r.record(r.decision(value.StepRetry).WithReason(value.ReasonServerFailed, err.Error()))
+	e.record(e.newDecision(value.StepRetry).WithReason(value.ReasonServerFailed, err.Error()))
 	return true
 }
 
-func (r *run) decision(s value.Step) value.Decision {
-	return value.NewDecision(r.job.Request, s, r.flow.Now())
+func (e *execution) newDecision(s value.Step) value.Decision {
+	return value.NewDecision(e.job.Request, s, e.flow.Now())
 }
 
-func (r *run) record(d value.Decision) {
-	r.flow.Record(d)
+func (e *execution) record(d value.Decision) {
+	e.flow.Record(d)
 }
--- a/io/flow/settle.go
+++ b/io/flow/settle.go
@@ -11,180 +11,186 @@
 	"endivehitch/io/engine"
 )
 
-// pieceEnd stands between the kept pieces of a streamed answer, which have no line breaks.
-var pieceEnd = []byte("\n")
+// pieceSeparator separates the stored pieces of a streamed answer, which contain no line breaks.
+var pieceSeparator = []byte("\n")
 
-// settleTime bounds the work that must be tried even for a caller that has gone.
-const settleTime = 10 * time.Second
+// settleTimeout limits the work that has to be done even if the caller has left.
+const settleTimeout = 10 * time.Second
 
-// executeOnce runs the request under a claim that is kept outside this instance.
-func (r *run) executeOnce(ctx context.Context) (Result, error) {
-	claim, stored, err := r.flow.Guard.Claim(ctx, r.job.Request)
+// executeOnce executes a request that must run at most once, under a claim of its idempotency key.
+func (e *execution) executeOnce(ctx context.Context) (Result, error) {
+	claim, stored, err := e.flow.Guard.Claim(ctx, e.job.Request)
 	if err != nil {
 		return Result{}, err
 	}
 	if stored != nil {
-		return r.replay(*stored)
+		return e.replay(*stored)
 	}
-	r.claim = claim
+	e.claim = claim
 	settled := false
-	// A panic of the sink must not leave the claim open.
+	// A panic in the sink must not leave the claim open.
 	defer func() {
 		if !settled {
-			_ = r.settle(ctx)
+			_ = e.settleFailure(ctx)
 		}
 	}()
-	// The run goes on when the caller leaves: its effect can't be taken back, and the kept answer
-	// serves the caller's next call with the same key.
-	lasting, cancel := context.WithDeadline(context.WithoutCancel(ctx), r.job.Request.Deadline)
+	// The execution continues when the caller leaves: its effect cannot be undone, and the stored
+	// answer serves the caller's next call with the same key.
+	detached, cancel := context.WithDeadline(context.WithoutCancel(ctx), e.job.Request.Deadline)
 	defer cancel()
-	p, err := r.produce(lasting)
+	answer, err := e.produce(detached)
 	if err == nil {
-		err = r.keep(lasting, p)
+		err = e.storeResult(detached, answer)
 	}
 	settled = true
 	if err != nil {
-		return Result{}, errors.Join(err, r.settle(ctx))
+		return Result{}, errors.Join(err, e.settleFailure(ctx))
 	}
-	return r.tell(ctx, p)
+	return e.endAnswer(ctx, answer)
 }
 
-// keep makes bill and answer last; the claim is settled by it when it succeeds.
-func (r *run) keep(ctx context.Context, p produced) error {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), settleTime)
+// storeResult stores the bill and then the answer. Success settles the claim.
+func (e *execution) storeResult(ctx context.Context, answer completeAnswer) error {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), settleTimeout)
 	defer cancel()
-	if err := r.keepBill(ctx, p); err != nil {
+	if err := e.storeBill(ctx, answer); err != nil {
 		return err
 	}
-	return r.claim.Finish(ctx, Stored{Head: p.head, Body: r.body})
+	return e.claim.Finish(ctx, Stored{Head: answer.head, Body: e.storedBody})
 }
 
-// settle tells the guard how a failed run ended.
-func (r *run) settle(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), settleTime)
+// settleFailure marks the claim as in doubt if an attempt may have been sent, and releases it
+// otherwise.
+func (e *execution) settleFailure(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), settleTimeout)
 	defer cancel()
-	if r.sends > 0 {
-		return r.claim.Doubt(ctx)
+	if e.sentAttempts > 0 {
+		return e.claim.Doubt(ctx)
 	}
-	return r.claim.Release(ctx)
+	return e.claim.Release(ctx)
 }
 
-func (r *run) replay(s Stored) (Result, error) {
-	if err := r.begin(s.Head, ""); err != nil {
+func (e *execution) replay(stored Stored) (Result, error) {
+	if err := e.beginAnswer(stored.Head, ""); err != nil {
 		return Result{}, err
 	}
-	for _, data := range r.pieces(s.Body) {
-		if err := r.sink.Write(engine.Piece{Data: data}); err != nil {
+	for _, data := range e.splitPieces(stored.Body) {
+		if err := e.writer.Write(engine.Piece{Data: data}); err != nil {
 			return Result{}, err
 		}
 	}
-	return Result{}, r.sink.End(engine.Usage{})
+	return Result{}, e.writer.End(engine.Usage{})
 }
 
-// pieces takes a kept body apart again: the pieces of a streamed answer are kept a line each.
-func (r *run) pieces(body []byte) [][]byte {
-	if !r.job.Call.Stream {
+// splitPieces splits a stored body into pieces; those of a streamed answer are stored one per line.
+func (e *execution) splitPieces(body []byte) [][]byte {
+	if !e.job.Call.Stream {
 		return [][]byte{body}
 	}
-	return bytes.Split(body, pieceEnd)
+	return bytes.Split(body, pieceSeparator)
 }
 
-// begin tells the caller who answers; under a claim the run goes on when the caller can't be told.
-func (r *run) begin(h engine.Head, v value.VersionKey) error {
-	if r.begun {
+// beginAnswer passes the answer's head to the sink, unless that has been done. Under a claim, a
+// write error does not end the execution.
+func (e *execution) beginAnswer(head engine.Head, version value.VersionKey) error {
+	if e.answerStarted {
 		return nil
 	}
-	r.begun = true
-	return r.tolerate(r.sink.Begin(h, v))
+	e.answerStarted = true
+	return e.tolerateWriteError(e.writer.Begin(head, version))
 }
 
-func (r *run) pass(p engine.Piece) error {
-	if r.claim != nil {
-		r.keepPiece(p)
+func (e *execution) writePiece(piece engine.Piece) error {
+	if e.claim != nil {
+		e.storePiece(piece)
 	}
-	if r.gone != nil {
+	if e.callerErr != nil {
 		return nil
 	}
-	return r.tolerate(r.sink.Write(p))
+	return e.tolerateWriteError(e.writer.Write(piece))
 }
 
-func (r *run) keepPiece(p engine.Piece) {
-	if r.job.Call.Stream && len(r.body) > 0 {
-		r.body = append(r.body, pieceEnd...)
+func (e *execution) storePiece(piece engine.Piece) {
+	if e.job.Call.Stream && len(e.storedBody) > 0 {
+		e.storedBody = append(e.storedBody, pieceSeparator...)
 	}
-	r.body = append(r.body, p.Data...)
+	e.storedBody = append(e.storedBody, piece.Data...)
 }
 
-func (r *run) tolerate(err error) error {
-	if r.claim == nil || err == nil {
+// tolerateWriteError stores a write error under a claim, so that the execution continues, and
+// returns it otherwise.
+func (e *execution) tolerateWriteError(err error) error {
+	if e.claim == nil || err == nil {
 		return err
 	}
-	r.gone = err
+	e.callerErr = err
 	return nil
 }
 
-// finish keeps the bill before the caller learns that the answer is whole.
-func (r *run) finish(ctx context.Context, p produced) (Result, error) {
-	if err := r.keepBill(ctx, p); err != nil {
+// finish stores the bill and then ends the answer to the caller.
+func (e *execution) finish(ctx context.Context, answer completeAnswer) (Result, error) {
+	if err := e.storeBill(ctx, answer); err != nil {
 		return Result{}, err
 	}
-	return r.tell(ctx, p)
+	return e.endAnswer(ctx, answer)
 }
 
-func (r *run) keepBill(ctx context.Context, p produced) error {
-	bill := r.bill(p)
-	if err := r.flow.Biller.Keep(ctx, bill); err != nil {
+func (e *execution) storeBill(ctx context.Context, answer completeAnswer) error {
+	bill := e.newBill(answer)
+	if err := e.flow.Biller.Keep(ctx, bill); err != nil {
 		return err
 	}
-	r.record(r.decision(value.StepBill).WithChoice(p.target.Version, p.server, 1, value.ReasonAnswered).WithCost(bill.CostMicros))
-	return r.life.move(ctx, eventBill)
+	e.record(e.newDecision(value.StepBill).WithChoice(answer.target.Version, answer.server, 1, value.ReasonAnswered).WithCost(bill.CostMicros))
+	return e.lifecycle.apply(ctx, eventBill)
 }
 
-func (r *run) tell(ctx context.Context, p produced) (Result, error) {
-	if r.gone != nil {
-		return Result{}, r.gone
+func (e *execution) endAnswer(ctx context.Context, answer completeAnswer) (Result, error) {
+	if e.callerErr != nil {
+		return Result{}, e.callerErr
 	}
-	if err := r.sink.End(p.usage); err != nil {
+	if err := e.writer.End(answer.usage); err != nil {
 		return Result{}, err
 	}
-	result := Result{Version: p.target.Version, Server: p.server, Usage: p.usage, Bill: r.bill(p)}
-	return result, r.life.move(ctx, eventAnswer)
+	result := Result{Version: answer.target.Version, Server: answer.server, Usage: answer.usage, Bill: e.newBill(answer)}
+	return result, e.lifecycle.apply(ctx, eventAnswer)
 }
 
-func (r *run) bill(p produced) value.Bill {
+func (e *execution) newBill(answer completeAnswer) value.Bill {
 	return value.Bill{
-		Request:      r.job.Request.ID,
-		Account:      r.job.Request.Account,
-		Kind:         r.job.Request.Kind,
-		Version:      p.target.Version,
-		InputTokens:  p.usage.InputTokens,
-		OutputTokens: p.usage.OutputTokens,
-		CostMicros:   p.spentMicros + r.price(p.target.Version, p.usage),
-		Runs:         r.attempts,
-		At:           r.flow.Now(),
+		Request:      e.job.Request.ID,
+		Account:      e.job.Request.Account,
+		Kind:         e.job.Request.Kind,
+		Version:      answer.target.Version,
+		InputTokens:  answer.usage.InputTokens,
+		OutputTokens: answer.usage.OutputTokens,
+		CostMicros:   answer.spentMicros + e.price(answer.target.Version, answer.usage),
+		Runs:         e.attempts,
+		At:           e.flow.Now(),
 	}
 }
 
-// refused turns any error into a refusal whose NotRun is true only when nothing was dispatched.
-func (r *run) refused(ctx context.Context, err error) error {
-	refusal := r.asRefusal(err)
-	refusal = refusal.WithNotRun(r.sends == 0 && !query.RanBefore(refusal.Reason))
-	r.record(r.decision(value.StepRefuse).WithReason(refusal.Reason, refusal.Detail))
-	if moveErr := r.life.move(context.WithoutCancel(ctx), eventRefuse); moveErr != nil {
-		return errors.Join(refusal, moveErr)
+// refuse converts any error into a refusal and records it. NotRun is true only if no server can
+// have received the request, now or under an earlier claim.
+func (e *execution) refuse(ctx context.Context, err error) error {
+	refusal := e.toRefusal(err)
+	refusal = refusal.WithNotRun(e.sentAttempts == 0 && !query.RanBefore(refusal.Reason))
+	e.record(e.newDecision(value.StepRefuse).WithReason(refusal.Reason, refusal.Detail))
+	if lifecycleErr := e.lifecycle.apply(context.WithoutCancel(ctx), eventRefuse); lifecycleErr != nil {
+		return errors.Join(refusal, lifecycleErr)
 	}
 	return refusal
 }
 
-func (r *run) asRefusal(err error) value.Refusal {
+func (e *execution) toRefusal(err error) value.Refusal {
 	var refusal value.Refusal
 	switch {
 	case errors.As(err, &refusal):
 		return refusal
-	case atFault(err):
+	case isRequestFault(err):
 		return value.Refusal{Reason: value.ReasonBadRequest, Detail: err.Error()}
-	// A timeout inside a run is the server's failure, not the end of the caller's patience.
-	case errors.Is(err, context.DeadlineExceeded) && !r.flow.Now().Before(r.job.Request.Deadline):
+	// A time-out within an attempt is a failure of the server; only the request's own deadline is
+	// reported as such.
+	case errors.Is(err, context.DeadlineExceeded) && !e.flow.Now().Before(e.job.Request.Deadline):
 		return value.Refusal{Reason: value.ReasonDeadline, Detail: err.Error()}
 	case errors.Is(err, context.Canceled):
 		return value.Refusal{Reason: value.ReasonCanceled, Detail: err.Error()}
--- a/io/flow/share.go
+++ b/io/flow/share.go
@@ -11,224 +11,236 @@
 	"endivehitch/io/engine"
 )
 
-// errNobodyLeft ends a shared run that no caller waits for any more.
-var errNobodyLeft = errors.New("all callers of the shared run have gone")
+// errNoCallersLeft is the cause with which a shared execution is cancelled when its last caller has
+// left.
+var errNoCallersLeft = errors.New("all callers of the shared run have gone")
 
-// flights holds the shared runs in flight.
-type flights struct {
-	mu     sync.Mutex
-	flying map[query.ShareKey]*flight
+// sharedExecutions holds the shared executions in flight.
+type sharedExecutions struct {
+	mu    sync.Mutex
+	byKey map[query.ShareKey]*sharedExecution
 }
 
-// flight is one shared run; its feed is written by the run's goroutine alone.
-type flight struct {
-	feed   policy.Cell[feed]
+// sharedExecution is one execution whose answer goes to several callers. It is the sink of that
+// execution, whose goroutine is the only one to update the answer.
+type sharedExecution struct {
+	answer policy.Cell[sharedAnswer]
 	cancel context.CancelCauseFunc
-	// callers is guarded by the lock of flights.
+	// callers is guarded by the lock of sharedExecutions.
 	callers int
 }
 
-// feed is what a shared run has produced so far.
-type feed struct {
-	head    engine.Head
-	version value.VersionKey
-	begun   bool
-	pieces  []engine.Piece
-	ended   bool
-	result  produced
-	runs    int
-	err     error
-	// changed is closed once there is a newer feed.
+// sharedAnswer is the answer of a shared execution as far as it has been produced.
+type sharedAnswer struct {
+	head     engine.Head
+	version  value.VersionKey
+	started  bool
+	pieces   []engine.Piece
+	ended    bool
+	result   completeAnswer
+	attempts int
+	err      error
+	// changed is closed once there is a newer sharedAnswer.
 	changed chan struct{}
 }
 
-func newFlights() *flights {
-	return &flights{flying: make(map[query.ShareKey]*flight)}
+func newSharedExecutions() *sharedExecutions {
+	return &sharedExecutions{byKey: make(map[query.ShareKey]*sharedExecution)}
 }
 
-// join returns the shared run for the key, and whether the caller is its first.
-func (f *flights) join(k query.ShareKey, start func() *flight) (*flight, bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if one, ok := f.flying[k]; ok {
-		one.callers++
-		return one, false
+// join adds a caller to the shared execution for the key, which it starts if there is none, and
+// reports whether it did.
+func (s *sharedExecutions) join(k query.ShareKey, start func() *sharedExecution) (*sharedExecution, bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if running, ok := s.byKey[k]; ok {
+		running.callers++
+		return running, false
 	}
-	one := start()
-	one.callers = 1
-	f.flying[k] = one
-	return one, true
-}
-
-// leave cancels the run once its last caller has gone.
-func (f *flights) leave(k query.ShareKey, one *flight) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	one.callers--
-	if one.callers > 0 {
+	shared := start()
+	shared.callers = 1
+	s.byKey[k] = shared
+	return shared, true
+}
+
+// leave removes a caller, and cancels the shared execution if it was the last one.
+func (s *sharedExecutions) leave(k query.ShareKey, shared *sharedExecution) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	shared.callers--
+	if shared.callers > 0 {
 		return
 	}
-	f.remove(k, one)
-	one.cancel(errNobodyLeft)
+	s.remove(k, shared)
+	shared.cancel(errNoCallersLeft)
 }
 
-// end takes a run that has ended out, so that nobody joins it.
-func (f *flights) end(k query.ShareKey, one *flight) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.remove(k, one)
+// end removes a shared execution that has ended, so that no caller joins it.
+func (s *sharedExecutions) end(k query.ShareKey, shared *sharedExecution) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.remove(k, shared)
 }
 
-func (f *flights) remove(k query.ShareKey, one *flight) {
-	if f.flying[k] == one {
-		delete(f.flying, k)
+func (s *sharedExecutions) remove(k query.ShareKey, shared *sharedExecution) {
+	if s.byKey[k] == shared {
+		delete(s.byKey, k)
 	}
 }
 
-// sharedTries bounds how many shared runs one request waits for.
-const sharedTries = 2
+// maxSharedTries limits how many shared executions one request waits for.
+const maxSharedTries = 2
 
-// executeShared answers from a run that other callers with the same question may use too.
-func (r *run) executeShared(ctx context.Context) (Result, error) {
-	key := query.ShareKeyOf(r.job.Request)
+// executeShared answers from an execution that is shared with other callers who ask the same
+// question.
+func (e *execution) executeShared(ctx context.Context) (Result, error) {
+	key := query.ShareKeyOf(e.job.Request)
 	for try := 1; ; try++ {
-		p, leads, err := r.fly(ctx, key)
+		answer, isLeader, err := e.joinShared(ctx, key)
 		if err == nil {
-			return r.finish(ctx, p)
+			return e.finish(ctx, answer)
 		}
-		// A run that failed for the caller that started it may still succeed for the others.
-		if leads || r.begun || ctx.Err() != nil || try == sharedTries {
+		// The execution ran with the deadline of the caller that started it, so that a failure for
+		// that caller may still be a success for another one.
+		if isLeader || e.answerStarted || ctx.Err() != nil || try == maxSharedTries {
 			return Result{}, err
 		}
-		if err := r.life.move(ctx, eventLeave); err != nil {
+		if err := e.lifecycle.apply(ctx, eventLeave); err != nil {
 			return Result{}, err
 		}
 	}
 }
 
-func (r *run) fly(ctx context.Context, key query.ShareKey) (produced, bool, error) {
-	one, leads := r.flow.flights.join(key, func() *flight { return r.takeOff(ctx, key) })
-	defer r.flow.flights.leave(key, one)
-	if !leads {
-		r.record(r.decision(value.StepShare).WithReason(value.ReasonShared, ""))
+func (e *execution) joinShared(ctx context.Context, key query.ShareKey) (completeAnswer, bool, error) {
+	shared, isLeader := e.flow.shared.join(key, func() *sharedExecution { return e.startShared(ctx, key) })
+	defer e.flow.shared.leave(key, shared)
+	if !isLeader {
+		e.record(e.newDecision(value.StepShare).WithReason(value.ReasonShared, ""))
 	}
-	if err := r.life.move(ctx, eventJoin); err != nil {
-		return produced{}, leads, err
+	if err := e.lifecycle.apply(ctx, eventJoin); err != nil {
+		return completeAnswer{}, isLeader, err
 	}
-	last, err := r.watch(ctx, one)
+	last, err := e.relayShared(ctx, shared)
 	if err != nil {
-		return produced{}, leads, err
+		return completeAnswer{}, isLeader, err
 	}
-	if leads {
-		r.attempts = last.runs
+	if isLeader {
+		e.attempts = last.attempts
 	}
 	if last.err != nil {
-		return produced{}, leads, last.err
+		return completeAnswer{}, isLeader, last.err
 	}
-	return last.result, leads, r.life.move(ctx, eventComplete)
-}
-
-// takeOff starts a run that ends with its deadline or its last caller, whoever that is.
-func (r *run) takeOff(ctx context.Context, key query.ShareKey) *flight {
-	lasting, cancel := context.WithCancelCause(context.WithoutCancel(ctx))
-	lasting, stop := context.WithDeadline(lasting, r.job.Request.Deadline)
-	one := &flight{cancel: cancel}
-	one.feed.Update(func(feed) feed { return feed{changed: make(chan struct{})} })
-	worker := newRun(r.flow, r.job, one)
-	worker.admitted = r.admitted
-	worker.length = r.length
+	return last.result, isLeader, e.lifecycle.apply(ctx, eventComplete)
+}
+
+// startShared starts an execution that ends with the deadline of this request or when its last
+// caller leaves, which need not be this one.
+func (e *execution) startShared(ctx context.Context, key query.ShareKey) *sharedExecution {
+	detached, cancel := context.WithCancelCause(context.WithoutCancel(ctx))
+	detached, stop := context.WithDeadline(detached, e.job.Request.Deadline)
+	shared := &sharedExecution{cancel: cancel}
+	shared.answer.Update(func(sharedAnswer) sharedAnswer { return sharedAnswer{changed: make(chan struct{})} })
+	leader := newExecution(e.flow, e.job, shared)
+	leader.admitted = e.admitted
+	leader.estimate = e.estimate
 	go func() {
 		defer stop()
-		p, err := worker.lead(lasting)
-		r.flow.flights.end(key, one)
-		one.put(func(f feed) feed {
-			f.ended, f.result, f.runs, f.err = true, p, worker.attempts, err
+		answer, err := leader.produceShared(detached)
+		e.flow.shared.end(key, shared)
+		shared.update(func(f sharedAnswer) sharedAnswer {
+			f.ended, f.result, f.attempts, f.err = true, answer, leader.attempts, err
 			return f
 		})
 	}()
-	return one
+	return shared
 }
 
-// lead produces the shared answer; its error is a refusal that says truly whether anything was dispatched.
-func (r *run) lead(ctx context.Context) (produced, error) {
-	if err := r.life.move(ctx, eventAdmit); err != nil {
-		return produced{}, err
+// produceShared produces the shared answer; the error is a value.Refusal whose NotRun says whether
+// anything was dispatched.
+func (e *execution) produceShared(ctx context.Context) (completeAnswer, error) {
+	if err := e.lifecycle.apply(ctx, eventAdmit); err != nil {
+		return completeAnswer{}, err
 	}
-	p, err := r.produce(ctx)
+	answer, err := e.produce(ctx)
 	if err != nil {
-		return produced{}, r.refused(ctx, err)
+		return completeAnswer{}, e.refuse(ctx, err)
 	}
-	return p, nil
+	return answer, nil
 }
 
-// watch passes the shared answer on as it grows, and returns its last state.
-func (r *run) watch(ctx context.Context, one *flight) (feed, error) {
-	for passed := 0; ; {
-		now := one.feed.Get()
-		if now.begun {
-			if err := r.begin(now.head, now.version); err != nil {
-				return feed{}, err
+// relayShared writes the pieces of the shared answer to this caller as they are added, and returns
+// the answer's final state.
+func (e *execution) relayShared(ctx context.Context, shared *sharedExecution) (sharedAnswer, error) {
+	for written := 0; ; {
+		current := shared.answer.Get()
+		if current.started {
+			if err := e.beginAnswer(current.head, current.version); err != nil {
+				return sharedAnswer{}, err
 			}
 		}
-		for _, p := range now.pieces[passed:] {
-			if err := r.pass(p); err != nil {
-				return feed{}, err
+		for _, p := range current.pieces[written:] {
+			if err := e.writePiece(p); err != nil {
+				return sharedAnswer{}, err
 			}
 		}
-		passed = len(now.pieces)
-		if now.ended {
-			r.noteSent(now)
-			return now, nil
+		written = len(current.pieces)
+		if current.ended {
+			e.countSharedAttempt(current)
+			return current, nil
 		}
 		select {
-		case <-now.changed:
+		case <-current.changed:
 		case <-ctx.Done():
-			// The run may be under way on this caller's behalf.
-			r.sends++
-			return feed{}, context.Cause(ctx)
+			// An attempt may be running on this caller's behalf.
+			e.sentAttempts++
+			return sharedAnswer{}, context.Cause(ctx)
 		}
 	}
 }
 
-func (r *run) noteSent(last feed) {
+// countSharedAttempt counts an attempt as sent unless the shared execution says that nothing was
+// run.
+func (e *execution) countSharedAttempt(last sharedAnswer) {
 	var refusal value.Refusal
 	if errors.As(last.err, &refusal) && refusal.NotRun {
 		return
 	}
-	r.sends++
+	e.sentAttempts++
 }
 
-func (f *flight) put(next func(feed) feed) {
-	var was chan struct{}
-	f.feed.Update(func(old feed) feed {
-		was = old.changed
-		now := next(old)
-		now.changed = make(chan struct{})
-		return now
+// update replaces the answer by the function's result and wakes up the callers that wait for it.
+func (s *sharedExecution) update(next func(sharedAnswer) sharedAnswer) {
+	var previous chan struct{}
+	s.answer.Update(func(old sharedAnswer) sharedAnswer {
+		previous = old.changed
+		updated := next(old)
+		updated.changed = make(chan struct{})
+		return updated
 	})
-	close(was)
+	close(previous)
 }
 
-// Begin takes the head of the shared answer.
-func (f *flight) Begin(h engine.Head, v value.VersionKey) error {
-	f.put(func(old feed) feed {
-		old.head, old.version, old.begun = h, v, true
+// Begin adds the head of the shared answer.
+func (s *sharedExecution) Begin(h engine.Head, v value.VersionKey) error {
+	s.update(func(old sharedAnswer) sharedAnswer {
+		old.head, old.version, old.started = h, v, true
 		return old
 	})
 	return nil
 }
 
-// Write takes the next piece of the shared answer.
-func (f *flight) Write(p engine.Piece) error {
-	f.put(func(old feed) feed {
-		// The one writer appends to the latest list only, behind the end that any reader sees.
+// Write adds the next piece of the shared answer.
+func (s *sharedExecution) Write(p engine.Piece) error {
+	s.update(func(old sharedAnswer) sharedAnswer {
+		// There is one writer, which always appends to the latest list. Readers hold lists that end
+		// before the appended element, so they may share the array.
 		old.pieces = append(old.pieces, p)
 		return old
 	})
 	return nil
 }
 
-// End is not called: each caller's own sink learns that the answer is whole.
-func (f *flight) End(engine.Usage) error {
+// End is never called: each caller's own sink is ended once its bill is stored.
+func (s *sharedExecution) End(engine.Usage) error {
 	return nil
 }
--- a/io/flow/share_test.go
+++ b/io/flow/share_test.go
@@ -15,126 +15,126 @@
 	"endivehitch/io/flow"
 )
 
-func TestManyDevicesShareOneRunAndAreBilledOnceEach(t *testing.T) {
+func TestIdenticalRequestsShareOneAttemptAndAreBilledOnceEach(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := newRig(t, ward(shared), map[value.ServerID][]act{"s1": {{every: time.Second, pieces: []string{"dear ", "answer"}}}})
-		callers := make([]seen, 50)
-		var all sync.WaitGroup
+		h := newHarness(t, newDocument(shared), map[value.ServerID][]script{"s1": {{pieceInterval: time.Second, pieces: []string{"dear ", "answer"}}}})
+		callers := make([]recordingWriter, 50)
+		var wg sync.WaitGroup
 		for i := range callers {
-			all.Go(func() {
-				// Some come before the run, others while it is under way.
+			wg.Go(func() {
+				// The first one starts the execution, and the others join while it is in flight.
 				time.Sleep(time.Duration(i) * 50 * time.Millisecond)
-				_, err := g.flow.Serve(t.Context(), job(fmt.Sprint(i), shared), &callers[i])
+				_, err := h.flow.Serve(t.Context(), newJob(fmt.Sprint(i), shared), &callers[i])
 				assert.Check(t, err == nil, "%v", err)
 			})
 		}
-		all.Wait()
+		wg.Wait()
 		for i := range callers {
-			assert.Equal(t, callers[i], seen{text: "dear answer", ended: true})
+			assert.Equal(t, callers[i], recordingWriter{text: "dear answer", ended: true})
 		}
-		assert.Equal(t, g.runs["s1"], 1)
+		assert.Equal(t, h.attempts["s1"], 1)
 		billed := make(map[value.RequestID]int)
-		for _, b := range g.bills {
+		for _, b := range h.bills {
 			billed[b.Request]++
 			assert.Equal(t, b.CostMicros, int64(10))
 		}
 		assert.Equal(t, len(billed), len(callers))
-		assert.Equal(t, len(g.bills), len(callers))
+		assert.Equal(t, len(h.bills), len(callers))
 	})
 }
 
-func TestFollowersOutliveTheLeader(t *testing.T) {
+func TestFollowerGetsTheAnswerWhenTheLeaderLeaves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := newRig(t, ward(shared), map[value.ServerID][]act{"s1": {{every: time.Second, pieces: []string{"dear ", "answer"}}}})
+		h := newHarness(t, newDocument(shared), map[value.ServerID][]script{"s1": {{pieceInterval: time.Second, pieces: []string{"dear ", "answer"}}}})
 		ctx, leave := context.WithCancel(t.Context())
-		var all sync.WaitGroup
-		all.Go(func() { _, _ = g.flow.Serve(ctx, job("r1", shared), &seen{}) })
+		var wg sync.WaitGroup
+		wg.Go(func() { _, _ = h.flow.Serve(ctx, newJob("r1", shared), &recordingWriter{}) })
 		synctest.Wait()
-		follower := &seen{}
+		follower := &recordingWriter{}
 		var err error
-		all.Go(func() { _, err = g.flow.Serve(t.Context(), job("r2", shared), follower) })
+		wg.Go(func() { _, err = h.flow.Serve(t.Context(), newJob("r2", shared), follower) })
 		synctest.Wait()
 		leave()
-		all.Wait()
+		wg.Wait()
 		assert.NilError(t, err)
 		assert.Equal(t, follower.text, "dear answer")
-		assert.Equal(t, g.runs["s1"], 1)
+		assert.Equal(t, h.attempts["s1"], 1)
 	})
 }
 
-func TestSharedRunEndsWithItsLastCaller(t *testing.T) {
+func TestSharedExecutionEndsWithItsLastCaller(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := newRig(t, ward(shared), map[value.ServerID][]act{"s1": {{head: time.Hour}, good}})
-		var all sync.WaitGroup
+		h := newHarness(t, newDocument(shared), map[value.ServerID][]script{"s1": {{headDelay: time.Hour}, completeScript}})
+		var wg sync.WaitGroup
 		for i := range 2 {
 			ctx, leave := context.WithTimeout(t.Context(), time.Duration(i+1)*time.Second)
 			defer leave()
-			all.Go(func() {
-				_, err := g.flow.Serve(ctx, job(fmt.Sprint(i), shared), &seen{})
+			wg.Go(func() {
+				_, err := h.flow.Serve(ctx, newJob(fmt.Sprint(i), shared), &recordingWriter{})
 				assert.Check(t, !notRun(err))
 			})
 		}
-		all.Wait()
+		wg.Wait()
 		synctest.Wait()
-		assert.Equal(t, g.running, 0)
-		assert.Equal(t, g.inFlight(), 0)
+		assert.Equal(t, h.running, 0)
+		assert.Equal(t, h.inFlight(), 0)
 	})
 }
 
-func TestFollowersTryAgainWhenTheLeadersDeadlineEndsTheRun(t *testing.T) {
+func TestFollowerRetriesWhenTheLeadersDeadlineEndsTheSharedExecution(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := newRig(t, ward(shared), map[value.ServerID][]act{"s1": {{head: time.Hour}, good}})
-		hasty := job("r1", shared)
-		hasty.Request = hasty.Request.WithDeadline(time.Now().Add(time.Second))
-		var all sync.WaitGroup
-		all.Go(func() { _, _ = g.flow.Serve(t.Context(), hasty, &seen{}) })
+		h := newHarness(t, newDocument(shared), map[value.ServerID][]script{"s1": {{headDelay: time.Hour}, completeScript}})
+		leader := newJob("r1", shared)
+		leader.Request = leader.Request.WithDeadline(time.Now().Add(time.Second))
+		var wg sync.WaitGroup
+		wg.Go(func() { _, _ = h.flow.Serve(t.Context(), leader, &recordingWriter{}) })
 		synctest.Wait()
-		follower := &seen{}
-		_, err := g.flow.Serve(t.Context(), job("r2", shared), follower)
-		all.Wait()
+		follower := &recordingWriter{}
+		_, err := h.flow.Serve(t.Context(), newJob("r2", shared), follower)
+		wg.Wait()
 		assert.NilError(t, err)
 		assert.Equal(t, follower.text, "dear answer")
 	})
 }
 
-func TestOtherAccountsAndQuestionsDoNotShare(t *testing.T) {
+func TestRequestsThatDifferDoNotShareAnExecution(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := newRig(t, ward(shared), map[value.ServerID][]act{"s1": {{head: time.Second, pieces: []string{"x"}}}})
-		other := job("r2", shared)
+		h := newHarness(t, newDocument(shared), map[value.ServerID][]script{"s1": {{headDelay: time.Second, pieces: []string{"x"}}}})
+		other := newJob("r2", shared)
 		other.Request = other.Request.WithAccount("ward-9")
-		question := job("r3", shared)
+		question := newJob("r3", shared)
 		question.Request.Question = 2
-		wish := job("r4", shared)
-		wish.Request.Quality = value.QualityBest
-		var all sync.WaitGroup
-		for _, j := range []flow.Job{job("r1", shared), other, question, wish} {
-			all.Go(func() {
-				_, err := g.flow.Serve(t.Context(), j, &seen{})
+		quality := newJob("r4", shared)
+		quality.Request.Quality = value.QualityBest
+		var wg sync.WaitGroup
+		for _, j := range []flow.Job{newJob("r1", shared), other, question, quality} {
+			wg.Go(func() {
+				_, err := h.flow.Serve(t.Context(), j, &recordingWriter{})
 				assert.Check(t, err == nil, "%v", err)
 			})
 		}
-		all.Wait()
-		assert.Equal(t, g.runs["s1"], 4)
+		wg.Wait()
+		assert.Equal(t, h.attempts["s1"], 4)
 	})
 }
 
-func TestSlowFollowerSeesNoGap(t *testing.T) {
+func TestSlowFollowerGetsEveryPiece(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := newRig(t, ward(shared), map[value.ServerID][]act{"s1": {{every: time.Millisecond, pieces: []string{"a", "b", "c", "d", "e", "f"}}}})
-		lazy := &slowSink{}
-		var all sync.WaitGroup
-		all.Go(func() { _, _ = g.flow.Serve(t.Context(), job("r1", shared), &seen{}) })
-		all.Go(func() { _, _ = g.flow.Serve(t.Context(), job("r2", shared), lazy) })
-		all.Wait()
-		assert.Equal(t, lazy.text, "abcdef")
-		assert.Assert(t, lazy.ended)
+		h := newHarness(t, newDocument(shared), map[value.ServerID][]script{"s1": {{pieceInterval: time.Millisecond, pieces: []string{"a", "b", "c", "d", "e", "f"}}}})
+		follower := &slowWriter{}
+		var wg sync.WaitGroup
+		wg.Go(func() { _, _ = h.flow.Serve(t.Context(), newJob("r1", shared), &recordingWriter{}) })
+		wg.Go(func() { _, _ = h.flow.Serve(t.Context(), newJob("r2", shared), follower) })
+		wg.Wait()
+		assert.Equal(t, follower.text, "abcdef")
+		assert.Assert(t, follower.ended)
 	})
 }
 
-// slowSink takes far longer for a piece than the engine.
-type slowSink struct{ seen }
+// slowWriter takes far longer to write a piece than the engine takes to produce one.
+type slowWriter struct{ recordingWriter }
 
-func (s *slowSink) Write(p engine.Piece) error {
+func (w *slowWriter) Write(p engine.Piece) error {
 	time.Sleep(time.Second)
-	return s.seen.Write(p)
+	return w.recordingWriter.Write(p)
 }
--- a/io/flow/site_test.go
+++ b/io/flow/site_test.go
@@ -16,122 +16,123 @@
 	"endivehitch/io/flow"
 )
 
-// site is the size of a deployment.
-type site struct {
+// deployment is a size of the system for the measurements.
+type deployment struct {
 	name      string
 	servers   int
 	domains   int
 	instances int
 }
 
-var sites = []site{
+var deployments = []deployment{
 	{name: "Vadodara", servers: 10, domains: 3, instances: 7},
 	{name: "Portvagt", servers: 20, domains: 4, instances: 7},
 }
 
-// document is what the measurements run under; the variant may change it.
-func (s site) document() value.Document {
+// document returns the configuration of the measurements, which a variant may change.
+func (d deployment) document() value.Document {
 	kinds := []value.Kind{
 		{Name: "short", Model: "drafting-llm", Priority: value.PriorityInteractive, Idempotent: true, MaxAttempts: 3},
 		{Name: "long", Model: "drafting-llm", Priority: value.PriorityInteractive, Idempotent: true, MaxAttempts: 3},
 		{Name: "same", Model: "drafting-llm", Priority: value.PriorityInteractive, Idempotent: true, MaxAttempts: 3, Share: true},
 	}
-	d := ward(kinds...)
-	d.ClientAccounts[1].Share = 2
-	d.Pools = []value.Pool{{Name: "engines", MaxInFlight: slots, SlowStart: 5 * time.Second, MinHealthy: 0.5}}
-	d.Limits.QueueLength = 60 * s.servers / s.instances
-	return d
-}
-
-func (s site) state(i int, d value.Document) state.State {
-	self := value.Instance{ID: instanceName(i), State: value.InstanceLive, FailureDomain: s.domain(i)}
-	c, _ := cmds.InstallConfig{Accepted: value.Accepted{Document: d, Revision: 1}}.Apply(state.New(self), time.Now())
-	for j := range s.instances {
-		c = c.WithInstance(value.Instance{ID: instanceName(j), State: value.InstanceLive, FailureDomain: s.domain(j)})
+	document := newDocument(kinds...)
+	document.ClientAccounts[1].Share = 2
+	document.Pools = []value.Pool{{Name: "engines", MaxInFlight: serverSlots, SlowStart: 5 * time.Second, MinHealthy: 0.5}}
+	document.Limits.QueueLength = 60 * d.servers / d.instances
+	return document
+}
+
+func (d deployment) newState(i int, document value.Document) state.State {
+	self := value.Instance{ID: instanceName(i), State: value.InstanceLive, FailureDomain: d.domainOf(i)}
+	control, _ := cmds.InstallConfig{Accepted: value.Accepted{Document: document, Revision: 1}}.Apply(state.New(self), time.Now())
+	for j := range d.instances {
+		control = control.WithInstance(value.Instance{ID: instanceName(j), State: value.InstanceLive, FailureDomain: d.domainOf(j)})
 	}
-	list := make([]value.BackendServer, s.servers)
+	list := make([]value.BackendServer, d.servers)
 	for j := range list {
 		list[j] = value.BackendServer{
-			ID: serverName(j), Pool: "engines", State: value.ServerLive, FailureDomain: s.domain(j),
-			Versions: []value.VersionKey{oneVersion},
+			ID: serverName(j), Pool: "engines", State: value.ServerLive, FailureDomain: d.domainOf(j),
+			Versions: []value.VersionKey{defaultVersion},
 		}
 	}
-	// Servers are as old as the fleet, so that none is in its slow start.
-	c, _ = cmds.SyncServers{Servers: list}.Apply(c, time.Now().Add(-time.Hour))
-	return c
+	// The servers were added an hour ago, so that none is in its slow start.
+	control, _ = cmds.SyncServers{Servers: list}.Apply(control, time.Now().Add(-time.Hour))
+	return control
 }
 
-func (s site) domain(i int) value.FailureDomain {
-	return value.FailureDomain(fmt.Sprint("d", i%s.domains))
+func (d deployment) domainOf(i int) value.FailureDomain {
+	return value.FailureDomain(fmt.Sprint("d", i%d.domains))
 }
 
 func instanceName(i int) value.InstanceID {
 	return value.InstanceID(fmt.Sprint("i", i))
 }
 
-// serving carries one job at one of a deployment's instances.
-type serving func(ctx context.Context, instance int, j flow.Job) error
+// serveFunc serves a job at one of a deployment's instances.
+type serveFunc func(ctx context.Context, instance int, j flow.Job) error
 
-// Load reports the machine's own queue.
-func (p *plant) Load(_ context.Context, b value.BackendServer) (engine.Report, error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return engine.Report{Server: b.ID, Queued: len(p.machines[b.ID].waiting), At: time.Now()}, nil
+// Load reports the length of the server's own queue.
+func (s *simulation) Load(_ context.Context, b value.BackendServer) (engine.Report, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return engine.Report{Server: b.ID, Queued: len(s.servers[b.ID].waiting), At: time.Now()}, nil
 }
 
-func (*plant) CacheEvents(context.Context, value.BackendServer, int64) ([]engine.CacheEvent, error) {
+func (*simulation) CacheEvents(context.Context, value.BackendServer, int64) ([]engine.CacheEvent, error) {
 	return nil, engine.ErrUnsupported
 }
 
-// flows returns the real flows over the plant, under the document.
-func (s site) flows(p *plant, d value.Document) serving {
-	all := make([]*flow.Flow, s.instances)
-	for i := range all {
-		c := s.state(i, d)
+// newFlows returns a function that serves with one real flow per instance.
+func (d deployment) newFlows(sim *simulation, document value.Document) serveFunc {
+	flows := make([]*flow.Flow, d.instances)
+	for i := range flows {
+		control := d.newState(i, document)
 		f, err := flow.New(flow.Config{
-			Snapshot: func() state.State { return c }, Runner: p, Biller: &bills{}, Guard: &guard{},
+			Snapshot: func() state.State { return control }, Runner: sim, Biller: &memoryBiller{}, Guard: &memoryGuard{},
 			Record: func(value.Decision) {}, Now: time.Now, Seed: uint64(i),
 		})
 		if err != nil {
 			panic(err)
 		}
-		all[i] = f
-		if p.reports > 0 {
+		flows[i] = f
+		if sim.reportInterval > 0 {
 			go func() {
 				ctx, stop := context.WithTimeout(context.Background(), time.Minute)
 				defer stop()
-				f.Poll(ctx, flow.PollConfig{From: p, Every: p.reports, Batch: s.servers})
+				f.Poll(ctx, flow.PollConfig{From: sim, Every: sim.reportInterval, Batch: d.servers})
 			}()
 		}
 	}
 	return func(ctx context.Context, i int, j flow.Job) error {
-		_, err := all[i].Serve(ctx, j, &seen{})
+		_, err := flows[i].Serve(ctx, j, &recordingWriter{})
 		return err
 	}
 }
 
-// plain returns a baseline: each instance picks a server by the function, with nothing else.
-func (s site) plain(p *plant, pick func(inFlight []int, turn int) int) serving {
+// newBaseline returns a function that serves with nothing but the given choice of a server at each
+// instance.
+func (d deployment) newBaseline(sim *simulation, choose func(inFlight []int, turn int) int) serveFunc {
 	var mu sync.Mutex
-	inFlight, turns := make([][]int, s.instances), make([]int, s.instances)
+	inFlight, turns := make([][]int, d.instances), make([]int, d.instances)
 	for i := range inFlight {
-		inFlight[i] = make([]int, s.servers)
+		inFlight[i] = make([]int, d.servers)
 		turns[i] = i
 	}
 	return func(ctx context.Context, i int, j flow.Job) error {
 		ctx, cancel := context.WithDeadline(ctx, j.Request.Deadline)
 		defer cancel()
 		mu.Lock()
-		at := pick(inFlight[i], turns[i])
+		chosen := choose(inFlight[i], turns[i])
 		turns[i]++
-		inFlight[i][at]++
+		inFlight[i][chosen]++
 		mu.Unlock()
 		defer func() {
 			mu.Lock()
-			inFlight[i][at]--
+			inFlight[i][chosen]--
 			mu.Unlock()
 		}()
-		a, err := p.Start(ctx, value.BackendServer{ID: serverName(at)}, j.Call)
+		a, err := sim.Start(ctx, value.BackendServer{ID: serverName(chosen)}, j.Call)
 		if err != nil {
 			return err
 		}
@@ -160,85 +161,86 @@
 	return best
 }
 
-// fifo bounds what another way has under way at each instance; the rest waits in the order of arrival.
-func (s site) fifo(inner serving) serving {
-	places := make([]chan struct{}, s.instances)
-	for i := range places {
-		places[i] = make(chan struct{}, max(1, slots*s.servers/s.instances))
+// withFIFO limits the concurrent requests of each instance to its part of all slots; the others
+// wait in order of arrival.
+func (d deployment) withFIFO(inner serveFunc) serveFunc {
+	permits := make([]chan struct{}, d.instances)
+	for i := range permits {
+		permits[i] = make(chan struct{}, max(1, serverSlots*d.servers/d.instances))
 	}
 	return func(ctx context.Context, i int, j flow.Job) error {
 		ctx, cancel := context.WithDeadline(ctx, j.Request.Deadline)
 		defer cancel()
 		select {
-		case places[i] <- struct{}{}:
+		case permits[i] <- struct{}{}:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		defer func() { <-places[i] }()
+		defer func() { <-permits[i] }()
 		return inner(ctx, i, j)
 	}
 }
 
-// served is one request of a measurement and what became of it.
-type served struct {
-	at   time.Duration
-	took time.Duration
-	kind value.KindName
-	from value.AccountName
-	err  error
+// requestResult is the result of one request of a measurement.
+type requestResult struct {
+	arrival time.Duration
+	latency time.Duration
+	kind    value.KindName
+	account value.AccountName
+	err     error
 }
 
-// wave is a stream of requests with exponential gaps.
-type wave struct {
+// requestStream describes requests with exponentially distributed gaps.
+type requestStream struct {
 	from, until time.Duration
 	perSecond   float64
 	kind        value.KindName
 	account     value.AccountName
 	work        time.Duration
-	patience    time.Duration
+	timeout     time.Duration
 	prefixes    int
 }
 
-// play sends the waves to the instances at random and returns what became of each request.
-func (s site) play(by serving, seed uint64, waves ...wave) []served {
+// simulate sends the requests of all streams to random instances and returns their results.
+func (d deployment) simulate(serve serveFunc, seed uint64, streams ...requestStream) []requestResult {
 	var mu sync.Mutex
-	var all []served
-	var group sync.WaitGroup
-	began := time.Now()
-	for n, w := range waves {
+	var results []requestResult
+	var wg sync.WaitGroup
+	start := time.Now()
+	for n, stream := range streams {
 		rnd := rand.New(rand.NewPCG(seed, uint64(n)))
-		group.Go(func() {
-			time.Sleep(w.from)
+		wg.Go(func() {
+			time.Sleep(stream.from)
 			for i := 0; ; i++ {
-				time.Sleep(time.Duration(rnd.ExpFloat64() / w.perSecond * float64(time.Second)))
-				at := time.Since(began)
-				if at >= w.until {
+				time.Sleep(time.Duration(rnd.ExpFloat64() / stream.perSecond * float64(time.Second)))
+				at := time.Since(start)
+				if at >= stream.until {
 					return
 				}
-				instance, j := rnd.IntN(s.instances), w.job(fmt.Sprint(n, "-", i), rnd)
-				group.Go(func() {
-					err := by(context.Background(), instance, j)
+				instance, j := rnd.IntN(d.instances), stream.newJob(fmt.Sprint(n, "-", i), rnd)
+				wg.Go(func() {
+					err := serve(context.Background(), instance, j)
 					mu.Lock()
 					defer mu.Unlock()
-					all = append(all, served{at: at, took: time.Since(began) - at, kind: w.kind, from: w.account, err: err})
+					results = append(results, requestResult{arrival: at, latency: time.Since(start) - at, kind: stream.kind, account: stream.account, err: err})
 				})
 			}
 		})
 	}
-	group.Wait()
-	return all
+	wg.Wait()
+	return results
 }
 
-func (w wave) job(id string, rnd *rand.Rand) flow.Job {
-	work := time.Duration(float64(w.work) * (0.5 + rnd.Float64()))
+func (s requestStream) newJob(id string, rnd *rand.Rand) flow.Job {
+	work := time.Duration(float64(s.work) * (0.5 + rnd.Float64()))
 	r := value.Request{
-		ID: value.RequestID(id), Account: w.account, Kind: w.kind, Stream: true, Question: 1,
-		Deadline: time.Now().Add(w.patience), InputTokens: int(w.work / time.Millisecond),
+		ID: value.RequestID(id), Account: s.account, Kind: s.kind, Stream: true, Question: 1,
+		Deadline: time.Now().Add(s.timeout), InputTokens: int(s.work / time.Millisecond),
 	}
 	call := engine.Call{Stream: true, Body: []byte(strconv.FormatInt(int64(work), 10))}
-	if w.prefixes > 0 {
-		// The popularity of prefixes is skewed, as that of questions is.
-		prefix := uint64(rnd.IntN(w.prefixes)*rnd.IntN(w.prefixes)/w.prefixes + 1)
+	if s.prefixes > 0 {
+		// The popularity of prefixes is skewed, like that of real questions.
+		prefix := uint64(rnd.IntN(s.prefixes)*rnd.IntN(s.prefixes)/s.prefixes + 1)
 		r.Prefix = prefix * 0x9e3779b97f4a7c15
 		call.Path = strconv.FormatUint(prefix, 10)
 	}
--- a/io/flow/slope_test.go
+++ b/io/flow/slope_test.go
@@ -14,42 +14,42 @@
 	"endivehitch/io/flow"
 )
 
-// instant answers every call at once, and keeps every bill.
-type instant struct{}
+// instantBackend answers every call at once and accepts every bill.
+type instantBackend struct{}
 
-func (instant) Start(context.Context, value.BackendServer, engine.Call) (engine.Answer, error) {
-	return &one{}, nil
+func (instantBackend) Start(context.Context, value.BackendServer, engine.Call) (engine.Answer, error) {
+	return &onePieceAnswer{}, nil
 }
 
-func (instant) Keep(context.Context, value.Bill) error { return nil }
+func (instantBackend) Keep(context.Context, value.Bill) error { return nil }
 
-func (instant) Claim(context.Context, value.Request) (flow.Claim, *flow.Stored, error) {
+func (instantBackend) Claim(context.Context, value.Request) (flow.Claim, *flow.Stored, error) {
 	return nil, nil, io.ErrUnexpectedEOF
 }
 
-// one is an answer of one piece.
-type one struct{ given bool }
+// onePieceAnswer is an answer that consists of one piece.
+type onePieceAnswer struct{ sent bool }
 
-func (o *one) Head() engine.Head   { return engine.Head{Status: 200} }
-func (o *one) Usage() engine.Usage { return engine.Usage{InputTokens: 10, OutputTokens: 1} }
-func (o *one) Cancel()             {}
+func (o *onePieceAnswer) Head() engine.Head   { return engine.Head{Status: 200} }
+func (o *onePieceAnswer) Usage() engine.Usage { return engine.Usage{InputTokens: 10, OutputTokens: 1} }
+func (o *onePieceAnswer) Cancel()             {}
 
-func (o *one) Next(context.Context) (engine.Piece, error) {
-	if o.given {
+func (o *onePieceAnswer) Next(context.Context) (engine.Piece, error) {
+	if o.sent {
 		return engine.Piece{}, io.EOF
 	}
-	o.given = true
+	o.sent = true
 	return engine.Piece{Data: []byte("{}")}, nil
 }
 
-// BenchmarkSlopeRequest gives the processor time of one request's life, from admission to its bill,
-// before so many backend servers.
+// BenchmarkSlopeRequest measures the processor time of one request, from admission to its bill, for
+// growing numbers of backend servers.
 func BenchmarkSlopeRequest(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 10000} {
 		b.Run(fmt.Sprintf("Servers%d", n), func(b *testing.B) {
-			f := slopeFlow(b, n)
+			f := newFlowWithServers(b, n)
 			for i := 0; b.Loop(); i++ {
-				if _, err := f.Serve(context.Background(), job(fmt.Sprint(i), spelling), &seen{}); err != nil {
+				if _, err := f.Serve(context.Background(), newJob(fmt.Sprint(i), spelling), &recordingWriter{}); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -57,17 +57,17 @@
 	}
 }
 
-func slopeFlow(b *testing.B, servers int) *flow.Flow {
+func newFlowWithServers(b *testing.B, servers int) *flow.Flow {
 	b.Helper()
-	d := ward(spelling)
-	d.Pools[0].MaxInFlight = 8
-	s, _ := cmds.InstallConfig{Accepted: value.Accepted{Document: d, Revision: 1}}.Apply(state.New(value.Instance{ID: "a"}), time.Now())
+	document := newDocument(spelling)
+	document.Pools[0].MaxInFlight = 8
+	s, _ := cmds.InstallConfig{Accepted: value.Accepted{Document: document, Revision: 1}}.Apply(state.New(value.Instance{ID: "a"}), time.Now())
 	for i := range servers {
 		s = withServers(s, value.ServerID(fmt.Sprintf("replica-%05d", i)))
 	}
 	f, err := flow.New(flow.Config{
 		Snapshot: func() state.State { return s },
-		Runner:   instant{}, Biller: instant{}, Guard: instant{},
+		Runner:   instantBackend{}, Biller: instantBackend{}, Guard: instantBackend{},
 		Record: func(value.Decision) {}, Now: time.Now, Seed: 7,
 	})
 	if err != nil {
