--- a/io/flow/wait_test.go
+++ b/io/flow/wait_test.go
@@ -15,29 +15,31 @@
 	"endivehitch/io/flow"
 )
 
-// crowd serves jobs at the same time and collects their errors in order.
-func crowd(t *testing.T, g *rig, jobs []flow.Job) []error {
+// serveAll serves the jobs concurrently, each started once the earlier ones wait, and returns their
+// errors in the order of the jobs.
+func serveAll(t *testing.T, h *harness, jobs []flow.Job) []error {
 	t.Helper()
 	errs := make([]error, len(jobs))
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for i, j := range jobs {
-		all.Go(func() { _, errs[i] = g.flow.Serve(t.Context(), j, &seen{}) })
+		wg.Go(func() { _, errs[i] = h.flow.Serve(t.Context(), j, &recordingWriter{}) })
 		synctest.Wait()
 	}
-	all.Wait()
+	wg.Wait()
 	return errs
 }
 
-func TestNoWaiterIsForgotten(t *testing.T) {
+func TestConcurrentRequestsAreAllServedOrRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := newRig(t, ward(menu), map[value.ServerID][]act{"s1": {good}})
+		h := newHarness(t, newDocument(menu), map[value.ServerID][]script{"s1": {completeScript}})
 		errs := make([]error, 60)
-		var all sync.WaitGroup
+		var wg sync.WaitGroup
 		for i := range errs {
-			// No two steps wait for each other, so that waits and ends fall together.
-			all.Go(func() { _, errs[i] = g.flow.Serve(t.Context(), job(fmt.Sprint(i), menu), &seen{}) })
+			// The requests start without synctest.Wait between them, so that some are queued while
+			// others end.
+			wg.Go(func() { _, errs[i] = h.flow.Serve(t.Context(), newJob(fmt.Sprint(i), menu), &recordingWriter{}) })
 		}
-		all.Wait()
+		wg.Wait()
 		served := 0
 		for _, err := range errs {
 			if err == nil {
@@ -47,76 +49,76 @@
 			assert.Equal(t, reasonOf(err), value.ReasonQueueFull)
 		}
 		assert.Assert(t, served >= 50, "%d served", served)
-		assert.Equal(t, g.inFlight(), 0)
+		assert.Equal(t, h.inFlight(), 0)
 	})
 }
 
-func TestCallerThatLeavesTheQueueHasNotRun(t *testing.T) {
+func TestRequestCancelledInTheQueueIsReportedNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := newRig(t, ward(spelling), map[value.ServerID][]act{"s1": {{head: 5 * time.Second, pieces: []string{"x"}}}})
-		var all sync.WaitGroup
-		all.Go(func() { _, _ = g.flow.Serve(t.Context(), job("r1", spelling), &seen{}) })
+		h := newHarness(t, newDocument(spelling), map[value.ServerID][]script{"s1": {{headDelay: 5 * time.Second, pieces: []string{"x"}}}})
+		var wg sync.WaitGroup
+		wg.Go(func() { _, _ = h.flow.Serve(t.Context(), newJob("r1", spelling), &recordingWriter{}) })
 		synctest.Wait()
 		ctx, leave := context.WithCancel(t.Context())
 		var left, stayed error
-		all.Go(func() { _, left = g.flow.Serve(ctx, job("r2", spelling), &seen{}) })
+		wg.Go(func() { _, left = h.flow.Serve(ctx, newJob("r2", spelling), &recordingWriter{}) })
 		synctest.Wait()
-		all.Go(func() { _, stayed = g.flow.Serve(t.Context(), job("r3", spelling), &seen{}) })
+		wg.Go(func() { _, stayed = h.flow.Serve(t.Context(), newJob("r3", spelling), &recordingWriter{}) })
 		synctest.Wait()
-		assert.Equal(t, g.flow.Waiting(), 2)
+		assert.Equal(t, h.flow.Waiting(), 2)
 		leave()
-		all.Wait()
+		wg.Wait()
 		assert.Equal(t, reasonOf(left), value.ReasonCanceled)
 		assert.Assert(t, notRun(left))
 		assert.NilError(t, stayed)
-		assert.Equal(t, g.runs["s1"], 2)
+		assert.Equal(t, h.attempts["s1"], 2)
 	})
 }
 
-func TestWaitersLearnThatTheirServersHaveGone(t *testing.T) {
+func TestWaitingRequestsAreRefusedWhenTheirServersAreRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := newRig(t, ward(spelling), map[value.ServerID][]act{"s1": {{head: 50 * time.Second}}})
+		h := newHarness(t, newDocument(spelling), map[value.ServerID][]script{"s1": {{headDelay: 50 * time.Second}}})
 		changed := make(chan struct{})
 		ctx, stop := context.WithCancel(t.Context())
-		var all sync.WaitGroup
-		all.Go(func() {
-			g.flow.Follow(ctx, func() (state.State, <-chan struct{}) { return g.snapshot(), changed })
+		var wg sync.WaitGroup
+		wg.Go(func() {
+			h.flow.Follow(ctx, func() (state.State, <-chan struct{}) { return h.snapshot(), changed })
 		})
-		all.Go(func() { _, _ = g.flow.Serve(t.Context(), job("r1", spelling), &seen{}) })
+		wg.Go(func() { _, _ = h.flow.Serve(t.Context(), newJob("r1", spelling), &recordingWriter{}) })
 		synctest.Wait()
 		var err error
-		began := time.Now()
-		all.Go(func() {
-			_, err = g.flow.Serve(t.Context(), job("r2", spelling), &seen{})
-			assert.Equal(t, time.Since(began), time.Second)
+		start := time.Now()
+		wg.Go(func() {
+			_, err = h.flow.Serve(t.Context(), newJob("r2", spelling), &recordingWriter{})
+			assert.Equal(t, time.Since(start), time.Second)
 		})
 		time.Sleep(time.Second)
-		was := changed
-		g.locked(func() { g.control = g.control.WithoutServer("s1") })
+		previous := changed
+		h.withLock(func() { h.control = h.control.WithoutServer("s1") })
 		changed = make(chan struct{})
-		close(was)
+		close(previous)
 		synctest.Wait()
 		stop()
-		all.Wait()
+		wg.Wait()
 		assert.Equal(t, reasonOf(err), value.ReasonNoServer)
 		assert.Assert(t, notRun(err))
 	})
 }
 
-func TestHopelessWaitIsRefusedAtOnce(t *testing.T) {
+func TestWaitBeyondTheDeadlineIsRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := newRig(t, ward(spelling), map[value.ServerID][]act{"s1": {{head: time.Second, pieces: []string{"x"}}}})
+		h := newHarness(t, newDocument(spelling), map[value.ServerID][]script{"s1": {{headDelay: time.Second, pieces: []string{"x"}}}})
 		for range 25 {
-			_, err := g.flow.Serve(t.Context(), job("r", spelling), &seen{})
+			_, err := h.flow.Serve(t.Context(), newJob("r", spelling), &recordingWriter{})
 			assert.NilError(t, err)
 		}
 		jobs := make([]flow.Job, 10)
 		for i := range jobs {
-			jobs[i] = job(fmt.Sprint(i), spelling)
+			jobs[i] = newJob(fmt.Sprint(i), spelling)
 			jobs[i].Request.Deadline = time.Now().Add(3500 * time.Millisecond)
 		}
 		refused := 0
-		for _, err := range crowd(t, g, jobs) {
+		for _, err := range serveAll(t, h, jobs) {
 			if err == nil {
 				continue
 			}
@@ -128,66 +130,67 @@
 	})
 }
 
-func TestFloodOfOneAccountLeavesTheOtherItsShare(t *testing.T) {
+func TestFloodFromOneAccountLeavesTheOtherItsShare(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := newRig(t, ward(spelling), map[value.ServerID][]act{"s1": {{head: 100 * time.Millisecond, pieces: []string{"x"}}}})
+		h := newHarness(t, newDocument(spelling), map[value.ServerID][]script{"s1": {{headDelay: 100 * time.Millisecond, pieces: []string{"x"}}}})
 		var jobs []flow.Job
 		for i := range 200 {
-			jobs = append(jobs, job(fmt.Sprint("flood", i), spelling))
+			jobs = append(jobs, newJob(fmt.Sprint("flood", i), spelling))
 		}
 		for i := range 20 {
-			j := job(fmt.Sprint("own", i), spelling)
+			j := newJob(fmt.Sprint("own", i), spelling)
 			j.Request = j.Request.WithAccount("ward-9")
 			jobs = append(jobs, j)
 		}
-		errs := crowd(t, g, jobs)
-		assert.Assert(t, reasonOf(errs[150]) != "", "the flood must be refused in part")
+		errs := serveAll(t, h, jobs)
+		assert.Assert(t, reasonOf(errs[150]) != "", "part of the flood must be refused")
 		var last time.Time
-		for _, b := range g.bills {
+		for _, b := range h.bills {
 			if b.Account == "ward-9" {
 				last = b.At
 			}
 		}
 		for i := range 20 {
-			assert.NilError(t, errs[200+i], "the other account is inside its share")
+			assert.NilError(t, errs[200+i], "the other account stays within its share")
 		}
-		// One of two places in turn, and the run that was under way.
-		assert.Assert(t, last.Sub(g.bills[0].At) <= 41*100*time.Millisecond, "served by %s", last.Sub(g.bills[0].At))
+		// The accounts get the slot in turn, so that the last of 20 requests is the 40th after the
+		// attempt that was in flight.
+		assert.Assert(t, last.Sub(h.bills[0].At) <= 41*100*time.Millisecond, "served by %s", last.Sub(h.bills[0].At))
 	})
 }
 
-func TestAccountKeepsItsBoundOnConcurrentRequests(t *testing.T) {
+func TestAccountIsLimitedToItsMaxInFlight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := ward(spelling)
+		d := newDocument(spelling)
 		d.ClientAccounts[0].MaxInFlight = 2
-		g := newRig(t, d, map[value.ServerID][]act{"s1": {{head: time.Second, pieces: []string{"x"}}}})
-		jobs := []flow.Job{job("r1", spelling), job("r2", spelling), job("r3", spelling)}
-		errs := crowd(t, g, jobs)
+		h := newHarness(t, d, map[value.ServerID][]script{"s1": {{headDelay: time.Second, pieces: []string{"x"}}}})
+		jobs := []flow.Job{newJob("r1", spelling), newJob("r2", spelling), newJob("r3", spelling)}
+		errs := serveAll(t, h, jobs)
 		assert.NilError(t, errs[1])
 		assert.Equal(t, reasonOf(errs[2]), value.ReasonOverloaded)
-		_, err := g.flow.Serve(t.Context(), job("r4", spelling), &seen{})
-		assert.NilError(t, err, "ended requests must be counted off")
+		_, err := h.flow.Serve(t.Context(), newJob("r4", spelling), &recordingWriter{})
+		assert.NilError(t, err, "ended requests must not count")
 	})
 }
 
-func TestDraftsWaitBehindButAreServed(t *testing.T) {
+func TestDraftsYieldToInteractiveRequestsWithoutStarving(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := newRig(t, ward(spelling, menu), map[value.ServerID][]act{"s1": {{head: 100 * time.Millisecond, pieces: []string{"x"}}}})
-		jobs := []flow.Job{job("first", spelling)}
+		h := newHarness(t, newDocument(spelling, menu), map[value.ServerID][]script{"s1": {{headDelay: 100 * time.Millisecond, pieces: []string{"x"}}}})
+		jobs := []flow.Job{newJob("first", spelling)}
 		for i := range 20 {
-			jobs = append(jobs, job(fmt.Sprint("draft", i), menu))
+			jobs = append(jobs, newJob(fmt.Sprint("draft", i), menu))
 		}
 		for i := range 20 {
-			jobs = append(jobs, job(fmt.Sprint("short", i), spelling))
+			jobs = append(jobs, newJob(fmt.Sprint("short", i), spelling))
 		}
-		for _, err := range crowd(t, g, jobs) {
+		for _, err := range serveAll(t, h, jobs) {
 			assert.NilError(t, err)
 		}
-		place := make(map[value.RequestID]int)
-		for i, b := range g.bills {
-			place[b.Request] = i
+		position := make(map[value.RequestID]int)
+		for i, b := range h.bills {
+			position[b.Request] = i
 		}
-		assert.Assert(t, place["short19"] < place["draft10"], "later interactive work goes before most drafts")
-		assert.Assert(t, place["draft0"] < place["short19"], "drafts must not starve")
+		assert.Assert(t, position["short19"] < position["draft10"], "later interactive requests go before most drafts")
+		assert.Assert(t, position["draft0"] < position["short19"], "drafts must not starve")
 	})
 }
