--- a/io/flow/cascade_test.go
+++ b/io/flow/cascade_test.go
@@ -98,7 +98,7 @@
 		}},
 		RollOuts: []value.RollOut{{Name: "large", Model: "drafting-llm", From: "old", To: "large", CostAbove: 1, MaxCostlyRate: 0.5, Stages: []value.Stage{{Percent: 100}}}},
 	}
-	s, _ := cmds.InstallConfig{Accepted: value.Accepted{Document: document, Revision: 1}}.Apply(state.New(value.Instance{ID: "a"}), time.Time{})
+	s, _ := cmds.InstallConfig{Accepted: value.AcceptedDocument{Document: document, Revision: 1}}.Apply(state.New(value.Instance{ID: "a"}), time.Time{})
 	s = s.WithProgress(value.Progress{Name: "large", Version: large, Phase: value.PhaseDone, Epoch: 1})
 	return s.
 		WithServer(value.BackendServer{ID: "s1", State: value.ServerLive, Versions: []value.VersionKey{small}}).
@@ -182,6 +182,6 @@
 
 func TestAttemptsOfARolledOutVersionAreCountedOnce(t *testing.T) {
 	o := serveCascade(t, cheapAnswer, returnVerdict(false, nil))
-	assert.DeepEqual(t, o.flow.Drain(), []value.Runs{{Version: large, Total: 1, Costly: 1}})
+	assert.DeepEqual(t, o.flow.Drain(), []value.AttemptCounts{{Version: large, Total: 1, Costly: 1}})
 	assert.Equal(t, len(o.flow.Drain()), 0)
 }
--- a/io/flow/current.go
+++ b/io/flow/current.go
@@ -21,10 +21,10 @@
 // was planned.
 func (e *execution) currentTarget(target query.Target) (query.Target, error) {
 	s := e.flow.Snapshot()
-	if !query.Retired(s, target) {
+	if !query.IsWithdrawn(s, target) {
 		return target, nil
 	}
-	plan, err := query.Choose(s, e.admitted, e.job.Request, e.flow.Now())
+	plan, err := query.ChoosePlan(s, e.admitted, e.job.Request, e.flow.Now())
 	if err != nil {
 		return target, err
 	}
--- a/io/flow/gate.go
+++ b/io/flow/gate.go
@@ -20,7 +20,7 @@
 type slotAllocator struct {
 	flow    *Flow
 	mu      sync.Mutex
-	queue   policy.Fair[value.AccountName, query.Lane, *waiter]
+	queue   policy.FairQueue[value.AccountName, query.Lane, *waiter]
 	waiting atomic.Int64
 }
 
@@ -29,7 +29,7 @@
 	request  value.Request
 	admitted query.Admitted
 	target   query.Target
-	estimate query.Length
+	estimate query.DurationEstimate
 	rnd      *rand.Rand
 }
 
@@ -84,12 +84,12 @@
 func (a *slotAllocator) reserve(s state.State, target query.Target, choice query.Choice) (*serverSlot, bool) {
 	at := a.flow.Now()
 	ok := a.flow.loads.TryUpdate(choice.Server.ID, func(l value.Load) (value.Load, bool) {
-		return l.WithStart(target.Long, at), query.HasRoom(s, choice.Server.Pool, l, target.Long)
+		return l.WithStart(target.Long, at), query.HasCapacity(s, choice.Server.Pool, l, target.Long)
 	})
 	if !ok {
 		return nil, false
 	}
-	a.flow.stats.throughput(target).Update(query.Pace.WithStart)
+	a.flow.stats.throughput(target).Update(query.Throughput.WithStart)
 	return &serverSlot{allocator: a, choice: choice, target: target, started: at}, true
 }
 
@@ -103,19 +103,19 @@
 	a.waiting.Store(int64(a.queue.Len()) + 1)
 	defer func() { a.waiting.Store(int64(a.queue.Len())) }()
 	// A request must not overtake those that wait for the same target.
-	if !a.queue.Waiting(func(l query.Lane) bool { return l.Serves(pending.target) }) {
+	if !a.queue.HasWaiting(func(l query.Lane) bool { return l.Serves(pending.target) }) {
 		slot, err := a.tryAcquire(pending)
 		if !isSaturated(err) {
 			return nil, slot, err
 		}
 	}
 	s, now := a.flow.Snapshot(), a.flow.Now()
-	queueState := query.LineOf(s, a.queue, pending.admitted, a.flow.stats.throughput(pending.target).Get().PerSecond())
-	if err := query.Wait(s, pending.admitted, pending.request, pending.estimate, queueState, now); err != nil {
+	queueState := query.QueueStateOf(s, a.queue, pending.admitted, a.flow.stats.throughput(pending.target).Get().PerSecond())
+	if err := query.CheckWait(s, pending.admitted, pending.request, pending.estimate, queueState, now); err != nil {
 		return nil, nil, err
 	}
 	queued := &waiter{pendingAcquisition: pending, granted: make(chan grant, 1)}
-	a.setQueue(a.queue.With(query.Entry(pending.admitted, pending.target, pending.estimate, queued)))
+	a.setQueue(a.queue.With(query.NewQueueEntry(pending.admitted, pending.target, pending.estimate, queued)))
 	return queued, nil, nil
 }
 
@@ -143,12 +143,12 @@
 	}
 	s := a.flow.Snapshot()
 	server, ok := s.Server(id)
-	if !ok || a.flow.loads.Load(id).Ejected.After(a.flow.Now()) {
+	if !ok || a.flow.loads.Load(id).EjectedUntil.After(a.flow.Now()) {
 		a.grantWaiting(a.tryAnyServer)
 		return
 	}
 	a.grantWaiting(func(w *waiter) (grant, bool) {
-		choice, ok := query.Takes(s, w.target, server, a.flow.loads.Load, a.flow.Now())
+		choice, ok := query.ChooseServer(s, w.target, server, a.flow.loads.Load, a.flow.Now())
 		if !ok {
 			return grant{}, false
 		}
@@ -188,7 +188,7 @@
 }
 
 // setQueue replaces the queue; the caller holds the lock.
-func (a *slotAllocator) setQueue(q policy.Fair[value.AccountName, query.Lane, *waiter]) {
+func (a *slotAllocator) setQueue(q policy.FairQueue[value.AccountName, query.Lane, *waiter]) {
 	a.queue = q
 	a.waiting.Store(int64(q.Len()))
 }
--- a/io/flow/leg.go
+++ b/io/flow/leg.go
@@ -173,7 +173,7 @@
 // hedgeTimer returns a channel that fires when a hedged attempt is due, or nil if none is allowed;
 // the returned function stops the timer.
 func (e *execution) hedgeTimer() (<-chan time.Time, func()) {
-	after := query.HedgeAfter(e.flow.Snapshot(), e.admitted.Kind, e.flow.stats.history(e.job.Request))
+	after := query.HedgeDelay(e.flow.Snapshot(), e.admitted.Kind, e.flow.stats.history(e.job.Request))
 	if after == 0 || e.attempts >= e.admitted.Kind.MaxAttempts {
 		return nil, func() {}
 	}
--- a/io/flow/observe.go
+++ b/io/flow/observe.go
@@ -18,13 +18,13 @@
 }
 
 // Drain returns the outcomes counted since the last call, for an ObserveRuns command.
-func (f *Flow) Drain() []value.Runs {
-	var list []value.Runs
+func (f *Flow) Drain() []value.AttemptCounts {
+	var list []value.AttemptCounts
 	f.counters.cells.Range(func(_, c any) bool {
-		var runs value.Runs
-		c.(*policy.Cell[value.Runs]).Update(func(was value.Runs) value.Runs {
+		var runs value.AttemptCounts
+		c.(*policy.Cell[value.AttemptCounts]).Update(func(was value.AttemptCounts) value.AttemptCounts {
 			runs = was
-			return value.Runs{Version: was.Version}
+			return value.AttemptCounts{Version: was.Version}
 		})
 		if runs.Total > 0 {
 			list = append(list, runs)
@@ -43,9 +43,9 @@
 	}
 	slow := rollOut.SlowAfter > 0 && e.flow.Now().Sub(start) > rollOut.SlowAfter
 	costly := rollOut.CostAbove > 0 && e.price(version, usage) > rollOut.CostAbove
-	counter, _ := e.flow.counters.cells.LoadOrStore(version, policy.NewCell(value.Runs{Version: version}))
-	counter.(*policy.Cell[value.Runs]).Update(func(was value.Runs) value.Runs {
-		return was.WithRun(err != nil, slow, costly)
+	counter, _ := e.flow.counters.cells.LoadOrStore(version, policy.NewCell(value.AttemptCounts{Version: version}))
+	counter.(*policy.Cell[value.AttemptCounts]).Update(func(was value.AttemptCounts) value.AttemptCounts {
+		return was.WithAttempt(err != nil, slow, costly)
 	})
 }
 
--- a/io/flow/past.go
+++ b/io/flow/past.go
@@ -18,7 +18,7 @@
 	throughputs sync.Map
 	// inFlight counts the requests in flight of each client account.
 	inFlight sync.Map
-	median   policy.Cell[query.Typical]
+	median   policy.Cell[query.MedianDuration]
 	retries  policy.Cell[policy.Budget]
 	hedges   policy.Cell[policy.Budget]
 }
@@ -42,25 +42,25 @@
 	return cellOf[query.History](&s.histories, query.ClassOf(r)).Get()
 }
 
-func (s *trafficStats) estimate(r value.Request) query.Length {
-	return query.Expect(s.history(r), s.median.Get())
+func (s *trafficStats) estimate(r value.Request) query.DurationEstimate {
+	return query.EstimateDuration(s.history(r), s.median.Get())
 }
 
 func (s *trafficStats) observeFirstToken(r value.Request, elapsed time.Duration) {
 	cellOf[query.History](&s.histories, query.ClassOf(r)).Update(func(h query.History) query.History {
-		return h.WithFirst(elapsed)
+		return h.WithFirstToken(elapsed)
 	})
 }
 
 func (s *trafficStats) observeCompletion(r value.Request, duration time.Duration, at time.Time) {
 	cellOf[query.History](&s.histories, query.ClassOf(r)).Update(func(h query.History) query.History {
-		return h.WithRun(duration, at)
+		return h.WithAttempt(duration, at)
 	})
-	s.median.Update(func(t query.Typical) query.Typical { return t.WithRun(duration) })
+	s.median.Update(func(t query.MedianDuration) query.MedianDuration { return t.WithAttempt(duration) })
 }
 
-func (s *trafficStats) throughput(t query.Target) *policy.Cell[query.Pace] {
-	return cellOf[query.Pace](&s.throughputs, throughputKey{t.Version, t.Service})
+func (s *trafficStats) throughput(t query.Target) *policy.Cell[query.Throughput] {
+	return cellOf[query.Throughput](&s.throughputs, throughputKey{t.Version, t.Service})
 }
 
 // addInFlight adds one to the client account's requests in flight; it returns a refusal if the
@@ -68,7 +68,7 @@
 func (s *trafficStats) addInFlight(a value.ClientAccount) error {
 	var refused error
 	cellOf[int](&s.inFlight, a.Name).TryUpdate(func(n int) (int, bool) {
-		refused = query.Within(a, n)
+		refused = query.CheckInFlightLimit(a, n)
 		return n + 1, refused == nil
 	})
 	return refused
--- a/io/flow/place.go
+++ b/io/flow/place.go
@@ -26,7 +26,7 @@
 		f := s.allocator.flow
 		id := s.choice.Server.ID
 		f.loads.Update(id, func(l value.Load) value.Load { return l.WithEnd(s.target.Long, s.started) })
-		f.stats.throughput(s.target).Update(query.Pace.WithEnd)
+		f.stats.throughput(s.target).Update(query.Throughput.WithEnd)
 		s.allocator.grantSlotsOf(id)
 	})
 }
@@ -36,13 +36,13 @@
 	f := s.allocator.flow
 	control, now := f.Snapshot(), f.Now()
 	server := s.choice.Server
-	limits, bounded := query.Limits(control, server.Pool)
+	limits, bounded := query.LimiterFor(control, server.Pool)
 	normal := e.normalizeFirstToken(elapsed)
 	f.loads.Update(server.ID, func(l value.Load) value.Load {
 		if bounded {
 			l = l.WithLimiter(l.Limiter.WithSample(limits, normal, l.InFlight))
 		}
-		return l.WithFirst(query.FirstSmooth, s.started, now, normal)
+		return l.WithFirstByte(query.FirstTokenSmoothing, s.started, now, normal)
 	})
 	s.updateEjection(e)
 }
@@ -61,7 +61,7 @@
 	}
 	now := f.Now()
 	f.loads.Update(s.choice.Server.ID, func(l value.Load) value.Load {
-		return l.WithFirst(query.FirstSmooth, s.started, now, normal)
+		return l.WithFirstByte(query.FirstTokenSmoothing, s.started, now, normal)
 	})
 	s.updateEjection(e)
 }
@@ -70,7 +70,7 @@
 func (s *serverSlot) observeFailure(e *execution, err error) {
 	f := s.allocator.flow
 	server := s.choice.Server
-	limits, bounded := query.Limits(f.Snapshot(), server.Pool)
+	limits, bounded := query.LimiterFor(f.Snapshot(), server.Pool)
 	var status engine.BadStatus
 	overloaded := errors.As(err, &status) && status.Overloaded()
 	f.loads.Update(server.ID, func(l value.Load) value.Load {
--- a/io/flow/poll_test.go
+++ b/io/flow/poll_test.go
@@ -42,7 +42,7 @@
 		loads := h.flow.ServerLoads()
 		assert.Equal(t, loads.Load("s3").ReportedQueue, 4)
 		assert.Equal(t, loads.Load("s4").ReportedQueue, 7)
-		assert.Assert(t, loads.Load("s1").Reported.IsZero() && loads.Load("s2").Reported.IsZero())
+		assert.Assert(t, loads.Load("s1").ReportedAt.IsZero() && loads.Load("s2").ReportedAt.IsZero())
 	})
 }
 
@@ -53,6 +53,6 @@
 		ctx, stop := context.WithTimeout(t.Context(), 3500*time.Millisecond)
 		defer stop()
 		h.flow.Poll(ctx, flow.PollConfig{From: queueReporter{"desk": 4}, Every: time.Second, Batch: 2})
-		assert.Assert(t, h.flow.ServerLoads().Load("desk").Reported.IsZero())
+		assert.Assert(t, h.flow.ServerLoads().Load("desk").ReportedAt.IsZero())
 	})
 }
--- a/io/flow/rig_test.go
+++ b/io/flow/rig_test.go
@@ -54,7 +54,7 @@
 func newHarness(t *testing.T, document value.Document, scripts map[value.ServerID][]script) *harness {
 	t.Helper()
 	h := &harness{scripts: scripts, attempts: make(map[value.ServerID]int)}
-	s, _ := cmds.InstallConfig{Accepted: value.Accepted{Document: document, Revision: 1}}.Apply(state.New(value.Instance{ID: "a"}), time.Now())
+	s, _ := cmds.InstallConfig{Accepted: value.AcceptedDocument{Document: document, Revision: 1}}.Apply(state.New(value.Instance{ID: "a"}), time.Now())
 	h.control = s
 	for id := range scripts {
 		h.control = withServers(h.control, id)
--- a/io/flow/run.go
+++ b/io/flow/run.go
@@ -22,7 +22,7 @@
 	lifecycle    lifecycle
 	rnd          *rand.Rand
 	admitted     query.Admitted
-	estimate     query.Length
+	estimate     query.DurationEstimate
 	triedServers []value.ServerID
 	attempts     int
 	// sentAttempts counts the attempts that a backend server may have received.
@@ -68,7 +68,7 @@
 	if !e.admitted.Kind.Idempotent {
 		return e.executeOnce(ctx)
 	}
-	if query.Shares(e.admitted.Kind, e.job.Request) {
+	if query.CanShare(e.admitted.Kind, e.job.Request) {
 		return e.executeShared(ctx)
 	}
 	return e.execute(ctx)
@@ -149,7 +149,7 @@
 		target.Service = e.admitted.Kind.Service
 		return target, e.lifecycle.apply(ctx, eventPlan)
 	}
-	plan, err := query.Choose(e.flow.Snapshot(), e.admitted, e.job.Request, e.flow.Now())
+	plan, err := query.ChoosePlan(e.flow.Snapshot(), e.admitted, e.job.Request, e.flow.Now())
 	if err != nil {
 		return query.Target{}, err
 	}
@@ -199,7 +199,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if query.Retired(e.flow.Snapshot(), target) {
+	if query.IsWithdrawn(e.flow.Snapshot(), target) {
 		slot.release()
 		return nil, errWithdrawn
 	}
@@ -221,14 +221,14 @@
 	if e.admitted.Kind.Priority == value.PriorityDraft {
 		return nil
 	}
-	return query.StillUseful(e.job.Request, e.estimate, e.flow.Now())
+	return query.CheckDeadline(e.job.Request, e.estimate, e.flow.Now())
 }
 
 func (e *execution) observeCompletion(winner *attempt) {
 	now := e.flow.Now()
 	duration := now.Sub(winner.slot.started)
 	e.flow.stats.observeCompletion(e.job.Request, duration, now)
-	e.flow.stats.throughput(winner.slot.target).Update(func(p query.Pace) query.Pace { return p.WithRun(duration, now) })
+	e.flow.stats.throughput(winner.slot.target).Update(func(p query.Throughput) query.Throughput { return p.WithAttempt(duration, now) })
 }
 
 // normalizeFirstToken converts the time to the first piece into that of a request of typical
@@ -248,11 +248,11 @@
 	if errors.As(err, &refusal) || ctx.Err() != nil || isRequestFault(err) {
 		return false
 	}
-	failed := query.Failed{Sent: e.sentAttempts > 0, Begun: e.answerStarted, Attempts: e.attempts}
-	if !query.Retry(e.admitted.Kind, e.job.Request, failed, e.flow.Now()) {
+	failed := query.FailedAttempt{Sent: e.sentAttempts > 0, AnswerStarted: e.answerStarted, Attempts: e.attempts}
+	if !query.CanRetry(e.admitted.Kind, e.job.Request, failed, e.flow.Now()) {
 		return false
 	}
-	if query.RetryCosts(failed) && !spendBudget(&e.flow.stats.retries, query.RetryBudget(e.flow.Snapshot())) {
+	if query.UsesRetryBudget(failed) && !spendBudget(&e.flow.stats.retries, query.RetryBudget(e.flow.Snapshot())) {
 		e.record(e.newDecision(value.StepRetry).WithReason(value.ReasonBudgetSpent, err.Error()))
 		return false
 	}
--- a/io/flow/settle.go
+++ b/io/flow/settle.go
@@ -173,7 +173,7 @@
 // have received the request, now or under an earlier claim.
 func (e *execution) refuse(ctx context.Context, err error) error {
 	refusal := e.toRefusal(err)
-	refusal = refusal.WithNotRun(e.sentAttempts == 0 && !query.RanBefore(refusal.Reason))
+	refusal = refusal.WithNotRun(e.sentAttempts == 0 && !query.MeansEarlierRun(refusal.Reason))
 	e.record(e.newDecision(value.StepRefuse).WithReason(refusal.Reason, refusal.Detail))
 	if lifecycleErr := e.lifecycle.apply(context.WithoutCancel(ctx), eventRefuse); lifecycleErr != nil {
 		return errors.Join(refusal, lifecycleErr)
--- a/io/flow/site_test.go
+++ b/io/flow/site_test.go
@@ -45,7 +45,7 @@
 
 func (d deployment) newState(i int, document value.Document) state.State {
 	self := value.Instance{ID: instanceName(i), State: value.InstanceLive, FailureDomain: d.domainOf(i)}
-	control, _ := cmds.InstallConfig{Accepted: value.Accepted{Document: document, Revision: 1}}.Apply(state.New(self), time.Now())
+	control, _ := cmds.InstallConfig{Accepted: value.AcceptedDocument{Document: document, Revision: 1}}.Apply(state.New(self), time.Now())
 	for j := range d.instances {
 		control = control.WithInstance(value.Instance{ID: instanceName(j), State: value.InstanceLive, FailureDomain: d.domainOf(j)})
 	}
--- a/io/flow/slope_test.go
+++ b/io/flow/slope_test.go
@@ -61,7 +61,7 @@
 	b.Helper()
 	document := newDocument(spelling)
 	document.Pools[0].MaxInFlight = 8
-	s, _ := cmds.InstallConfig{Accepted: value.Accepted{Document: document, Revision: 1}}.Apply(state.New(value.Instance{ID: "a"}), time.Now())
+	s, _ := cmds.InstallConfig{Accepted: value.AcceptedDocument{Document: document, Revision: 1}}.Apply(state.New(value.Instance{ID: "a"}), time.Now())
 	for i := range servers {
 		s = withServers(s, value.ServerID(fmt.Sprintf("replica-%05d", i)))
 	}
