--- a/io/stats/pages_test.go
+++ b/io/stats/pages_test.go
@@ -93,7 +93,7 @@
 			found[text] = true
 		}
 	}
-	for _, text := range constants(packages["../../io/carry"], "What") {
+	for _, text := range constants(packages["../../io/carry"], "DecisionKind") {
 		found[text] = true
 	}
 	return slices.Sorted(maps.Keys(found))
@@ -132,10 +132,10 @@
 	return literals(c.Args[0])
 }
 
-// decided returns what a Decided can name: a literal, a prefix with each state, what the callers
+// decided returns what a RecordDecision can name: a literal, a prefix with each state, what the callers
 // of the enclosing function pass, or what the called function returns.
 func (s scan) decided(in ast.Decl, c *ast.CompositeLit) []string {
-	if sel, ok := c.Type.(*ast.SelectorExpr); !ok || sel.Sel.Name != "Decided" {
+	if sel, ok := c.Type.(*ast.SelectorExpr); !ok || sel.Sel.Name != "RecordDecision" {
 		return nil
 	}
 	var found []string
@@ -158,7 +158,7 @@
 			return ok && f.Name.Name == name(what.Fun)
 		})
 	}
-	assert.Assert(s.t, len(found) > 0, "can't tell what a Decided in %s is named", s.files[0].Name)
+	assert.Assert(s.t, len(found) > 0, "can't tell what a RecordDecision in %s is named", s.files[0].Name)
 	return found
 }
 
