--- a/io/front/chat.go
+++ b/io/front/chat.go
@@ -11,7 +11,8 @@
 	"endivehitch/io/flow"
 )
 
-// wireChat is what routing needs of a chat-completions body; the rest passes through.
+// wireChat holds the fields of a chat-completions body that routing needs; the body itself is passed
+// on to the engine.
 type wireChat struct {
 	Stream              bool              `json:"stream"`
 	MaxTokens           int               `json:"max_tokens"`
@@ -22,6 +23,7 @@
 	} `json:"stream_options"`
 }
 
+// chat serves a chat completion.
 func (f *Front) chat(w http.ResponseWriter, r *http.Request, c caller) error {
 	body, err := f.readBody(w, r)
 	if err != nil {
@@ -34,7 +36,7 @@
 	if len(wire.Messages) == 0 {
 		return badRequest("messages must not be empty")
 	}
-	req, session, err := f.request(r, c, body)
+	req, session, err := f.newRequest(r, c, body)
 	if err != nil {
 		return err
 	}
@@ -43,23 +45,25 @@
 	req.Prefix = xxhash.Sum64(wire.Messages[0])
 	req.Stream = wire.Stream
 	call := engine.Call{Body: body, ContentType: jsonType, Stream: wire.Stream, Key: req.Key}
-	s := &sink{w: w, front: f, session: session, streamed: wire.Stream, usage: wire.StreamOptions.IncludeUsage}
-	return f.serve(r, flow.Job{Request: req, Call: call}, s)
+	answer := &responseWriter{w: w, front: f, session: session, streamed: wire.Stream, wantsUsage: wire.StreamOptions.IncludeUsage}
+	return f.serve(r, flow.Job{Request: req, Call: call}, answer)
 }
 
-// serve answers the job; once part of an answer is out, a failure can only be told by breaking the connection.
-func (f *Front) serve(r *http.Request, j flow.Job, s *sink) error {
+// serve runs the job and writes its answer. A failure after the head has been sent can be signaled only
+// by aborting the connection.
+func (f *Front) serve(r *http.Request, j flow.Job, s *responseWriter) error {
 	_, err := f.Server.Serve(r.Context(), j, s)
-	if err != nil && s.begun {
+	if err != nil && s.headSent {
 		panic(http.ErrAbortHandler)
 	}
 	return err
 }
 
+// maxTokens returns the bound that the caller requested, at most that of the kind.
 func maxTokens(wire wireChat, k value.Kind) int {
-	asked := max(wire.MaxTokens, wire.MaxCompletionTokens)
-	if asked == 0 {
+	requested := max(wire.MaxTokens, wire.MaxCompletionTokens)
+	if requested == 0 {
 		return k.MaxTokens
 	}
-	return min(asked, k.MaxTokens)
+	return min(requested, k.MaxTokens)
 }
--- a/io/front/doc.go
+++ b/io/front/doc.go
@@ -1,4 +1,7 @@
-// Package front is the callers' face: chat completions and plain services over HTTP.
+// Package front is the HTTP API for callers: chat completions and requests to plain services.
 //
-// It turns HTTP into value.Request and back; every decision lies behind flow.
+// A Front authenticates the caller, bounds what one request may cost, turns the HTTP request into a
+// value.Request with an engine.Call, and writes the answer or a problem document. It decides nothing
+// about versions or backend servers: that is left to the JobServer, which in a running instance is
+// flow.Flow. A Signer signs the session tokens that keep a session on one version at any instance.
 package front
--- a/io/front/front.go
+++ b/io/front/front.go
@@ -15,85 +15,89 @@
 	"endivehitch/io/flow"
 )
 
-// Server serves a job into a sink; *flow.Flow is one.
-type Server interface {
-	// Serve returns once the answer is whole; the error is a value.Refusal.
+// JobServer runs a job and writes its answer; *flow.Flow implements it.
+type JobServer interface {
+	// Serve returns once the answer is complete or has failed; the error is a value.Refusal.
 	Serve(ctx context.Context, j flow.Job, s flow.Sink) (flow.Result, error)
 }
 
-// Config sets up the callers' face.
+// Config holds what a Front needs; every field but Keys is required.
 type Config struct {
-	Server   Server
+	Server JobServer
+	// Snapshot returns the current control state.
 	Snapshot func() state.State
-	// Able reports whether the instance can keep a further bill; while it can't, nothing new is run.
+	// Able reports whether the instance can store another bill; while it can't, no new request is run.
 	Able func() bool
-	// Keys maps the hexadecimal SHA-256 sums of API keys to client accounts.
+	// Keys maps the hexadecimal SHA-256 digests of API keys to client accounts.
 	Keys   map[string]value.AccountName
 	Signer *Signer
 	Now    func() time.Time
 	Limits Limits
 }
 
-// Limits bounds what one caller can cost.
+// Limits bounds the memory, time and concurrency that callers can take.
 type Limits struct {
-	// BodyBytes bounds a request's body.
+	// BodyBytes bounds the size of a request body.
 	BodyBytes int64
-	// ReadTime bounds the time in which a body must have arrived.
+	// ReadTime is the time within which the complete body must arrive, from the start of reading it.
 	ReadTime time.Duration
-	// WriteTime bounds the time in which the caller must take each piece of an answer.
+	// WriteTime is the time within which the caller must accept each write of an answer.
 	WriteTime time.Duration
-	// InFlight bounds the requests that are held at once.
+	// InFlight bounds the number of requests handled at once.
 	InFlight int
 }
 
-// Front is the callers' face.
+// Front serves the HTTP API for callers.
 type Front struct {
 	Config
-	slots chan struct{}
+	// inFlight is a semaphore with one slot for each request that is being handled.
+	inFlight chan struct{}
 }
 
 type handler func(w http.ResponseWriter, r *http.Request, c caller) error
 
-// caller is who sends a request, and under which identifier it runs.
+// caller is the authenticated sender of a request, with the identifier that the request got.
 type caller struct {
 	account value.AccountName
 	id      value.RequestID
 }
 
-// New returns a face, or an error that names what the configuration lacks.
+// New returns a Front, or an error that names what the configuration lacks.
 func New(c Config) (*Front, error) {
 	switch {
 	case c.Server == nil:
-		return nil, errors.New("front: no server")
+		return nil, errors.New("front: no job server configured")
 	case c.Snapshot == nil:
-		return nil, errors.New("front: no snapshot")
+		return nil, errors.New("front: no control state snapshot configured")
 	case c.Able == nil:
-		return nil, errors.New("front: nothing tells whether bills can be kept")
+		return nil, errors.New("front: no check configured for whether bills can be stored")
 	case c.Signer == nil:
-		return nil, errors.New("front: no signer")
+		return nil, errors.New("front: no session token signer configured")
 	case c.Now == nil:
-		return nil, errors.New("front: no clock")
+		return nil, errors.New("front: no clock configured")
 	case c.Limits.BodyBytes <= 0 || c.Limits.ReadTime <= 0 || c.Limits.WriteTime <= 0 || c.Limits.InFlight <= 0:
-		return nil, errors.New("front: limits must be positive")
+		return nil, errors.New("front: body size, read time, write time and in-flight limits must be positive")
 	}
-	return &Front{Config: c, slots: make(chan struct{}, c.Limits.InFlight)}, nil
+	return &Front{Config: c, inFlight: make(chan struct{}, c.Limits.InFlight)}, nil
 }
 
-// Handler returns the face's routes.
+// Handler returns the handler of all routes.
 func (f *Front) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle("POST /v1/chat/completions", f.caller(f.chat))
-	mux.Handle("/v1/services/{service}/{path...}", f.caller(f.service))
+	mux.Handle("POST /v1/chat/completions", f.route(f.chat))
+	mux.Handle("/v1/services/{service}/{path...}", f.route(f.service))
 	mux.HandleFunc("GET /ready", f.ready)
 	return mux
 }
 
-func (f *Front) caller(h handler) http.Handler {
-	return alice.New(f.able, f.held, f.bounded).Then(f.authenticated(h))
+// route wraps a handler in the checks that each request must pass: billing, in-flight limit, body size
+// and API key.
+func (f *Front) route(h handler) http.Handler {
+	return alice.New(f.requireBilling, f.limitInFlight, f.limitBody).Then(f.authenticate(h))
 }
 
-// able refuses before anything runs whose bill could not be kept.
-func (f *Front) able(next http.Handler) http.Handler {
+// requireBilling refuses requests while their bills could not be stored.
+func (f *Front) requireBilling(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !f.Able() {
 			writeProblem(w, "", value.Refusal{
@@ -105,34 +109,34 @@
 	})
 }
 
-// held refuses at once what exceeds the face's own capacity, before anything of the body is read.
-func (f *Front) held(next http.Handler) http.Handler {
+// limitInFlight refuses requests over the in-flight limit at once, before any of the body is read.
+func (f *Front) limitInFlight(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
-		case f.slots <- struct{}{}:
+		case f.inFlight <- struct{}{}:
 		default:
 			writeProblem(w, "", value.Refusal{
 				Reason: value.ReasonOverloaded, NotRun: true, RetryAfter: time.Second, Detail: "instance holds as many requests as it may",
 			})
 			return
 		}
-		defer func() { <-f.slots }()
+		defer func() { <-f.inFlight }()
 		next.ServeHTTP(w, r)
 	})
 }
 
-func (f *Front) bounded(next http.Handler) http.Handler {
+func (f *Front) limitBody(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		r.Body = http.MaxBytesReader(w, r.Body, f.Limits.BodyBytes)
 		next.ServeHTTP(w, r)
 	})
 }
 
-func (f *Front) authenticated(h handler) http.Handler {
+func (f *Front) authenticate(h handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		c := caller{id: value.RequestID(uuid.NewString())}
 		w.Header().Set(headerRequest, string(c.id))
-		account, ok := f.Keys[conf.HashKey(bearer(r))]
+		account, ok := f.Keys[conf.HashKey(bearerToken(r))]
 		if !ok {
 			writeProblem(w, c.id, value.Refusal{Reason: value.ReasonUnknownAccount, NotRun: true, Detail: "API key is not known"})
 			return
--- a/io/front/front_test.go
+++ b/io/front/front_test.go
@@ -21,20 +21,20 @@
 	"endivehitch/io/front"
 )
 
-// server answers every job with its own version, and keeps what it was asked.
-type server struct {
+// fakeServer answers every job as version m/v1 and records the jobs.
+type fakeServer struct {
 	jobs []flow.Job
-	// hold, if set, keeps each job until it is closed; entered tells that one is held.
-	hold    chan struct{}
-	entered chan struct{}
+	// release, if set, holds each job until it is closed; held receives a value for each held job.
+	release chan struct{}
+	held    chan struct{}
 	fail    error
 }
 
-func (s *server) Serve(_ context.Context, j flow.Job, sink flow.Sink) (flow.Result, error) {
+func (s *fakeServer) Serve(_ context.Context, j flow.Job, sink flow.Sink) (flow.Result, error) {
 	s.jobs = append(s.jobs, j)
-	if s.hold != nil {
-		s.entered <- struct{}{}
-		<-s.hold
+	if s.release != nil {
+		s.held <- struct{}{}
+		<-s.release
 	}
 	if s.fail != nil {
 		return flow.Result{}, s.fail
@@ -48,14 +48,15 @@
 	return flow.Result{}, sink.End(engine.Usage{})
 }
 
-func face(t *testing.T, s front.Server, limits front.Limits) string {
+func startFront(t *testing.T, s front.JobServer, limits front.Limits) string {
 	t.Helper()
-	return faceOf(t, s, limits, false)
+	return startFrontWith(t, s, limits, false)
 }
 
-func faceOf(t *testing.T, s front.Server, limits front.Limits, unable bool) string {
+// startFrontWith serves a Front and returns its base URL; billingDown makes it refuse for lack of billing.
+func startFrontWith(t *testing.T, s front.JobServer, limits front.Limits, billingDown bool) string {
 	t.Helper()
-	signer, err := front.NewSigner(key(1))
+	signer, err := front.NewSigner(signingKey(1))
 	assert.NilError(t, err)
 	sum := sha256.Sum256([]byte("secret"))
 	snapshot := state.New(value.Instance{ID: "i-1"}).WithConfig(value.Accepted{Revision: 1, Document: value.Document{
@@ -64,19 +65,19 @@
 	f, err := front.New(front.Config{
 		Server:   s,
 		Snapshot: func() state.State { return snapshot },
-		Able:     func() bool { return !unable },
+		Able:     func() bool { return !billingDown },
 		Keys:     map[string]value.AccountName{hex.EncodeToString(sum[:]): "ward-12"},
 		Signer:   signer,
 		Now:      time.Now,
 		Limits:   limits,
 	})
 	assert.NilError(t, err)
-	at := httptest.NewServer(f.Handler())
-	t.Cleanup(at.Close)
-	return at.URL
+	api := httptest.NewServer(f.Handler())
+	t.Cleanup(api.Close)
+	return api.URL
 }
 
-func wide() front.Limits {
+func testLimits() front.Limits {
 	return front.Limits{BodyBytes: 1 << 10, ReadTime: time.Minute, WriteTime: time.Minute, InFlight: 4}
 }
 
@@ -97,38 +98,38 @@
 	return resp, string(answer)
 }
 
-const hello = `{"messages":[{"role":"user","content":"hello"}],"max_tokens":900}`
+const helloBody = `{"messages":[{"role":"user","content":"hello"}],"max_tokens":900}`
 
-func TestSessionTokenPinsTheNextRequest(t *testing.T) {
-	s := &server{}
-	base := face(t, s, wide())
-	resp, _ := post(t, base, hello, nil)
+func TestSessionTokenPinsVersionOfNextRequest(t *testing.T) {
+	s := &fakeServer{}
+	base := startFront(t, s, testLimits())
+	resp, _ := post(t, base, helloBody, nil)
 	token := resp.Header.Get("Endivehitch-Session")
 	assert.Assert(t, token != "")
-	post(t, base, hello, map[string]string{"Endivehitch-Session": token})
+	post(t, base, helloBody, map[string]string{"Endivehitch-Session": token})
 	assert.Equal(t, s.jobs[0].Request.Pinned, value.VersionKey(""))
 	assert.Equal(t, s.jobs[1].Request.Pinned, value.VersionKey("m/v1"))
 	assert.Equal(t, s.jobs[1].Request.Session, s.jobs[0].Request.Session)
-	assert.Equal(t, s.jobs[0].Request.MaxTokens, 50, "the kind bounds what a caller may ask")
+	assert.Equal(t, s.jobs[0].Request.MaxTokens, 50, "max_tokens must be capped by the kind")
 }
 
-func TestBadInputGetsAProblemAndRunsNothing(t *testing.T) {
-	s := &server{}
-	base := face(t, s, wide())
+func TestInvalidRequestReturnsProblemWithoutRunning(t *testing.T) {
+	s := &fakeServer{}
+	base := startFront(t, s, testLimits())
 	cases := []struct {
 		name, body string
 		headers    map[string]string
 		status     int
 		reason     string
 	}{
-		{"no JSON", `{`, nil, 400, "BadRequest"},
+		{"body is not JSON", `{`, nil, 400, "BadRequest"},
 		{"no messages", `{}`, nil, 400, "BadRequest"},
-		{"long body", strings.Repeat("x", 2<<10), nil, 400, "longer than 1024 bytes"},
-		{"forged session", hello, map[string]string{"Endivehitch-Session": "a.b"}, 400, "session token"},
-		{"bad deadline", hello, map[string]string{"Endivehitch-Deadline": "soon"}, 400, "duration"},
-		{"bad class", hello, map[string]string{"Endivehitch-Quality": "Finest"}, 400, "Best"},
-		{"long key", hello, map[string]string{"Idempotency-Key": strings.Repeat("k", 256)}, 400, "255"},
-		{"wrong API key", hello, map[string]string{"Authorization": "Bearer other"}, 401, "UnknownAccount"},
+		{"body too long", strings.Repeat("x", 2<<10), nil, 400, "longer than 1024 bytes"},
+		{"forged session token", helloBody, map[string]string{"Endivehitch-Session": "a.b"}, 400, "session token"},
+		{"deadline is not a duration", helloBody, map[string]string{"Endivehitch-Deadline": "soon"}, 400, "duration"},
+		{"unknown quality class", helloBody, map[string]string{"Endivehitch-Quality": "Finest"}, 400, "Best"},
+		{"idempotency key too long", helloBody, map[string]string{"Idempotency-Key": strings.Repeat("k", 256)}, 400, "255"},
+		{"unknown API key", helloBody, map[string]string{"Authorization": "Bearer other"}, 401, "UnknownAccount"},
 	}
 	for _, c := range cases {
 		resp, body := post(t, base, c.body, c.headers)
@@ -141,35 +142,35 @@
 }
 
 func TestRetryAfterRoundsUp(t *testing.T) {
-	s := &server{fail: value.Refusal{Reason: value.ReasonOverloaded, NotRun: true, RetryAfter: 1200 * time.Millisecond}}
-	resp, _ := post(t, face(t, s, wide()), hello, nil)
+	s := &fakeServer{fail: value.Refusal{Reason: value.ReasonOverloaded, NotRun: true, RetryAfter: 1200 * time.Millisecond}}
+	resp, _ := post(t, startFront(t, s, testLimits()), helloBody, nil)
 	assert.Equal(t, resp.StatusCode, http.StatusTooManyRequests)
 	assert.Equal(t, resp.Header.Get("Retry-After"), "2")
 }
 
-func TestFullFaceRefusesAtOnce(t *testing.T) {
-	s := &server{hold: make(chan struct{}), entered: make(chan struct{}, 1)}
-	limits := wide()
+func TestRequestOverInFlightLimitIsRefusedAtOnce(t *testing.T) {
+	s := &fakeServer{release: make(chan struct{}), held: make(chan struct{}, 1)}
+	limits := testLimits()
 	limits.InFlight = 1
-	base := face(t, s, limits)
+	base := startFront(t, s, limits)
 	first := make(chan int, 1)
 	go func() {
-		resp, _ := post(t, base, hello, nil)
+		resp, _ := post(t, base, helloBody, nil)
 		first <- resp.StatusCode
 	}()
-	<-s.entered
-	resp, body := post(t, base, hello, nil)
+	<-s.held
+	resp, body := post(t, base, helloBody, nil)
 	assert.Equal(t, resp.StatusCode, http.StatusTooManyRequests)
 	assert.Assert(t, strings.Contains(body, `"NotRun":true`), body)
-	close(s.hold)
+	close(s.release)
 	assert.Equal(t, <-first, http.StatusOK)
 	assert.Equal(t, len(s.jobs), 1)
 }
 
-func TestNothingRunsWhoseBillCouldNotBeKept(t *testing.T) {
-	s := &server{}
-	base := faceOf(t, s, wide(), true)
-	resp, body := post(t, base, hello, nil)
+func TestRequestsAreRefusedWhileBillsCannotBeStored(t *testing.T) {
+	s := &fakeServer{}
+	base := startFrontWith(t, s, testLimits(), true)
+	resp, body := post(t, base, helloBody, nil)
 	assert.Equal(t, resp.StatusCode, http.StatusTooManyRequests)
 	assert.Assert(t, strings.Contains(body, `"NotRun":true`), body)
 	assert.Equal(t, len(s.jobs), 0)
@@ -179,10 +180,10 @@
 	assert.Equal(t, ready.StatusCode, http.StatusServiceUnavailable)
 }
 
-func TestSlowBodyIsCutOff(t *testing.T) {
-	limits := wide()
+func TestSlowBodyIsRefusedAfterReadTime(t *testing.T) {
+	limits := testLimits()
 	limits.ReadTime = 20 * time.Millisecond
-	base := face(t, &server{}, limits)
+	base := startFront(t, &fakeServer{}, limits)
 	conn, err := net.Dial("tcp", strings.TrimPrefix(base, "http://"))
 	assert.NilError(t, err)
 	defer conn.Close()
--- a/io/front/headers.go
+++ b/io/front/headers.go
@@ -17,34 +17,36 @@
 	headerVersion  = "Endivehitch-Version"
 	headerKey      = "Idempotency-Key"
 	bearerPrefix   = "Bearer "
-	// keyBytes bounds a caller's idempotency key.
-	keyBytes = 255
+	// maxIdempotencyKeyBytes bounds a caller's idempotency key; the refusal's text repeats the number.
+	maxIdempotencyKeyBytes = 255
 )
 
-func bearer(r *http.Request) string {
+// bearerToken returns the API key of the Authorization header.
+func bearerToken(r *http.Request) string {
 	return strings.TrimPrefix(r.Header.Get("Authorization"), bearerPrefix)
 }
 
-// idempotencyKey reads the key, with or without the quotes of a structured header's string.
+// idempotencyKey returns the key without the quotes that the string syntax of structured headers allows.
 func idempotencyKey(r *http.Request) (value.IdempotencyKey, error) {
 	key := strings.Trim(r.Header.Get(headerKey), `"`)
-	if len(key) > keyBytes {
+	if len(key) > maxIdempotencyKeyBytes {
 		return "", badRequest(headerKey + " is longer than 255 bytes")
 	}
 	return value.IdempotencyKey(key), nil
 }
 
-// deadline reads the caller's own time limit, such as "2s"; without one the kind's applies.
-func deadline(r *http.Request, now time.Time, byKind time.Duration) (time.Time, error) {
+// parseDeadline returns when the request must be answered: after the duration that the caller's header
+// gives, such as "2s", or after the default time-out.
+func parseDeadline(r *http.Request, now time.Time, defaultTimeout time.Duration) (time.Time, error) {
 	text := r.Header.Get(headerDeadline)
 	if text == "" {
-		return now.Add(byKind), nil
+		return now.Add(defaultTimeout), nil
 	}
-	d, err := time.ParseDuration(text)
-	if err != nil || d <= 0 {
+	timeout, err := time.ParseDuration(text)
+	if err != nil || timeout <= 0 {
 		return time.Time{}, badRequest(headerDeadline + " must be a duration such as 2s")
 	}
-	return now.Add(d), nil
+	return now.Add(timeout), nil
 }
 
 func badRequest(detail string) error {
--- a/io/front/problem.go
+++ b/io/front/problem.go
@@ -21,10 +21,11 @@
 	Detail string `json:"detail,omitempty"`
 	Reason string `json:"Reason"`
 	NotRun bool   `json:"NotRun"`
-	// Request is the identifier that explain takes.
+	// Request is the request identifier, which the explain command takes.
 	Request string `json:"Request"`
 }
 
+// statusByReason maps the reason of a refusal to its HTTP status; reasons without an entry give 500.
 var statusByReason = map[value.Reason]int{
 	value.ReasonBadRequest:      http.StatusBadRequest,
 	value.ReasonUnknownAccount:  http.StatusUnauthorized,
@@ -44,6 +45,8 @@
 	value.ReasonNoConfiguration: http.StatusServiceUnavailable,
 }
 
+// writeProblem answers with the refusal that the error wraps; any other error is reported as a failure
+// of the backend server.
 func writeProblem(w http.ResponseWriter, id value.RequestID, err error) {
 	refusal := value.Refusal{Reason: value.ReasonBackend, Detail: err.Error()}
 	errors.As(err, &refusal)
@@ -67,7 +70,7 @@
 	})
 }
 
-// retryAfter rounds up, so that a caller never comes back too early.
+// retryAfter returns the delay in whole seconds, rounded up so that no caller retries too early.
 func retryAfter(d time.Duration) string {
 	return strconv.Itoa(int(math.Ceil(d.Seconds())))
 }
--- a/io/front/request.go
+++ b/io/front/request.go
@@ -12,31 +12,32 @@
 	"endivehitch/core/value"
 )
 
-// bytesPerToken turns a prompt's length in bytes into an estimate of its tokens.
+// bytesPerToken converts the length of a body in bytes into an estimate of its input tokens.
 const bytesPerToken = 4
 
-// readBody returns the whole body, or a refusal where it is too long or too slow.
+// readBody returns the complete body, or a refusal if it is too long or arrives too slowly.
 func (f *Front) readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
-	// Test recorders can't set deadlines; a real connection always can.
-	c := http.NewResponseController(w)
-	_ = c.SetReadDeadline(f.Now().Add(f.Limits.ReadTime))
+	// The error is ignored: a test recorder can't set deadlines, and a real connection always can.
+	controller := http.NewResponseController(w)
+	_ = controller.SetReadDeadline(f.Now().Add(f.Limits.ReadTime))
 	body, err := io.ReadAll(r.Body)
-	var long *http.MaxBytesError
-	if errors.As(err, &long) {
-		return nil, badRequest(fmt.Sprintf("body is longer than %d bytes", long.Limit))
+	var tooLong *http.MaxBytesError
+	if errors.As(err, &tooLong) {
+		return nil, badRequest(fmt.Sprintf("body is longer than %d bytes", tooLong.Limit))
 	}
 	if err != nil {
 		return nil, badRequest("read body: " + err.Error())
 	}
-	// A deadline that passes while the answer is on its way would look like a caller that has gone.
-	// It stays after a failure: the server would wait without end for the rest of the body.
-	_ = c.SetReadDeadline(time.Time{})
+	// The read deadline is cleared once the body is complete: if it passed while the answer is being
+	// written, the request would be canceled as if the caller had disconnected. After a failed read
+	// it stays, because the HTTP server would otherwise wait for the rest of the body without limit.
+	_ = controller.SetReadDeadline(time.Time{})
 	return body, nil
 }
 
-// request reads what every route's headers say; the route adds the rest.
-func (f *Front) request(r *http.Request, c caller, body []byte) (value.Request, Session, error) {
-	session, err := f.session(r.Header.Get(headerSession), c.account)
+// newRequest builds the request from the headers that all routes share; the route adds its own fields.
+func (f *Front) newRequest(r *http.Request, c caller, body []byte) (value.Request, Session, error) {
+	session, err := f.resolveSession(r.Header.Get(headerSession), c.account)
 	if err != nil {
 		return value.Request{}, Session{}, err
 	}
@@ -49,30 +50,31 @@
 		return value.Request{}, Session{}, badRequest(headerQuality + " must be Best or absent")
 	}
 	now := f.Now()
-	name := value.KindName(r.Header.Get(headerKind))
-	kind, _ := f.Snapshot().Kind(name)
-	until, err := deadline(r, now, kind.Deadline)
+	kindName := value.KindName(r.Header.Get(headerKind))
+	kind, _ := f.Snapshot().Kind(kindName)
+	deadline, err := parseDeadline(r, now, kind.Deadline)
 	if err != nil {
 		return value.Request{}, Session{}, err
 	}
 	req := value.Request{
 		ID:          c.id,
 		Account:     c.account,
-		Kind:        name,
+		Kind:        kindName,
 		Session:     session.ID,
 		Pinned:      session.Version,
 		Quality:     quality,
 		Key:         key,
-		Deadline:    until,
+		Deadline:    deadline,
 		Arrived:     now,
 		InputTokens: len(body) / bytesPerToken,
-		Question:    question(r, body),
+		Question:    fingerprint(r, body),
 	}
 	return req, session, nil
 }
 
-// question identifies what is asked, so that a key that comes again with another question is noticed.
-func question(r *http.Request, body []byte) uint64 {
+// fingerprint hashes method, URI and body, so that an idempotency key reused for another request is
+// detected.
+func fingerprint(r *http.Request, body []byte) uint64 {
 	h := xxhash.New()
 	_, _ = h.WriteString(r.Method)
 	_, _ = h.WriteString(r.URL.RequestURI())
--- a/io/front/service.go
+++ b/io/front/service.go
@@ -8,13 +8,13 @@
 	"endivehitch/io/flow"
 )
 
-// service passes a request on to a plain service that stands beside the engines.
+// service forwards a request to a plain service: a backend server that is not a model engine.
 func (f *Front) service(w http.ResponseWriter, r *http.Request, c caller) error {
 	body, err := f.readBody(w, r)
 	if err != nil {
 		return err
 	}
-	req, session, err := f.request(r, c, body)
+	req, session, err := f.newRequest(r, c, body)
 	if err != nil {
 		return err
 	}
@@ -32,9 +32,10 @@
 		Body:        body,
 		Key:         req.Key,
 	}
-	return f.serve(r, flow.Job{Request: req, Call: call}, &sink{w: w, front: f, session: session})
+	return f.serve(r, flow.Job{Request: req, Call: call}, &responseWriter{w: w, front: f, session: session})
 }
 
+// servicePath returns the path below the service, with the query string.
 func servicePath(r *http.Request) string {
 	path := "/" + r.PathValue("path")
 	if r.URL.RawQuery == "" {
--- a/io/front/sink.go
+++ b/io/front/sink.go
@@ -11,47 +11,49 @@
 
 const jsonType = "application/json"
 
-// sink writes an answer to the caller as it arrives.
-type sink struct {
+// responseWriter writes one answer to the caller as it arrives; it implements flow.Sink.
+type responseWriter struct {
 	w        http.ResponseWriter
 	front    *Front
 	session  Session
 	streamed bool
-	// usage is set when the caller asked for the usage of a streamed answer.
-	usage bool
-	begun bool
+	// wantsUsage is set if the caller asked for the token usage of a streamed answer.
+	wantsUsage bool
+	headSent   bool
 }
 
-// Begin sends the status, and the token by which the session keeps its version.
-func (s *sink) Begin(h engine.Head, v value.VersionKey) error {
+// Begin sends the status and headers, among them the session token that pins the version.
+func (rw *responseWriter) Begin(h engine.Head, v value.VersionKey) error {
 	if v != "" {
-		s.session.Version = v
+		rw.session.Version = v
 	}
-	token, err := s.front.Signer.Sign(s.session)
+	token, err := rw.front.Signer.Sign(rw.session)
 	if err != nil {
 		return fmt.Errorf("sign session token: %w", err)
 	}
-	s.begun = true
-	header := s.w.Header()
+	rw.headSent = true
+	header := rw.w.Header()
 	header.Set("Content-Type", h.ContentType)
 	header.Set(headerVersion, string(v))
 	header.Set(headerSession, token)
-	s.w.WriteHeader(h.Status)
+	rw.w.WriteHeader(h.Status)
 	return nil
 }
 
-func (s *sink) Write(p engine.Piece) error {
-	if !s.streamed {
-		return s.write(p.Data)
+// Write sends one piece: as an event of a streamed answer, otherwise as bytes of the body.
+func (rw *responseWriter) Write(p engine.Piece) error {
+	if !rw.streamed {
+		return rw.write(p.Data)
 	}
-	if !s.usage && onlyUsage(p.Data) {
+	if !rw.wantsUsage && isUsageOnly(p.Data) {
 		return nil
 	}
-	return s.event(p.Data)
+	return rw.writeEvent(p.Data)
 }
 
-// onlyUsage reports whether an event carries nothing but the usage, which the adapter always asks for.
-func onlyUsage(data []byte) bool {
+// isUsageOnly reports whether an event carries only the token usage. The engine adapter always requests
+// that event; callers that did not ask for it must not receive it.
+func isUsageOnly(data []byte) bool {
 	var chunk struct {
 		Choices []json.RawMessage `json:"choices"`
 		Usage   json.RawMessage   `json:"usage"`
@@ -62,29 +64,29 @@
 	return len(chunk.Choices) == 0 && len(chunk.Usage) > 0
 }
 
-// End sends the end marker of a streamed answer; a whole one ends with its body.
-func (s *sink) End(engine.Usage) error {
-	if !s.streamed {
+// End sends the end marker of a streamed answer; any other answer ends with its body.
+func (rw *responseWriter) End(engine.Usage) error {
+	if !rw.streamed {
 		return nil
 	}
-	return s.event([]byte("[DONE]"))
+	return rw.writeEvent([]byte("[DONE]"))
 }
 
-func (s *sink) event(data []byte) error {
-	if err := s.write(fmt.Appendf(nil, "data: %s\n\n", data)); err != nil {
+func (rw *responseWriter) writeEvent(data []byte) error {
+	if err := rw.write(fmt.Appendf(nil, "data: %s\n\n", data)); err != nil {
 		return err
 	}
-	if err := http.NewResponseController(s.w).Flush(); err != nil {
+	if err := http.NewResponseController(rw.w).Flush(); err != nil {
 		return fmt.Errorf("flush answer: %w", err)
 	}
 	return nil
 }
 
-// write gives the caller a bounded time to take the bytes.
-func (s *sink) write(data []byte) error {
-	// Test recorders can't set deadlines; a real connection always can.
-	_ = http.NewResponseController(s.w).SetWriteDeadline(s.front.Now().Add(s.front.Limits.WriteTime))
-	if _, err := s.w.Write(data); err != nil {
+// write sends the bytes and fails if the caller does not accept them within the write time.
+func (rw *responseWriter) write(data []byte) error {
+	// The error is ignored: a test recorder can't set deadlines, and a real connection always can.
+	_ = http.NewResponseController(rw.w).SetWriteDeadline(rw.front.Now().Add(rw.front.Limits.WriteTime))
+	if _, err := rw.w.Write(data); err != nil {
 		return fmt.Errorf("write answer: %w", err)
 	}
 	return nil
--- a/io/front/slope_test.go
+++ b/io/front/slope_test.go
@@ -20,10 +20,10 @@
 	"endivehitch/io/front"
 )
 
-// streaming answers every job with so many pieces.
-type streaming int
+// streamServer answers every job with as many pieces as its value says.
+type streamServer int
 
-func (n streaming) Serve(_ context.Context, _ flow.Job, s flow.Sink) (flow.Result, error) {
+func (n streamServer) Serve(_ context.Context, _ flow.Job, s flow.Sink) (flow.Result, error) {
 	if err := s.Begin(engine.Head{Status: http.StatusOK, ContentType: "text/event-stream"}, "m/v1"); err != nil {
 		return flow.Result{}, err
 	}
@@ -36,31 +36,32 @@
 	return flow.Result{}, s.End(engine.Usage{})
 }
 
-// discard is a response that goes nowhere.
-type discard struct{ header http.Header }
+// discardWriter is a response writer that drops everything.
+type discardWriter struct{ header http.Header }
 
-func (d discard) Header() http.Header         { return d.header }
-func (d discard) WriteHeader(int)             {}
-func (d discard) Write(p []byte) (int, error) { return len(p), nil }
-func (d discard) Flush()                      {}
+func (d discardWriter) Header() http.Header         { return d.header }
+func (d discardWriter) WriteHeader(int)             {}
+func (d discardWriter) Write(p []byte) (int, error) { return len(p), nil }
+func (d discardWriter) Flush()                      {}
 
-// BenchmarkSlopeAnswer gives the processor time of the callers' face for an answer of so many pieces.
+// BenchmarkSlopeAnswer measures the processor time that a Front takes for a streamed answer, by its
+// number of pieces.
 func BenchmarkSlopeAnswer(b *testing.B) {
 	for _, n := range []int{1, 16, 128, 1024} {
 		b.Run(fmt.Sprintf("Pieces%d", n), func(b *testing.B) {
-			h := handler(b, streaming(n))
+			h := newHandler(b, streamServer(n))
 			body := `{"stream":true,"messages":[{"role":"user","content":"` + strings.Repeat("word ", 200) + `"}]}`
 			for b.Loop() {
 				r := httptest.NewRequest(http.MethodPost, "/v1/chat/completions", io.NopCloser(strings.NewReader(body)))
 				r.Header.Set("Authorization", "Bearer secret")
 				r.Header.Set("Endivehitch-Kind", "spelling")
-				h.ServeHTTP(discard{header: http.Header{}}, r)
+				h.ServeHTTP(discardWriter{header: http.Header{}}, r)
 			}
 		})
 	}
 }
 
-func handler(b *testing.B, s front.Server) http.Handler {
+func newHandler(b *testing.B, s front.JobServer) http.Handler {
 	b.Helper()
 	signer, err := front.NewSigner(bytes.Repeat([]byte{1}, 32))
 	if err != nil {
