--- a/io/engine/errors.go
+++ b/io/engine/errors.go
@@ -6,38 +6,40 @@
 	"net/http"
 )
 
-// ErrMismatch marks an answer that belongs to another request.
+// ErrMismatch is wrapped by the errors of answers whose request identifier is not the call's.
 var ErrMismatch = errors.New("answer belongs to another request")
 
-// StaleFence is the error of an order whose fencing token is older than one the server has seen.
-type StaleFence struct {
-	Sent int64
-	Seen int64
+// StaleTokenError is the error of an order whose fencing token is lower than the highest one that the
+// server has received.
+type StaleTokenError struct {
+	Sent    int64
+	Highest int64
 }
 
-// Error states both tokens.
-func (s StaleFence) Error() string {
-	return fmt.Sprintf("fencing token %d is stale: server has seen %d", s.Sent, s.Seen)
+// Error names both tokens.
+func (s StaleTokenError) Error() string {
+	return fmt.Sprintf("fencing token %d is stale: server has seen %d", s.Sent, s.Highest)
 }
 
-// BadStatus is the error of an answer whose status says that the run failed.
+// BadStatus is the error of an answer whose status means that the call failed.
 type BadStatus struct {
 	Status int
 	Detail string
 }
 
-// Error states the status and what the server said of it.
+// Error gives the status and the start of the answer's body.
 func (b BadStatus) Error() string {
 	return fmt.Sprintf("backend server answered %d: %s", b.Status, b.Detail)
 }
 
-// Permanent reports whether the request itself is at fault, so that another server would say the same.
+// Permanent reports whether the request itself caused the failure, so that a retry at another server
+// would fail too.
 func (b BadStatus) Permanent() bool {
 	return b.Status >= http.StatusBadRequest && b.Status < http.StatusInternalServerError &&
 		b.Status != http.StatusTooManyRequests && b.Status != http.StatusRequestTimeout
 }
 
-// Overloaded reports whether the server refused the run for want of capacity.
+// Overloaded reports whether the server refused the call for lack of capacity.
 func (b BadStatus) Overloaded() bool {
 	return b.Status == http.StatusTooManyRequests || b.Status == http.StatusServiceUnavailable
 }
--- a/io/engine/http_test.go
+++ b/io/engine/http_test.go
@@ -18,7 +18,7 @@
 	"endivehitch/io/fakes"
 )
 
-func adapter(t *testing.T, h http.Handler) (*engine.HTTP, value.BackendServer) {
+func newAdapter(t *testing.T, h http.Handler) (*engine.HTTP, value.BackendServer) {
 	t.Helper()
 	s := httptest.NewServer(h)
 	t.Cleanup(s.Close)
@@ -34,6 +34,7 @@
 	}
 }
 
+// drain reads the answer to its end and returns the number of pieces and the final error.
 func drain(ctx context.Context, a engine.Answer) (int, error) {
 	for n := 0; ; n++ {
 		if _, err := a.Next(ctx); err != nil {
@@ -42,9 +43,9 @@
 	}
 }
 
-func TestUsageIsCompleteAfterTheEnd(t *testing.T) {
+func TestUsageIsCompleteAfterEOF(t *testing.T) {
 	for _, stream := range []bool{false, true} {
-		a, b := adapter(t, &fakes.Chat{Name: "x"})
+		a, b := newAdapter(t, &fakes.Chat{Name: "x"})
 		answer, err := a.Start(t.Context(), b, chatCall(stream))
 		assert.NilError(t, err)
 		_, err = drain(t.Context(), answer)
@@ -54,30 +55,30 @@
 	}
 }
 
-func TestFaultsAreTold(t *testing.T) {
+func TestServerFaultsReturnDistinctErrors(t *testing.T) {
 	for _, stream := range []bool{false, true} {
 		chat := &fakes.Chat{Name: "x"}
-		a, b := adapter(t, chat)
+		a, b := newAdapter(t, chat)
 		chat.Break(fakes.FaultAnother)
 		_, err := a.Start(t.Context(), b, chatCall(stream))
 		assert.ErrorIs(t, err, engine.ErrMismatch)
 		chat.Break(fakes.FaultBusy)
 		_, err = a.Start(t.Context(), b, chatCall(stream))
-		var bad engine.BadStatus
-		assert.Assert(t, errors.As(err, &bad) && !bad.Permanent())
+		var status engine.BadStatus
+		assert.Assert(t, errors.As(err, &status) && !status.Permanent())
 		chat.Break(fakes.FaultInvalid)
 		_, err = a.Start(t.Context(), b, chatCall(stream))
-		assert.Assert(t, errors.As(err, &bad) && bad.Permanent())
+		assert.Assert(t, errors.As(err, &status) && status.Permanent())
 		chat.Break(fakes.FaultReset)
 		_, err = a.Start(t.Context(), b, chatCall(stream))
 		assert.Assert(t, err != nil && !errors.Is(err, engine.ErrNotSent))
 	}
 }
 
-func TestCutStreamIsCutOff(t *testing.T) {
+func TestTruncatedStreamReturnsErrCutOff(t *testing.T) {
 	chat := &fakes.Chat{Name: "x"}
 	chat.Break(fakes.FaultCut)
-	a, b := adapter(t, chat)
+	a, b := newAdapter(t, chat)
 	answer, err := a.Start(t.Context(), b, chatCall(true))
 	assert.NilError(t, err)
 	n, err := drain(t.Context(), answer)
@@ -85,17 +86,18 @@
 	assert.Assert(t, n > 0)
 }
 
-func TestRefusedConnectionWasNotSent(t *testing.T) {
-	a, _ := adapter(t, http.NotFoundHandler())
+func TestRefusedConnectionReturnsErrNotSent(t *testing.T) {
+	a, _ := newAdapter(t, http.NotFoundHandler())
 	_, err := a.Start(t.Context(), value.BackendServer{ID: "none", Address: "http://127.0.0.1:1"}, chatCall(false))
 	assert.ErrorIs(t, err, engine.ErrNotSent)
 }
 
-// A server that closes a kept connection as the next call arrives must not see a keyed call twice.
-func TestKeyedCallIsSentOnce(t *testing.T) {
-	var seen atomic.Int64
-	a, b := adapter(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		if seen.Add(1) == 1 {
+// Guards against sending a call with an idempotency key twice: if the server closes a reused connection as
+// the call arrives on it, the transport may resend the call on a new one.
+func TestCallWithIdempotencyKeyIsSentOnce(t *testing.T) {
+	var received atomic.Int64
+	a, b := newAdapter(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		if received.Add(1) == 1 {
 			w.WriteHeader(http.StatusOK)
 			return
 		}
@@ -109,28 +111,28 @@
 	answer.Cancel()
 	_, err = a.Start(t.Context(), b, call)
 	assert.Assert(t, err != nil && !errors.Is(err, engine.ErrNotSent))
-	assert.Equal(t, seen.Load(), int64(2))
+	assert.Equal(t, received.Load(), int64(2))
 }
 
-func TestOrdersAreFencedAndReadBack(t *testing.T) {
+func TestStaleOrderIsRefusedAndLoadedVersionsAreListed(t *testing.T) {
 	chat := &fakes.Chat{Name: "x", Fencing: true}
-	a, b := adapter(t, chat)
+	a, b := newAdapter(t, chat)
 	load := engine.Order{Verb: engine.OrderLoad, Version: "m/v2", Fence: 7}
 	assert.NilError(t, a.Send(t.Context(), b, load))
 	load.Fence = 6
 	err := a.Send(t.Context(), b, load)
-	var stale engine.StaleFence
+	var stale engine.StaleTokenError
 	assert.Assert(t, errors.As(err, &stale))
-	assert.Equal(t, stale, engine.StaleFence{Sent: 6, Seen: 7})
-	have, err := a.Carried(t.Context(), b)
+	assert.Equal(t, stale, engine.StaleTokenError{Sent: 6, Highest: 7})
+	loaded, err := a.Carried(t.Context(), b)
 	assert.NilError(t, err)
-	assert.DeepEqual(t, have, []value.VersionKey{"m/v2"})
+	assert.DeepEqual(t, loaded, []value.VersionKey{"m/v2"})
 	err = a.Send(t.Context(), b, engine.Order{Verb: engine.OrderRole, Role: "prefill", Fence: 8})
 	assert.ErrorIs(t, err, engine.ErrUnsupported)
 }
 
-func TestLoadIsReadFromGauges(t *testing.T) {
-	a, b := adapter(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+func TestLoadSumsGaugesOfAllEngines(t *testing.T) {
+	a, b := newAdapter(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(w, "# HELP x\nvllm:num_requests_running{engine=\"0\"} 3\nvllm:num_requests_running{engine=\"1\"} 2\nvllm:num_requests_waiting{engine=\"0\"} 4\n")
 	}))
 	r, err := a.Load(t.Context(), b)
--- a/io/engine/openai.go
+++ b/io/engine/openai.go
@@ -21,27 +21,28 @@
 	headerRequest  = "X-Request-Id"
 	headerPriority = "X-Priority"
 	headerKey      = "Idempotency-Key"
-	// errorDetailBytes bounds how much of a failed answer's body is kept.
-	errorDetailBytes = 1 << 10
-	idleTimeout      = 90 * time.Second
+	// maxErrorDetailBytes bounds how much of a failed answer's body goes into its BadStatus.
+	maxErrorDetailBytes = 1 << 10
+	idleTimeout         = 90 * time.Second
 )
 
-// HTTPConfig sets up an HTTP adapter.
+// HTTPConfig configures an HTTP adapter.
 type HTTPConfig struct {
 	// DialTimeout bounds the time to connect to a backend server.
 	DialTimeout time.Duration
-	// IdleConnections bounds the kept connections to one backend server.
+	// IdleConnections bounds the idle connections kept open to one backend server.
 	IdleConnections int
-	// TLS, if set, is used towards https addresses.
+	// TLS, if set, is used for https addresses.
 	TLS *tls.Config
 }
 
-// HTTP speaks the chat-completions format to engines and plain HTTP to services.
+// HTTP implements Runner, Reporter, Commander and CacheMover: it uses the chat-completions format with
+// engines and plain HTTP with services.
 type HTTP struct {
-	client *http.Client
-	// fresh keeps no connections: a call that must not be sent twice never meets
-	// one that the server has just closed.
-	fresh *http.Client
+	pooled *http.Client
+	// unpooled opens a connection for each call. It is used for calls that must not be sent twice: on
+	// an idle connection that the server has just closed, the transport would send them again by itself.
+	unpooled *http.Client
 }
 
 // NewHTTP returns an adapter, or an error that names what the configuration lacks.
@@ -52,9 +53,9 @@
 	if c.IdleConnections <= 0 {
 		return nil, errors.New("engine: bound on idle connections must be positive")
 	}
-	kept, fresh := newTransport(c), newTransport(c)
-	fresh.DisableKeepAlives = true
-	return &HTTP{client: newClient(kept), fresh: newClient(fresh)}, nil
+	pooled, unpooled := newTransport(c), newTransport(c)
+	unpooled.DisableKeepAlives = true
+	return &HTTP{pooled: newClient(pooled), unpooled: newClient(unpooled)}, nil
 }
 
 func newTransport(c HTTPConfig) *http.Transport {
@@ -67,7 +68,7 @@
 	}
 }
 
-// newClient hands redirects to the caller: following one would send a call twice.
+// newClient returns a client that follows no redirects, because following one would send the call twice.
 func newClient(t *http.Transport) *http.Client {
 	return &http.Client{
 		Transport:     t,
@@ -86,23 +87,24 @@
 	resp, err := h.clientFor(c).Do(req)
 	if err != nil {
 		cancel()
-		return nil, fmt.Errorf("call backend server %s: %w", b.ID, notSent(err))
+		return nil, fmt.Errorf("call backend server %s: %w", b.ID, markNotSent(err))
 	}
 	if err := checkHead(resp, c); err != nil {
 		cancel()
 		return nil, fmt.Errorf("answer of backend server %s: %w", b.ID, err)
 	}
 	if c.Stream && c.Version != "" {
-		return newStreamed(resp, cancel), nil
+		return newStreamAnswer(resp, cancel), nil
 	}
-	return newWhole(resp, cancel, c.Version != ""), nil
+	return newBodyAnswer(resp, cancel, c.Version != ""), nil
 }
 
+// clientFor returns the client without idle connections for calls with an idempotency key.
 func (h *HTTP) clientFor(c Call) *http.Client {
 	if c.Key != "" {
-		return h.fresh
+		return h.unpooled
 	}
-	return h.client
+	return h.pooled
 }
 
 func newRequest(ctx context.Context, b value.BackendServer, c Call) (*http.Request, error) {
@@ -118,7 +120,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("address %s: %w", b.Address, err)
 	}
-	// A body that can't be read again keeps the transport from sending the request a second time by itself.
+	// The body is set here so that GetBody stays nil: with it, the transport could read the body again
+	// and resend the request by itself.
 	req.Body = io.NopCloser(bytes.NewReader(body))
 	req.ContentLength = int64(len(body))
 	req.Header.Set("Content-Type", c.ContentType)
@@ -130,7 +133,8 @@
 	return req, nil
 }
 
-// withModel names the chosen version as the engine's model and asks for the usage of streamed answers.
+// withModel returns the body with the call's version as the model and, for a streamed answer, with the
+// request for its usage.
 func withModel(c Call) ([]byte, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(c.Body, &fields); err != nil {
@@ -151,8 +155,8 @@
 	return body, nil
 }
 
-// notSent marks errors of the dial, after which the server can't have received anything.
-func notSent(err error) error {
+// markNotSent wraps dial errors in ErrNotSent: without a connection the server received nothing.
+func markNotSent(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return fmt.Errorf("%w: %w", ErrNotSent, err)
@@ -160,26 +164,29 @@
 	return err
 }
 
-// checkHead refuses answers that are failures or not the call's own; the status of a plain service below 500 is its answer.
+// checkHead returns an error if the status means failure or the answer belongs to another request. An
+// engine fails with 300 or more; a plain service only with 500 or more, since any other status is its
+// answer.
 func checkHead(resp *http.Response, c Call) error {
-	least := http.StatusInternalServerError
+	minFailure := http.StatusInternalServerError
 	if c.Version != "" {
-		least = http.StatusMultipleChoices
+		minFailure = http.StatusMultipleChoices
 	}
-	if resp.StatusCode >= least {
+	if resp.StatusCode >= minFailure {
 		return badStatus(resp)
 	}
-	echoed := resp.Header.Get(headerRequest)
-	if echoed != "" && echoed != string(c.Request) {
+	echoedID := resp.Header.Get(headerRequest)
+	if echoedID != "" && echoedID != string(c.Request) {
 		_ = resp.Body.Close()
-		return fmt.Errorf("%w: %s", ErrMismatch, echoed)
+		return fmt.Errorf("%w: %s", ErrMismatch, echoedID)
 	}
 	return nil
 }
 
+// badStatus closes the response and returns its status and the start of its body as an error.
 func badStatus(resp *http.Response) error {
 	defer resp.Body.Close()
-	detail, err := io.ReadAll(io.LimitReader(resp.Body, errorDetailBytes))
+	detail, err := io.ReadAll(io.LimitReader(resp.Body, maxErrorDetailBytes))
 	if err != nil {
 		detail = []byte(err.Error())
 	}
--- a/io/engine/order.go
+++ b/io/engine/order.go
@@ -12,12 +12,13 @@
 )
 
 const (
-	loadPath   = "/v1/load_lora_adapter"
-	unloadPath = "/v1/unload_lora_adapter"
-	// headerFence carries the fencing token; servers that don't know it ignore it.
-	headerFence = "Fencing-Token"
-	// headerSeen carries the highest token of a server that refuses an order.
-	headerSeen = "Fencing-Token-Seen"
+	loadAdapterPath   = "/v1/load_lora_adapter"
+	unloadAdapterPath = "/v1/unload_lora_adapter"
+	// headerFencingToken carries the fencing token; servers that don't support fencing ignore it.
+	headerFencingToken = "Fencing-Token"
+	// headerHighestToken carries, in the refusal of a stale order, the highest token that the server has
+	// received.
+	headerHighestToken = "Fencing-Token-Seen"
 )
 
 type wireLoad struct {
@@ -25,9 +26,10 @@
 	Path string `json:"lora_path,omitempty"`
 }
 
-// Send delivers an order to load or unload a version; a change of role is not part of the format.
+// Send delivers an order to load or unload a version; for any other verb the error wraps ErrUnsupported,
+// because the adapter API has no change of role.
 func (h *HTTP) Send(ctx context.Context, b value.BackendServer, o Order) error {
-	path, ok := map[OrderVerb]string{OrderLoad: loadPath, OrderUnload: unloadPath}[o.Verb]
+	path, ok := map[OrderVerb]string{OrderLoad: loadAdapterPath, OrderUnload: unloadAdapterPath}[o.Verb]
 	if !ok {
 		return fmt.Errorf("order %s: %w", o.Verb, ErrUnsupported)
 	}
@@ -44,10 +46,10 @@
 		return fmt.Errorf("address %s: %w", b.Address, err)
 	}
 	req.Header.Set("Content-Type", jsonType)
-	req.Header.Set(headerFence, strconv.FormatInt(o.Fence, 10))
-	resp, err := h.client.Do(req)
+	req.Header.Set(headerFencingToken, strconv.FormatInt(o.Fence, 10))
+	resp, err := h.pooled.Do(req)
 	if err != nil {
-		return fmt.Errorf("send order to %s: %w", b.ID, notSent(err))
+		return fmt.Errorf("send order to %s: %w", b.ID, markNotSent(err))
 	}
 	if err := orderError(resp, o); err != nil {
 		return fmt.Errorf("order to %s: %w", b.ID, err)
@@ -55,11 +57,12 @@
 	return nil
 }
 
+// orderError closes the response and returns the error that it stands for, if any.
 func orderError(resp *http.Response, o Order) error {
-	seen, err := strconv.ParseInt(resp.Header.Get(headerSeen), 10, 64)
+	highest, err := strconv.ParseInt(resp.Header.Get(headerHighestToken), 10, 64)
 	if resp.StatusCode == http.StatusConflict && err == nil {
 		_ = resp.Body.Close()
-		return StaleFence{Sent: o.Fence, Seen: seen}
+		return StaleTokenError{Sent: o.Fence, Highest: highest}
 	}
 	if resp.StatusCode != http.StatusOK {
 		return badStatus(resp)
@@ -68,12 +71,12 @@
 	return nil
 }
 
-// Export returns ErrUnsupported: the chat-completions format has no export of caches.
+// Export fails with ErrUnsupported: the chat-completions format has no export of KV caches.
 func (h *HTTP) Export(context.Context, value.BackendServer, value.RequestID) ([]byte, error) {
 	return nil, fmt.Errorf("export cache: %w", ErrUnsupported)
 }
 
-// Import returns ErrUnsupported: the chat-completions format has no import of caches.
+// Import fails with ErrUnsupported: the chat-completions format has no import of KV caches.
 func (h *HTTP) Import(context.Context, value.BackendServer, value.RequestID, []byte) error {
 	return fmt.Errorf("import cache: %w", ErrUnsupported)
 }
--- a/io/engine/port.go
+++ b/io/engine/port.go
@@ -8,71 +8,71 @@
 	"endivehitch/core/value"
 )
 
-// ErrNotSent marks a call of which nothing reached the backend server.
+// ErrNotSent is wrapped by the errors of calls of which the backend server received nothing.
 var ErrNotSent = errors.New("nothing was sent to the backend server")
 
-// ErrCutOff marks an answer that ended before it was whole.
+// ErrCutOff is wrapped by the errors of answers that ended before they were complete.
 var ErrCutOff = errors.New("answer cut off")
 
-// ErrUnsupported marks what the backend server's protocol can't say.
+// ErrUnsupported is wrapped by the errors of operations that the backend server's protocol lacks.
 var ErrUnsupported = errors.New("not supported by the backend server")
 
-// Call is one run to be started at a backend server.
+// Call is one attempt to run a request at a backend server.
 type Call struct {
 	Request value.RequestID
 	// Version is empty for a plain service.
 	Version  value.VersionKey
 	Priority value.Priority
-	// Method and Path are used for plain services; an engine has its own.
+	// Method and Path are used for plain services only; engines have a fixed method and path.
 	Method string
 	Path   string
 	// ContentType is the media type of the body.
 	ContentType string
 	Body        []byte
 	Stream      bool
-	// Key is the idempotency key passed on to a plain service, or empty.
+	// Key is the idempotency key that is passed on to the backend server, or empty.
 	Key value.IdempotencyKey
 }
 
 // Piece is one part of an answer.
 type Piece struct {
-	// Data is the payload: an SSE event's data for a streamed answer, body bytes for a whole one.
+	// Data is the data of one server-sent event if the answer is streamed, otherwise bytes of the body.
 	Data []byte
 }
 
-// Usage is what the engine reports of a finished run.
+// Usage is the token usage that an engine reports for an answer.
 type Usage struct {
 	InputTokens  int
 	OutputTokens int
 }
 
-// Head is the start of an answer.
+// Head is the status and media type of an answer, which arrive before its body.
 type Head struct {
 	Status      int
 	ContentType string
 }
 
-// Answer is a running answer; it is read by one goroutine.
+// Answer is an answer whose body is being received; one goroutine reads it.
 type Answer interface {
 	// Head returns the status and media type.
 	Head() Head
-	// Next returns the next piece; io.EOF follows the last piece of a whole answer, and
-	// an error that wraps ErrCutOff says that the answer is not whole.
+	// Next returns the next piece; io.EOF follows the last piece of a complete answer, and an error
+	// that wraps ErrCutOff means that the answer is incomplete.
 	Next(ctx context.Context) (Piece, error)
-	// Usage returns what the engine reported; it is complete after io.EOF.
+	// Usage returns the usage reported so far; it is complete once Next has returned io.EOF.
 	Usage() Usage
-	// Cancel stops the run and frees its resources; it may be called at any time and more than once.
+	// Cancel stops the attempt and frees its resources; it may be called at any time and more than once.
 	Cancel()
 }
 
-// Runner starts runs at backend servers.
+// Runner starts attempts at backend servers.
 type Runner interface {
-	// Start returns once the answer's head has arrived; an error that wraps ErrNotSent
-	// means that the server received nothing, any other error leaves that open.
+	// Start returns once the answer's head has arrived. An error that wraps ErrNotSent means that the
+	// server received nothing; after any other error it may have received the call.
 	Start(ctx context.Context, b value.BackendServer, c Call) (Answer, error)
 }
 
-// Report is a backend server's own statement of its load.
+// Report is the load that a backend server reports: its running and queued requests at a time.
 type Report struct {
 	Server  value.ServerID
 	Running int
@@ -80,7 +80,8 @@
 	At      time.Time
 }
 
-// CacheEvent says that a server holds or has dropped a prompt prefix; it comes late and with gaps.
+// CacheEvent reports that a server has cached or dropped a prompt prefix; events arrive late and some
+// are lost.
 type CacheEvent struct {
 	Server  value.ServerID
 	Prefix  uint64
@@ -89,15 +90,15 @@
 	Ordinal int64
 }
 
-// Reporter reads what servers say of themselves.
+// Reporter reads the reports of backend servers.
 type Reporter interface {
 	// Load returns the server's latest load report.
 	Load(ctx context.Context, b value.BackendServer) (Report, error)
-	// CacheEvents returns the events after the ordinal.
-	CacheEvents(ctx context.Context, b value.BackendServer, after int64) ([]CacheEvent, error)
+	// CacheEvents returns the events whose ordinals are greater than the given one.
+	CacheEvents(ctx context.Context, b value.BackendServer, afterOrdinal int64) ([]CacheEvent, error)
 }
 
-// OrderVerb is what an order asks of a backend server.
+// OrderVerb is the action that an order requests.
 type OrderVerb string
 
 // The verbs of orders.
@@ -107,27 +108,27 @@
 	OrderRole   OrderVerb = "Role"
 )
 
-// Order asks a backend server to carry a version or to change its role.
+// Order tells a backend server to load or unload a version, or to change its role.
 type Order struct {
 	Verb    OrderVerb
 	Version value.VersionKey
 	Role    string
-	// Fence is the fencing token; a server that checks it refuses a lower one than it has seen.
+	// Fence is the fencing token; a server that checks it refuses a token lower than its highest so far.
 	Fence int64
 }
 
 // Commander sends orders to backend servers.
 type Commander interface {
-	// Send delivers the order; it fails with StaleFence where the server refuses the token.
+	// Send delivers the order; the error wraps a StaleTokenError if the server refuses the token.
 	Send(ctx context.Context, b value.BackendServer, o Order) error
-	// Carried reads back which versions the server has loaded.
+	// Carried returns the versions that the server has loaded.
 	Carried(ctx context.Context, b value.BackendServer) ([]value.VersionKey, error)
 }
 
-// Mover exports and imports a running request's KV cache between servers.
-type Mover interface {
-	// Export returns the cache of the request, or ErrUnsupported.
+// CacheMover transfers the KV cache of a running request between servers.
+type CacheMover interface {
+	// Export returns the KV cache of the request, or an error that wraps ErrUnsupported.
 	Export(ctx context.Context, b value.BackendServer, r value.RequestID) ([]byte, error)
-	// Import hands a cache to the server, or returns ErrUnsupported.
+	// Import sends a KV cache to the server, or returns an error that wraps ErrUnsupported.
 	Import(ctx context.Context, b value.BackendServer, r value.RequestID, cache []byte) error
 }
--- a/io/engine/report.go
+++ b/io/engine/report.go
@@ -17,14 +17,14 @@
 const (
 	modelsPath  = "/v1/models"
 	metricsPath = "/metrics"
-	// The gauges by which engines publish their load.
+	// The gauges in which vLLM engines report their load.
 	runningGauge = "vllm:num_requests_running"
 	waitingGauge = "vllm:num_requests_waiting"
-	// reportBytes bounds what is read of a server's report.
-	reportBytes = 4 << 20
+	// maxReportBytes bounds how much of a server's metrics or list of models is read.
+	maxReportBytes = 4 << 20
 )
 
-// Load reads the server's gauges of running and waiting requests.
+// Load reads the server's gauges of running and waiting requests and adds them up over their labels.
 func (h *HTTP) Load(ctx context.Context, b value.BackendServer) (Report, error) {
 	body, err := h.get(ctx, b, metricsPath)
 	if err != nil {
@@ -33,7 +33,7 @@
 	r := Report{Server: b.ID, At: time.Now()}
 	lines := bufio.NewScanner(strings.NewReader(string(body)))
 	for lines.Scan() {
-		name, n, ok := gauge(lines.Text())
+		name, n, ok := parseGauge(lines.Text())
 		if !ok {
 			continue
 		}
@@ -47,8 +47,9 @@
 	return r, nil
 }
 
-// gauge splits a line of the Prometheus text format into a name, without its labels, and a count.
-func gauge(line string) (string, int, bool) {
+// parseGauge parses a line of the Prometheus text format into a name without labels and a value, cut to
+// a whole number; it returns false for comments and for lines that hold no number.
+func parseGauge(line string) (string, int, bool) {
 	if strings.HasPrefix(line, "#") {
 		return "", 0, false
 	}
@@ -64,12 +65,12 @@
 	return name, int(n), true
 }
 
-// CacheEvents returns ErrUnsupported: the chat-completions format has no cache events.
+// CacheEvents fails with ErrUnsupported: the chat-completions format has no cache events.
 func (h *HTTP) CacheEvents(context.Context, value.BackendServer, int64) ([]CacheEvent, error) {
 	return nil, fmt.Errorf("cache events: %w", ErrUnsupported)
 }
 
-// Carried reads the server's list of models, whose identifiers are version keys.
+// Carried reads the server's list of models and returns their identifiers, which are version keys.
 func (h *HTTP) Carried(ctx context.Context, b value.BackendServer) ([]value.VersionKey, error) {
 	body, err := h.get(ctx, b, modelsPath)
 	if err != nil {
@@ -90,12 +91,13 @@
 	return keys, nil
 }
 
+// get returns the body of a successful GET request to the server.
 func (h *HTTP) get(ctx context.Context, b value.BackendServer, path string) ([]byte, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, b.Address+path, http.NoBody)
 	if err != nil {
 		return nil, fmt.Errorf("address %s: %w", b.Address, err)
 	}
-	resp, err := h.client.Do(req)
+	resp, err := h.pooled.Do(req)
 	if err != nil {
 		return nil, fmt.Errorf("get %s: %w", path, err)
 	}
@@ -103,7 +105,7 @@
 		return nil, badStatus(resp)
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, reportBytes))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxReportBytes))
 	if err != nil {
 		return nil, fmt.Errorf("read %s: %w", path, err)
 	}
--- a/io/engine/stream.go
+++ b/io/engine/stream.go
@@ -10,15 +10,16 @@
 	"net/http"
 )
 
-// eventBytes bounds one event of a streamed answer.
-const eventBytes = 1 << 20
+// maxEventBytes bounds one event of a streamed answer.
+const maxEventBytes = 1 << 20
 
 var (
 	dataPrefix = []byte("data:")
 	doneMarker = []byte("[DONE]")
 )
 
-type streamed struct {
+// streamAnswer is an answer of server-sent events from an engine.
+type streamAnswer struct {
 	resp    *http.Response
 	cancel  func()
 	scanner *bufio.Scanner
@@ -26,18 +27,18 @@
 	done    bool
 }
 
-func newStreamed(resp *http.Response, cancel func()) *streamed {
+func newStreamAnswer(resp *http.Response, cancel func()) *streamAnswer {
 	s := bufio.NewScanner(resp.Body)
-	s.Buffer(nil, eventBytes)
-	return &streamed{resp: resp, cancel: cancel, scanner: s}
+	s.Buffer(nil, maxEventBytes)
+	return &streamAnswer{resp: resp, cancel: cancel, scanner: s}
 }
 
-func (s *streamed) Head() Head {
+func (s *streamAnswer) Head() Head {
 	return Head{Status: s.resp.StatusCode, ContentType: s.resp.Header.Get("Content-Type")}
 }
 
-// Next returns the data of the next event; only the end marker makes the answer whole.
-func (s *streamed) Next(_ context.Context) (Piece, error) {
+// Next returns the data of the next event; the answer is complete only if its end marker arrives.
+func (s *streamAnswer) Next(_ context.Context) (Piece, error) {
 	if s.done {
 		return Piece{}, io.EOF
 	}
@@ -51,7 +52,7 @@
 			s.done = true
 			return Piece{}, io.EOF
 		}
-		if err := s.meter(data); err != nil {
+		if err := s.readUsage(data); err != nil {
 			return Piece{}, err
 		}
 		return Piece{Data: bytes.Clone(data)}, nil
@@ -62,7 +63,8 @@
 	return Piece{}, fmt.Errorf("%w: stream ended without its end marker", ErrCutOff)
 }
 
-func (s *streamed) meter(data []byte) error {
+// readUsage takes the usage from an event that holds one.
+func (s *streamAnswer) readUsage(data []byte) error {
 	var chunk struct {
 		Usage *wireUsage `json:"usage"`
 	}
@@ -75,11 +77,11 @@
 	return nil
 }
 
-func (s *streamed) Usage() Usage {
+func (s *streamAnswer) Usage() Usage {
 	return s.usage
 }
 
-func (s *streamed) Cancel() {
+func (s *streamAnswer) Cancel() {
 	s.cancel()
 	_ = s.resp.Body.Close()
 }
--- a/io/engine/whole.go
+++ b/io/engine/whole.go
@@ -9,7 +9,8 @@
 	"net/http"
 )
 
-const pieceBytes = 32 << 10
+// readBufferBytes bounds one piece of a plain service's answer.
+const readBufferBytes = 32 << 10
 
 type wireUsage struct {
 	PromptTokens     int `json:"prompt_tokens"`
@@ -20,35 +21,36 @@
 	return Usage{InputTokens: w.PromptTokens, OutputTokens: w.CompletionTokens}
 }
 
-type whole struct {
+// bodyAnswer is an answer that is not streamed, from an engine or a plain service.
+type bodyAnswer struct {
 	resp   *http.Response
 	cancel func()
-	// metered answers carry the engine's usage in their body.
-	metered bool
-	body    []byte
-	usage   Usage
-	done    bool
+	// hasUsage is set for answers of engines, whose body holds the usage.
+	hasUsage bool
+	body     []byte
+	usage    Usage
+	done     bool
 }
 
-func newWhole(resp *http.Response, cancel func(), metered bool) *whole {
-	return &whole{resp: resp, cancel: cancel, metered: metered}
+func newBodyAnswer(resp *http.Response, cancel func(), metered bool) *bodyAnswer {
+	return &bodyAnswer{resp: resp, cancel: cancel, hasUsage: metered}
 }
 
-func (w *whole) Head() Head {
-	return Head{Status: w.resp.StatusCode, ContentType: w.resp.Header.Get("Content-Type")}
+func (b *bodyAnswer) Head() Head {
+	return Head{Status: b.resp.StatusCode, ContentType: b.resp.Header.Get("Content-Type")}
 }
 
-func (w *whole) Next(_ context.Context) (Piece, error) {
-	if w.done {
+func (b *bodyAnswer) Next(_ context.Context) (Piece, error) {
+	if b.done {
 		return Piece{}, io.EOF
 	}
-	if w.metered {
-		return w.all()
+	if b.hasUsage {
+		return b.readAll()
 	}
-	buf := make([]byte, pieceBytes)
-	n, err := w.resp.Body.Read(buf)
+	buf := make([]byte, readBufferBytes)
+	n, err := b.resp.Body.Read(buf)
 	if errors.Is(err, io.EOF) {
-		w.done = true
+		b.done = true
 		if n == 0 {
 			return Piece{}, io.EOF
 		}
@@ -60,9 +62,10 @@
 	return Piece{Data: buf[:n]}, nil
 }
 
-// all reads the whole body before it gives out a piece, so that a cut-off answer can still be retried.
-func (w *whole) all() (Piece, error) {
-	body, err := io.ReadAll(w.resp.Body)
+// readAll returns the complete body as one piece, so that an answer that is cut off can be retried
+// before any of it has reached the caller.
+func (b *bodyAnswer) readAll() (Piece, error) {
+	body, err := io.ReadAll(b.resp.Body)
 	if err != nil {
 		return Piece{}, fmt.Errorf("%w: %w", ErrCutOff, err)
 	}
@@ -72,16 +75,16 @@
 	if err := json.Unmarshal(body, &fields); err != nil {
 		return Piece{}, fmt.Errorf("%w: decode answer: %w", ErrCutOff, err)
 	}
-	w.usage = fields.Usage.usage()
-	w.done = true
+	b.usage = fields.Usage.usage()
+	b.done = true
 	return Piece{Data: body}, nil
 }
 
-func (w *whole) Usage() Usage {
-	return w.usage
+func (b *bodyAnswer) Usage() Usage {
+	return b.usage
 }
 
-func (w *whole) Cancel() {
-	w.cancel()
-	_ = w.resp.Body.Close()
+func (b *bodyAnswer) Cancel() {
+	b.cancel()
+	_ = b.resp.Body.Close()
 }
