--- a/io/once/bench_test.go
+++ b/io/once/bench_test.go
@@ -18,16 +18,16 @@
 
 const (
 	benchInstances = 7
-	// benchWrites is the journal writes a second of all instances together.
+	// benchWrites is the number of journal writes per second of all instances together.
 	benchWrites  = 280.0
 	benchLatency = 5 * time.Millisecond
 )
 
-// fleet returns guards that share a store and a budget of writes.
-func fleet(b *testing.B, owned bool, adjust func(*once.Config)) ([]*once.Guard, *fakes.Store) {
+// newFleet returns the guards of several instances that share a store and divide the write rate.
+func newFleet(b *testing.B, useOwners bool, adjust func(*once.Config)) ([]*once.Guard, *fakes.Store) {
 	b.Helper()
-	r := newRig(b)
-	r.adjust = func(c *once.Config) {
+	h := newHarness(b)
+	h.configure = func(c *once.Config) {
 		c.Slots = benchInstances
 		c.Rule.Bytes = 1 << 20
 		c.Queue = 1 << 20
@@ -35,7 +35,7 @@
 		c.Writes = benchWrites / benchInstances
 		c.SettleWait = time.Minute
 		adjust(c)
-		if !owned {
+		if !useOwners {
 			c.Caller = nil
 			return
 		}
@@ -43,19 +43,19 @@
 			return instance(value.InstanceID(fmt.Sprint("i", slot))), true
 		}
 	}
-	r.setFaults(fakes.Faults{}.WithDelay(benchLatency))
+	h.setFaults(fakes.Faults{}.WithDelay(benchLatency))
 	var guards []*once.Guard
 	for i := range benchInstances {
-		guards = append(guards, r.guard(value.InstanceID(fmt.Sprint("i", i))))
+		guards = append(guards, h.guard(value.InstanceID(fmt.Sprint("i", i))))
 	}
-	return guards, r.store
+	return guards, h.store
 }
 
-// drive has callers claim and finish so many calls, one after the other, and returns the time that
-// all took and the sorted waits for a claim.
-func drive(b *testing.B, guards []*once.Guard, callers, calls int) (time.Duration, []time.Duration) {
+// runCalls has concurrent callers claim and finish the given number of calls, each caller one after the
+// other, and returns the total time and the sorted times that the claims took.
+func runCalls(b *testing.B, guards []*once.Guard, callers, calls int) (time.Duration, []time.Duration) {
 	b.Helper()
-	began := time.Now()
+	start := time.Now()
 	var next atomic.Int64
 	waits := make([]time.Duration, calls)
 	var group sync.WaitGroup
@@ -64,32 +64,33 @@
 			for n := int(next.Add(1)) - 1; n < calls; n = int(next.Add(1)) - 1 {
 				req := request(fmt.Sprint(n))
 				req.Deadline = time.Now().Add(time.Hour)
-				asked := time.Now()
+				claimed := time.Now()
 				c, _, err := guards[i%len(guards)].Claim(context.Background(), req)
 				for err != nil {
 					c, _, err = guards[i%len(guards)].Claim(context.Background(), req)
 				}
-				waits[n] = time.Since(asked)
-				assert.Check(b, c.Finish(context.Background(), done("ok")))
+				waits[n] = time.Since(claimed)
+				assert.Check(b, c.Finish(context.Background(), storedAnswer("ok")))
 			}
 		})
 	}
 	group.Wait()
 	slices.Sort(waits)
-	return time.Since(began), waits
+	return time.Since(start), waits
 }
 
-// BenchmarkOnce gives the ceiling and the added latency of calls that run at most once, against one
-// write for each intent and each end, at the same budget of writes.
+// BenchmarkOnce measures the throughput limit and the added latency of calls that run at most once: with
+// one write for each claim and each end, with group writes at each instance, and with group writes at
+// slot owners, all at the same write rate.
 func BenchmarkOnce(b *testing.B) {
-	// With so many slots hardly two calls meet in one, as if each call had a key of its own.
+	// With this many slots two calls hardly ever share one, as if each call had its own store key.
 	single := func(c *once.Config) { c.Group = 1; c.Slots = 1 << 12 }
 	grouped := func(*once.Config) {}
-	ways := []struct {
-		name   string
-		adjust func(*once.Config)
-		owned  bool
-		calls  int
+	variants := []struct {
+		name      string
+		adjust    func(*once.Config)
+		useOwners bool
+		calls     int
 	}{
 		{"single", single, false, 300},
 		{"instance", grouped, false, 300},
@@ -97,25 +98,25 @@
 	}
 	for b.Loop() {
 		base := 0.0
-		for _, w := range ways {
-			guards, store := fleet(b, w.owned, w.adjust)
-			took, waits := drive(b, guards, 40*benchInstances, w.calls)
-			rate := float64(w.calls) / took.Seconds()
-			writes := float64(store.Writes()) / float64(w.calls)
-			calm, _ := fleet(b, w.owned, w.adjust)
-			_, quiet := drive(b, calm, 1, 20)
+		for _, v := range variants {
+			guards, store := newFleet(b, v.useOwners, v.adjust)
+			elapsed, waits := runCalls(b, guards, 40*benchInstances, v.calls)
+			rate := float64(v.calls) / elapsed.Seconds()
+			writes := float64(store.Writes()) / float64(v.calls)
+			idleGuards, _ := newFleet(b, v.useOwners, v.adjust)
+			_, idleWaits := runCalls(b, idleGuards, 1, 20)
 			if base == 0 {
 				base = rate
 			}
-			b.ReportMetric(rate, w.name+"-calls/s")
-			b.ReportMetric(rate/base, w.name+"-x")
-			b.ReportMetric(writes, w.name+"-writes/call")
-			b.ReportMetric(ms(waits[len(waits)/2]), w.name+"-full-ms")
-			b.ReportMetric(ms(quiet[len(quiet)/2]), w.name+"-calm-ms")
+			b.ReportMetric(rate, v.name+"-calls/s")
+			b.ReportMetric(rate/base, v.name+"-x")
+			b.ReportMetric(writes, v.name+"-writes/call")
+			b.ReportMetric(milliseconds(waits[len(waits)/2]), v.name+"-full-ms")
+			b.ReportMetric(milliseconds(idleWaits[len(idleWaits)/2]), v.name+"-calm-ms")
 		}
 	}
 }
 
-func ms(d time.Duration) float64 {
+func milliseconds(d time.Duration) float64 {
 	return float64(d) / float64(time.Millisecond)
 }
--- a/io/once/commit.go
+++ b/io/once/commit.go
@@ -9,86 +9,93 @@
 	"endivehitch/io/plat"
 )
 
-// commitTries bounds how often one group is decided anew after conflicts and lost answers.
-const commitTries = 8
+// maxCommitAttempts bounds how often one group is decided, counting the repeats after conflicts and lost
+// responses.
+const maxCommitAttempts = 8
 
 var errContended = errors.New("other writers kept coming first")
 
-// commit decides on the group and writes the journal before anyone is told.
+// commit decides the group, and delivers the verdicts only after the journal is written.
 func (s *slot) commit(ctx context.Context, group []submission) {
 	verdicts, err := s.decide(ctx, group)
-	if err != nil || !s.guard.owns(s.number) {
-		s.known = page{}
+	if err != nil || !s.guard.decidesLocally(s.number) {
+		s.last = snapshot{}
 	}
-	s.guard.count(func(u Usage) Usage { u.Operations += int64(len(group)); return u })
-	answer(group, verdicts, err)
+	s.guard.updateStats(func(stats Stats) Stats { stats.Operations += int64(len(group)); return stats })
+	deliver(group, verdicts, err)
 }
 
+// decide returns the verdicts on the group once they are safe: either the journal with their changes has
+// been written, or nothing changes and the journal is the store's, not the one that this worker wrote last.
 func (s *slot) decide(ctx context.Context, group []submission) ([]ledger.Verdict, error) {
 	ops := make([]ledger.Op, len(group))
 	for i, sub := range group {
 		ops[i] = sub.op
 	}
-	written := false
-	for range commitTries {
-		p, err := s.page(ctx)
+	mayBeWritten := false
+	for range maxCommitAttempts {
+		current, err := s.load(ctx)
 		if err != nil {
-			return nil, unsureIf(written, err)
+			return nil, uncertainIf(mayBeWritten, err)
 		}
-		next, verdicts, changed := p.journal.Decide(ops, s.guard.config.Rule, s.guard.setting())
-		if !changed && p.cached {
-			s.known = page{}
+		next, verdicts, changed := current.journal.Decide(ops, s.guard.config.Rule, s.guard.ledgerSetting())
+		if !changed && current.fromWrite {
+			s.last = snapshot{}
 			continue
 		}
 		if !changed {
 			return verdicts, nil
 		}
-		err = s.write(ctx, next, p.revision)
+		err = s.write(ctx, next, current.revision)
 		if err == nil {
 			return verdicts, nil
 		}
-		written = written || errors.Is(err, plat.ErrUnknown)
-		if !s.mayDecideAnew(err) {
-			return nil, unsureIf(written, err)
+		mayBeWritten = mayBeWritten || errors.Is(err, plat.ErrUnknown)
+		if !s.prepareRetry(err) {
+			return nil, uncertainIf(mayBeWritten, err)
 		}
 		if err := s.guard.limiter.Wait(ctx); err != nil {
-			return nil, unsureIf(written, fmt.Errorf("await write budget: %w", err))
+			return nil, uncertainIf(mayBeWritten, fmt.Errorf("await write budget: %w", err))
 		}
 	}
-	return nil, unsureIf(written, errContended)
+	return nil, uncertainIf(mayBeWritten, errContended)
 }
 
-func (g *Guard) setting() ledger.Setting {
+// ledgerSetting returns what decisions depend on besides the journal.
+func (g *Guard) ledgerSetting() ledger.Setting {
 	return ledger.Setting{Now: g.config.Now(), Gone: g.config.Gone}
 }
 
-// page returns the journal as last written by this worker, or as the store has it. After a conflict
-// the store is asked again, since the wait for the write budget has aged what the conflict showed; an
-// answer older than that is a stale one.
-func (s *slot) page(ctx context.Context) (page, error) {
-	if s.known.valid && s.known.cached {
-		return s.known, nil
+// load returns the journal as this worker last wrote it, or else as the store has it. After a conflict
+// the store is read although the conflict included the present journal, which may have changed during
+// the wait for the write rate. If the read gives no later revision, the conflict's journal is used, since
+// a read may be stale.
+func (s *slot) load(ctx context.Context) (snapshot, error) {
+	if s.last.valid && s.last.fromWrite {
+		return s.last, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, s.guard.config.StoreTimeout)
 	defer cancel()
-	e, err := s.guard.config.Store.Get(ctx, s.key())
+	entry, err := s.guard.config.Store.Get(ctx, s.key())
 	if err != nil {
-		return page{}, fmt.Errorf("read journal: %w", err)
+		return snapshot{}, fmt.Errorf("read journal: %w", err)
 	}
-	if s.known.valid && e.Revision <= s.known.revision {
-		return s.known, nil
+	if s.last.valid && entry.Revision <= s.last.revision {
+		return s.last, nil
 	}
-	return pageOf(e)
+	return decodeEntry(entry)
 }
 
-func pageOf(e plat.Entry) (page, error) {
+// decodeEntry decodes the journal in an entry of the store.
+func decodeEntry(e plat.Entry) (snapshot, error) {
 	j, err := decodeJournal(e.Value)
 	if err != nil {
-		return page{}, fmt.Errorf("journal %s at revision %d: %w", e.Key, e.Revision, err)
+		return snapshot{}, fmt.Errorf("journal %s at revision %d: %w", e.Key, e.Revision, err)
 	}
-	return page{journal: j, revision: e.Revision, valid: true}, nil
+	return snapshot{journal: j, revision: e.Revision, valid: true}, nil
 }
 
+// write stores the journal by compare-and-swap on the expected revision.
 func (s *slot) write(ctx context.Context, j ledger.Journal, expect int64) error {
 	body, err := encodeJournal(j)
 	if err != nil {
@@ -96,24 +103,25 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, s.guard.config.StoreTimeout)
 	defer cancel()
-	s.guard.count(func(u Usage) Usage { u.Commits++; return u })
+	s.guard.updateStats(func(stats Stats) Stats { stats.Commits++; return stats })
 	revision, err := s.guard.config.Store.Swap(ctx, plat.Swap{Key: s.key(), Expect: expect, Value: body})
 	if err != nil {
 		return fmt.Errorf("write journal: %w", err)
 	}
-	s.known = page{journal: j, revision: revision, cached: true, valid: true}
+	s.last = snapshot{journal: j, revision: revision, fromWrite: true, valid: true}
 	return nil
 }
 
-// mayDecideAnew prepares the next decision after a write that failed or may have failed: operations
-// are idempotent by token, so deciding them on a journal that already holds them changes nothing.
-func (s *slot) mayDecideAnew(err error) bool {
-	s.known = page{}
+// prepareRetry reports whether the group may be decided again after a failed write, and remembers the
+// journal that a conflict included. A write that may have taken effect can be repeated: operations are
+// idempotent by their token, so a journal that already holds them does not change.
+func (s *slot) prepareRetry(err error) bool {
+	s.last = snapshot{}
 	var conflict plat.Conflict
 	if errors.As(err, &conflict) {
-		s.guard.count(func(u Usage) Usage { u.Conflicts++; return u })
-		if p, decodeErr := pageOf(conflict.Present); decodeErr == nil {
-			s.known = p
+		s.guard.updateStats(func(stats Stats) Stats { stats.Conflicts++; return stats })
+		if present, decodeErr := decodeEntry(conflict.Present); decodeErr == nil {
+			s.last = present
 		}
 		return true
 	}
--- a/io/once/doc.go
+++ b/io/once/doc.go
@@ -1,9 +1,12 @@
-// Package once lets a request that is not idempotent run at most once across the fleet.
+// Package once ensures that a request that is not idempotent runs at most once across the fleet.
 //
-// A claim is kept in the journal of its slot, in the platform's key-value store, before anything is
-// dispatched. Claims that arrive while a journal is being written go together into its next write,
-// and an instance that owns a slot takes the claims of the others, so that they share its writes.
-// Ownership only saves writes: what makes a claim safe is that the journal is written by
-// compare-and-swap on the revision that the decision was made on. A deposed or paused owner's write
-// fails, and its claims are decided again on the journal that stands.
+// A Guard hashes the client account and idempotency key of a request to a slot. Each slot has one
+// journal, a value in the platform's key-value store, and a claim is recorded there before anything is
+// dispatched. One worker per slot writes the journal in groups: operations that arrive during a write
+// go into the next one. Instances forward their operations to the owner of the slot, so that they share
+// its writes.
+//
+// Ownership only reduces the number of writes. What makes a claim safe is that the journal is written
+// by compare-and-swap on the revision that the decision was based on: the write of an owner that has
+// been replaced or paused fails, and its operations are decided again on the current journal.
 package once
--- a/io/once/full_test.go
+++ b/io/once/full_test.go
@@ -12,23 +12,23 @@
 	"endivehitch/io/once"
 )
 
-func TestALargeAnswerIsNotRunAgain(t *testing.T) {
+func TestCallWhoseAnswerIsTooLargeIsNotRunAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t)
-		a := r.guard("a")
-		c := granted(t, a, request("k"))
-		assert.NilError(t, c.Finish(t.Context(), done(string(make([]byte, 2<<10)))))
-		refusal := refused(t, a, request("k"))
+		h := newHarness(t)
+		a := h.guard("a")
+		c := claimGranted(t, a, request("k"))
+		assert.NilError(t, c.Finish(t.Context(), storedAnswer(string(make([]byte, 2<<10)))))
+		refusal := claimRefused(t, a, request("k"))
 		assert.Equal(t, refusal.Reason, value.ReasonOutcomeUnknown)
 		assert.Assert(t, !refusal.NotRun)
 	})
 }
 
-func TestAFullJournalRefusesAndStaysInsideItsBytes(t *testing.T) {
+func TestFullJournalRefusesClaimsAndKeepsItsByteLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t)
-		r.adjust = func(c *once.Config) { c.Slots = 1; c.Rule.Bytes = 20 << 10 }
-		a := r.guard("a")
+		h := newHarness(t)
+		h.configure = func(c *once.Config) { c.Slots = 1; c.Rule.Bytes = 20 << 10 }
+		a := h.guard("a")
 		kept := 0
 		for i := range 50 {
 			c, _, err := a.Claim(t.Context(), request(fmt.Sprint("\"k\\\xff<", i)))
@@ -40,11 +40,11 @@
 				continue
 			}
 			kept++
-			assert.NilError(t, c.Finish(t.Context(), done(string(make([]byte, 900)))))
+			assert.NilError(t, c.Finish(t.Context(), storedAnswer(string(make([]byte, 900)))))
 		}
-		e, err := r.store.Get(t.Context(), "once/00000")
+		entry, err := h.store.Get(t.Context(), "once/00000")
 		assert.NilError(t, err)
-		assert.Assert(t, len(e.Value) <= 20<<10, "journal has %d bytes", len(e.Value))
+		assert.Assert(t, len(entry.Value) <= 20<<10, "journal has %d bytes", len(entry.Value))
 		assert.Assert(t, kept > 10 && kept < 50, "kept %d", kept)
 	})
 }
--- a/io/once/guard.go
+++ b/io/once/guard.go
@@ -14,10 +14,11 @@
 	"endivehitch/io/flow"
 )
 
-// retryAfter is the advice to a caller whose claim could not be kept.
+// retryAfter is the delay that a refused caller is asked to wait before a retry.
 const retryAfter = 2 * time.Second
 
-// Claim returns the right to run, or the kept answer of an earlier run; the error is a value.Refusal.
+// Claim returns the right to run the request, or the stored answer of an earlier run; the error is a
+// value.Refusal.
 func (g *Guard) Claim(ctx context.Context, r value.Request) (flow.Claim, *flow.Stored, error) {
 	op := ledger.Op{
 		Verb:     ledger.VerbClaim,
@@ -30,20 +31,20 @@
 	}
 	v, err := g.submit(ctx, op)
 	if err != nil {
-		g.abandon(op, err)
+		g.releaseUncertain(op, err)
 		return nil, nil, unavailable(err.Error())
 	}
 	switch v.Outcome {
 	case ledger.OutcomeGranted:
 		return &claim{guard: g, op: op}, nil, nil
 	case ledger.OutcomeAnswered:
-		return replay(v.Record.Answer)
+		return replayAnswer(v.Record.Answer)
 	}
 	return nil, nil, refusalOf(v)
 }
 
-// replay returns the kept answer, or says honestly that the call ran and its answer is no longer there.
-func replay(a ledger.Answer) (flow.Claim, *flow.Stored, error) {
+// replayAnswer returns the stored answer, or a refusal if the call has run and its answer was not stored.
+func replayAnswer(a ledger.Answer) (flow.Claim, *flow.Stored, error) {
 	if a.Whole() {
 		head := engine.Head{Status: a.Status, ContentType: a.ContentType}
 		return nil, &flow.Stored{Head: head, Body: a.Body}, nil
@@ -52,6 +53,7 @@
 	return nil, nil, value.Refusal{Reason: value.ReasonOutcomeUnknown, Detail: detail}
 }
 
+// refusalOf translates the outcome of a claim that was not granted.
 func refusalOf(v ledger.Verdict) value.Refusal {
 	switch v.Outcome {
 	case ledger.OutcomeRunning:
@@ -68,97 +70,100 @@
 	return unavailable("the journal answered " + string(v.Outcome))
 }
 
+// unavailable is the refusal of a claim that could not be recorded; the request has not run.
 func unavailable(detail string) value.Refusal {
 	return value.Refusal{Reason: value.ReasonJournalDown, NotRun: true, RetryAfter: retryAfter, Detail: detail}
 }
 
-// claim is the right to run one call; it belongs to one goroutine.
+// claim is the right to run one call; it is used by one goroutine.
 type claim struct {
 	guard *Guard
 	op    ledger.Op
 }
 
-// Finish keeps the answer for later calls with the same key.
+// Finish records the answer for later calls with the same key, without its body if that is too large.
 func (c *claim) Finish(ctx context.Context, s flow.Stored) error {
-	sum := sha256.Sum256(s.Body)
+	digest := sha256.Sum256(s.Body)
 	answer := ledger.Answer{
 		Status:      s.Head.Status,
 		ContentType: s.Head.ContentType,
 		Body:        s.Body,
-		Digest:      hex.EncodeToString(sum[:]),
+		Digest:      hex.EncodeToString(digest[:]),
 		Bytes:       len(s.Body),
 	}
 	if len(s.Body) > c.guard.config.Rule.AnswerBytes {
 		answer = answer.WithoutBody()
 	}
-	return c.guard.settle(ctx, c.op.WithAnswer(answer))
+	return c.guard.recordEnd(ctx, c.op.WithAnswer(answer))
 }
 
-// Release gives the key back; it is called only when nothing was dispatched.
+// Release frees the key; it may be called only if nothing was dispatched.
 func (c *claim) Release(ctx context.Context) error {
-	return c.guard.settle(ctx, c.op.WithVerb(ledger.VerbRelease))
+	return c.guard.recordEnd(ctx, c.op.WithVerb(ledger.VerbRelease))
 }
 
-// Doubt marks the outcome as unknown, after a dispatch that did not end in a whole answer.
+// Doubt records the outcome as unknown, after a dispatch that gave no complete answer.
 func (c *claim) Doubt(ctx context.Context) error {
-	return c.guard.settle(ctx, c.op.WithVerb(ledger.VerbDoubt))
+	return c.guard.recordEnd(ctx, c.op.WithVerb(ledger.VerbDoubt))
 }
 
-// settle records the end of a claim. It returns once that is kept or SettleWait has passed; the
-// record is then kept in the background, while later tries see a running call.
-func (g *Guard) settle(ctx context.Context, op ledger.Op) error {
-	kept, err := g.settleLater(op)
+// recordEnd records the end of a claim. It returns once that is written or SettleWait has passed. In the
+// latter case the record is written in the background, and until then retries are refused because the
+// call may still be running.
+func (g *Guard) recordEnd(ctx context.Context, op ledger.Op) error {
+	recorded, err := g.recordEndAsync(op)
 	if err != nil {
 		return err
 	}
-	t := time.NewTimer(g.config.SettleWait)
-	defer t.Stop()
+	timer := time.NewTimer(g.config.SettleWait)
+	defer timer.Stop()
 	select {
-	case <-kept:
-	case <-t.C:
+	case <-recorded:
+	case <-timer.C:
 	case <-ctx.Done():
 	}
 	return nil
 }
 
-// abandon gives back a claim that may have been kept, so that the key is free again. Without room in
-// the backlog the claim ends by its deadline, as an unknown outcome.
-func (g *Guard) abandon(op ledger.Op, err error) {
-	if !errors.As(err, new(unsure)) {
+// releaseUncertain frees the key of a claim that failed but may have been recorded. If the backlog is
+// full, the claim is left to expire after its deadline with an unknown outcome.
+func (g *Guard) releaseUncertain(op ledger.Op, err error) {
+	if !errors.As(err, new(uncertainError)) {
 		return
 	}
-	_, _ = g.settleLater(op.WithVerb(ledger.VerbRelease))
+	_, _ = g.recordEndAsync(op.WithVerb(ledger.VerbRelease))
 }
 
 var errBacklog = errors.New("too many claims wait for their end to be recorded")
 
-// settleLater records the end of a claim in the background; the channel is closed once it is kept.
-func (g *Guard) settleLater(op ledger.Op) (<-chan struct{}, error) {
-	if !g.reserve() {
+// recordEndAsync records the end of a claim in the background, with retries; the channel is closed once
+// it is written.
+func (g *Guard) recordEndAsync(op ledger.Op) (<-chan struct{}, error) {
+	if !g.reserveBacklog() {
 		return nil, fmt.Errorf("record end of claim: %w", errBacklog)
 	}
-	kept := make(chan struct{})
+	recorded := make(chan struct{})
 	started := g.start(func() {
-		defer g.release()
-		for try := 1; ; try++ {
+		defer g.releaseBacklog()
+		for attempt := 1; ; attempt++ {
 			if _, err := g.submit(g.ctx, op); err == nil {
-				close(kept)
+				close(recorded)
 				return
 			}
-			if g.pause(g.ctx, try) != nil {
+			if g.backOff(g.ctx, attempt) != nil {
 				return
 			}
 		}
 	})
 	if !started {
-		g.release()
+		g.releaseBacklog()
 		return nil, fmt.Errorf("record end of claim: %w", errClosed)
 	}
-	return kept, nil
+	return recorded, nil
 }
 
-// reserve takes a place in the backlog.
-func (g *Guard) reserve() bool {
+// reserveBacklog counts one more unsettled claim, unless the backlog is full.
+func (g *Guard) reserveBacklog() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.unsettled >= g.config.Backlog {
@@ -171,7 +176,8 @@
 	return true
 }
 
-func (g *Guard) release() {
+// releaseBacklog counts one unsettled claim less.
+func (g *Guard) releaseBacklog() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.unsettled--
--- a/io/once/once.go
+++ b/io/once/once.go
@@ -18,90 +18,94 @@
 	"endivehitch/io/plat"
 )
 
-// Config sets up a Guard.
+// Config configures a Guard.
 type Config struct {
 	Self  value.InstanceID
 	Store plat.Store
-	// Owner returns the instance that gathers the writes of a slot; without one, this instance writes.
+	// Owner returns the instance that owns a slot; this instance writes slots that have no owner.
 	Owner func(slot int) (value.Instance, bool)
-	// Caller reaches owners; without it, this instance writes all slots itself.
+	// Caller sends operations to owners; if it is nil, this instance writes all slots itself.
 	Caller peer.Caller
-	// Gone reports whether an instance has left for good.
+	// Gone reports whether an instance has departed for good.
 	Gone func(value.InstanceID) bool
 	Now  func() time.Time
 	Rule ledger.Rule
-	// Slots is the number of journals; it is the same at all instances and never changes.
+	// Slots is the number of journals; it must be the same at all instances and never change.
 	Slots int
-	// Writes is the journal writes a second that this instance may make.
+	// Writes is the number of journal writes per second that this instance may make.
 	Writes float64
-	// Interval is the least time between two writes of one journal; claims gather meanwhile.
+	// Interval is the least time between two writes of one journal; operations that arrive meanwhile
+	// share the next write.
 	Interval time.Duration
-	// Group bounds the operations of one write.
+	// Group bounds the operations in one write.
 	Group int
-	// Queue bounds the operations that wait at one slot.
+	// Queue bounds the operations waiting at one slot.
 	Queue int
-	// OwnerTimeout bounds the wait for an owner before this instance writes itself.
+	// OwnerTimeout bounds a forwarded operation, at both ends; after it the sender writes itself.
 	OwnerTimeout time.Duration
 	// StoreTimeout bounds each call to the store.
 	StoreTimeout time.Duration
-	// SettleWait is how long an answer waits for its record; the record is kept later where it takes longer.
+	// SettleWait is how long the end of a claim waits for its record; a record that takes longer is
+	// written in the background.
 	SettleWait time.Duration
-	// Backlog bounds the claims whose end is still to be recorded.
+	// Backlog bounds the claims whose end is not recorded yet.
 	Backlog int
 	Backoff policy.Backoff
-	// NewToken returns an identifier that no other claim has.
+	// NewToken returns a token that no other claim has.
 	NewToken func() string
-	Seed     uint64
+	// Seed initializes the jitter of the backoff.
+	Seed uint64
 }
 
 func (c Config) check() error {
 	switch {
 	case c.Self == "":
-		return errors.New("once: no instance")
+		return errors.New("once: no instance identifier configured")
 	case c.Store == nil:
-		return errors.New("once: no store")
+		return errors.New("once: no store configured")
 	case c.Owner == nil || c.Gone == nil || c.Now == nil || c.NewToken == nil:
-		return errors.New("once: no owner, membership, clock or token function")
+		return errors.New("once: owner, departure, clock or token function not configured")
 	case c.Slots < 1 || c.Group < 1 || c.Queue < 1 || c.Backlog < 1:
-		return errors.New("once: no slots, group, queue or backlog")
+		return errors.New("once: slots, group, queue and backlog must be at least 1")
 	case c.Writes <= 0 || c.StoreTimeout <= 0 || c.OwnerTimeout <= 0:
-		return errors.New("once: no write rate or timeouts")
+		return errors.New("once: write rate, store time-out and owner time-out must be positive")
 	case c.Rule.Bytes < 1 || c.Rule.Bytes > plat.ValueLimit:
-		return fmt.Errorf("once: journal of %d bytes", c.Rule.Bytes)
+		return fmt.Errorf("once: journal limit of %d bytes is out of range", c.Rule.Bytes)
 	}
 	return nil
 }
 
-// Usage counts what a guard has done.
-type Usage struct {
-	// Operations is the operations decided on by this instance, and Commits the writes they took.
+// Stats holds the counters of a Guard.
+type Stats struct {
+	// Operations counts the operations decided by this instance, Commits the journal writes tried for them.
 	Operations int64
 	Commits    int64
-	// Conflicts is the writes that another writer's was ahead of.
+	// Conflicts counts the writes that failed because another writer had changed the journal.
 	Conflicts int64
-	// Forwarded is the operations that an owner took.
+	// Forwarded counts the operations that an owner decided for this instance.
 	Forwarded int64
 }
 
-// Guard implements flow.Guard over the platform's store.
+// Guard implements flow.Guard with journals in the platform's key-value store.
 type Guard struct {
 	config  Config
 	limiter *rate.Limiter
 	slots   []*slot
-	usage   policy.Cell[Usage]
-	work    sync.WaitGroup
+	stats   policy.Cell[Stats]
+	workers sync.WaitGroup
 	ctx     context.Context
 	cancel  context.CancelFunc
 
-	mu        sync.Mutex
-	closed    bool
+	// mu guards the fields below.
+	mu     sync.Mutex
+	closed bool
+	// unsettled counts the claims whose end is not recorded yet; settled is closed while it is zero.
 	unsettled int
-	// settled is closed while no claim waits for its end to be recorded.
-	settled chan struct{}
-	rnd     *rand.Rand
+	settled   chan struct{}
+	rnd       *rand.Rand
 }
 
-// New returns a guard, or an error that names what the configuration lacks.
+// New returns a Guard, or an error that names what the configuration lacks.
 func New(c Config) (*Guard, error) {
 	if err := c.check(); err != nil {
 		return nil, err
@@ -121,19 +125,19 @@
 	return g, nil
 }
 
-// Usage returns the counts so far.
-func (g *Guard) Usage() Usage {
-	return g.usage.Get()
+// Stats returns the counts so far.
+func (g *Guard) Stats() Stats {
+	return g.stats.Get()
 }
 
-// Unsettled returns how many claims ended without their end being recorded yet.
+// Unsettled returns the number of claims that have ended but whose end is not recorded yet.
 func (g *Guard) Unsettled() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.unsettled
 }
 
-// Drain waits until the end of every claim is recorded, or for the context.
+// Drain waits until the end of every claim is recorded or the context is done.
 func (g *Guard) Drain(ctx context.Context) error {
 	g.mu.Lock()
 	settled := g.settled
@@ -146,13 +150,14 @@
 	}
 }
 
-// Close stops all work; what is not recorded then becomes an unknown outcome to later callers.
+// Close stops all workers; the outcome of a claim whose end is not recorded by then is unknown to later
+// callers.
 func (g *Guard) Close() {
 	g.mu.Lock()
 	g.closed = true
 	g.mu.Unlock()
 	g.cancel()
-	g.work.Wait()
+	g.workers.Wait()
 }
 
 var errClosed = errors.New("guard is closed")
@@ -164,23 +169,24 @@
 	if g.closed {
 		return false
 	}
-	g.work.Go(f)
+	g.workers.Go(f)
 	return true
 }
 
-func (g *Guard) owns(number int) bool {
+// decidesLocally reports whether this instance decides on the operations of a slot itself.
+func (g *Guard) decidesLocally(number int) bool {
 	owner, ok := g.config.Owner(number)
 	return !ok || owner.ID == g.config.Self || g.config.Caller == nil
 }
 
-func (g *Guard) count(add func(Usage) Usage) {
-	g.usage.Update(add)
+func (g *Guard) updateStats(add func(Stats) Stats) {
+	g.stats.Update(add)
 }
 
-// pause waits the backoff after the given number of failed tries.
-func (g *Guard) pause(ctx context.Context, failed int) error {
+// backOff waits for the backoff delay that follows the given number of failed attempts.
+func (g *Guard) backOff(ctx context.Context, failures int) error {
 	g.mu.Lock()
-	d := g.config.Backoff.WithFailures(failed - 1).Delay(g.rnd)
+	delay := g.config.Backoff.WithFailures(failures - 1).Delay(g.rnd)
 	g.mu.Unlock()
-	return clock.Wait(ctx, d)
+	return clock.Wait(ctx, delay)
 }
--- a/io/once/once_test.go
+++ b/io/once/once_test.go
@@ -18,7 +18,8 @@
 	"endivehitch/io/once"
 )
 
-func refused(t *testing.T, g *once.Guard, r value.Request) value.Refusal {
+// claimRefused claims the request and returns the refusal that it must get.
+func claimRefused(t *testing.T, g *once.Guard, r value.Request) value.Refusal {
 	t.Helper()
 	c, stored, err := g.Claim(t.Context(), r)
 	var refusal value.Refusal
@@ -26,7 +27,8 @@
 	return refusal
 }
 
-func granted(t *testing.T, g *once.Guard, r value.Request) flow.Claim {
+// claimGranted claims the request, which must be granted.
+func claimGranted(t *testing.T, g *once.Guard, r value.Request) flow.Claim {
 	t.Helper()
 	c, _, err := g.Claim(t.Context(), r)
 	assert.NilError(t, err)
@@ -34,56 +36,58 @@
 	return c
 }
 
-func TestSecondTryAtAnotherInstanceGetsTheFirstAnswer(t *testing.T) {
+func TestRetryAtAnotherInstanceReturnsStoredAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t)
-		a, b := r.guard("a"), r.guard("b")
-		c := granted(t, a, request("k"))
-		running := refused(t, b, request("k"))
+		h := newHarness(t)
+		a, b := h.guard("a"), h.guard("b")
+		c := claimGranted(t, a, request("k"))
+		running := claimRefused(t, b, request("k"))
 		assert.Equal(t, running.Reason, value.ReasonStillRunning)
 		assert.Assert(t, !running.NotRun)
-		assert.NilError(t, c.Finish(t.Context(), done("order 7")))
+		assert.NilError(t, c.Finish(t.Context(), storedAnswer("order 7")))
 		_, stored, err := b.Claim(t.Context(), request("k"))
 		assert.NilError(t, err)
-		assert.DeepEqual(t, *stored, done("order 7"))
+		assert.DeepEqual(t, *stored, storedAnswer("order 7"))
 		other := request("k")
 		other.Question = 8
-		assert.Equal(t, refused(t, b, other).Reason, value.ReasonKeyReused)
+		assert.Equal(t, claimRefused(t, b, other).Reason, value.ReasonKeyReused)
 	})
 }
 
-func TestAnOldPictureOfTheJournalIsNotTold(t *testing.T) {
+// Guards against a verdict from the journal that the instance wrote last, which another instance has
+// changed since.
+func TestStaleCachedJournalIsRereadBeforeVerdict(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t)
-		r.adjust = func(c *once.Config) { c.Slots = 1 }
-		a, b := r.guard("a"), r.guard("b")
-		c := granted(t, b, request("k"))
-		granted(t, a, request("so that a keeps the journal at hand"))
-		assert.NilError(t, c.Finish(t.Context(), done("by b")))
+		h := newHarness(t)
+		h.configure = func(c *once.Config) { c.Slots = 1 }
+		a, b := h.guard("a"), h.guard("b")
+		c := claimGranted(t, b, request("k"))
+		claimGranted(t, a, request("so that a keeps the journal at hand"))
+		assert.NilError(t, c.Finish(t.Context(), storedAnswer("by b")))
 		_, stored, err := a.Claim(t.Context(), request("k"))
 		assert.NilError(t, err)
 		assert.Equal(t, string(stored.Body), "by b")
 	})
 }
 
-func TestAKeyOfAnyBytesIsFoundAgain(t *testing.T) {
+func TestKeyOfArbitraryBytesIsFoundAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t)
-		granted(t, r.guard("a"), request("\xff\x00<\""))
-		assert.Equal(t, refused(t, r.guard("b"), request("\xff\x00<\"")).Reason, value.ReasonStillRunning)
+		h := newHarness(t)
+		claimGranted(t, h.guard("a"), request("\xff\x00<\""))
+		assert.Equal(t, claimRefused(t, h.guard("b"), request("\xff\x00<\"")).Reason, value.ReasonStillRunning)
 	})
 }
 
-func TestOneOfManyInstancesAtOnceRuns(t *testing.T) {
+func TestConcurrentClaimsAtManyInstancesGrantOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, owner := range []value.InstanceID{"", "i0", "away"} {
-			r := newRig(t)
-			r.own(owner)
-			r.setFaults(fakes.Faults{}.WithDelay(20 * time.Millisecond))
+			h := newHarness(t)
+			h.setOwner(owner)
+			h.setFaults(fakes.Faults{}.WithDelay(20 * time.Millisecond))
 			var runs atomic.Int64
 			var group sync.WaitGroup
 			for i := range 7 {
-				g := r.guard(value.InstanceID(fmt.Sprint("i", i)))
+				g := h.guard(value.InstanceID(fmt.Sprint("i", i)))
 				group.Go(func() {
 					c, _, _ := g.Claim(t.Context(), request("k"))
 					if c != nil {
@@ -97,108 +101,110 @@
 	})
 }
 
-func TestLostAnswersOfWrites(t *testing.T) {
+func TestClaimSurvivesLostWriteResponses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t)
-		a, b := r.guard("a"), r.guard("b")
-		r.setFaults(fakes.Faults{}.WithLostAnswers(1))
-		c := granted(t, a, request("k"))
-		r.setFaults(fakes.Faults{}.WithLostAnswers(1).WithStale(true))
-		assert.NilError(t, c.Finish(t.Context(), done("once")))
-		r.setFaults(fakes.Faults{})
+		h := newHarness(t)
+		a, b := h.guard("a"), h.guard("b")
+		h.setFaults(fakes.Faults{}.WithLostAnswers(1))
+		c := claimGranted(t, a, request("k"))
+		h.setFaults(fakes.Faults{}.WithLostAnswers(1).WithStale(true))
+		assert.NilError(t, c.Finish(t.Context(), storedAnswer("once")))
+		h.setFaults(fakes.Faults{})
 		_, stored, err := b.Claim(t.Context(), request("k"))
 		assert.NilError(t, err)
 		assert.Equal(t, string(stored.Body), "once")
 	})
 }
 
-func TestAStaleReadGrantsNoSecondRun(t *testing.T) {
+func TestStaleReadGrantsNoSecondClaim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t)
-		a, b := r.guard("a"), r.guard("b")
-		r.setFaults(fakes.Faults{}.WithStale(true))
-		c := granted(t, a, request("k"))
-		assert.Equal(t, refused(t, b, request("k")).Reason, value.ReasonStillRunning)
-		assert.NilError(t, c.Finish(t.Context(), done("once")))
-		// Of the end of the run b hears only once reads are fresh again.
-		assert.Equal(t, refused(t, b, request("k")).Reason, value.ReasonStillRunning)
-		r.setFaults(fakes.Faults{})
+		h := newHarness(t)
+		a, b := h.guard("a"), h.guard("b")
+		h.setFaults(fakes.Faults{}.WithStale(true))
+		c := claimGranted(t, a, request("k"))
+		assert.Equal(t, claimRefused(t, b, request("k")).Reason, value.ReasonStillRunning)
+		assert.NilError(t, c.Finish(t.Context(), storedAnswer("once")))
+		// Instance b observes the end of the run only once reads are no longer stale.
+		assert.Equal(t, claimRefused(t, b, request("k")).Reason, value.ReasonStillRunning)
+		h.setFaults(fakes.Faults{})
 		_, stored, err := b.Claim(t.Context(), request("k"))
 		assert.NilError(t, err)
 		assert.Equal(t, string(stored.Body), "once")
 	})
 }
 
-func TestAWriteThatLandsAfterItsCallerGaveUpNeverRuns(t *testing.T) {
+// Guards against a claim whose write takes effect only after its caller has timed out: it must not keep the
+// key from the next caller.
+func TestClaimWrittenAfterCallerTimeoutLeavesKeyFree(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t)
-		r.adjust = func(c *once.Config) { c.Slots = 1 }
-		a, b := r.guard("a"), r.guard("b")
-		granted(t, a, request("warm-up, so that the journal needs no reading"))
-		r.setFaults(fakes.Faults{}.WithDelay(3 * time.Second))
-		hasty := request("k")
-		hasty.Deadline = time.Now().Add(2 * time.Second)
-		ctx, cancel := context.WithDeadline(t.Context(), hasty.Deadline)
+		h := newHarness(t)
+		h.configure = func(c *once.Config) { c.Slots = 1 }
+		a, b := h.guard("a"), h.guard("b")
+		claimGranted(t, a, request("warm-up, so that the journal needs no reading"))
+		h.setFaults(fakes.Faults{}.WithDelay(3 * time.Second))
+		short := request("k")
+		short.Deadline = time.Now().Add(2 * time.Second)
+		ctx, cancel := context.WithDeadline(t.Context(), short.Deadline)
 		defer cancel()
-		_, _, err := a.Claim(ctx, hasty)
+		_, _, err := a.Claim(ctx, short)
 		var refusal value.Refusal
 		assert.Assert(t, errors.As(err, &refusal), "%v", err)
 		assert.Equal(t, refusal.Reason, value.ReasonJournalDown)
 		assert.Assert(t, refusal.NotRun)
-		r.setFaults(fakes.Faults{})
+		h.setFaults(fakes.Faults{})
 		time.Sleep(5 * time.Second)
-		c := granted(t, b, request("k"))
-		assert.NilError(t, c.Finish(t.Context(), done("b ran it")))
+		c := claimGranted(t, b, request("k"))
+		assert.NilError(t, c.Finish(t.Context(), storedAnswer("b ran it")))
 		_, stored, err := a.Claim(t.Context(), request("k"))
 		assert.NilError(t, err)
 		assert.Equal(t, string(stored.Body), "b ran it")
 	})
 }
 
-func TestWithTheServiceDownNothingIsDispatched(t *testing.T) {
+func TestStoreOutageRefusesClaimsAndDelaysRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t)
-		a := r.guard("a")
-		c := granted(t, a, request("before"))
-		r.setFaults(fakes.Faults{}.WithDown(true))
-		refusal := refused(t, a, request("during"))
+		h := newHarness(t)
+		a := h.guard("a")
+		c := claimGranted(t, a, request("before"))
+		h.setFaults(fakes.Faults{}.WithDown(true))
+		refusal := claimRefused(t, a, request("during"))
 		assert.Equal(t, refusal.Reason, value.ReasonJournalDown)
 		assert.Assert(t, refusal.NotRun && refusal.RetryAfter > 0)
-		// The run that began before is whole; its record follows once the service is back.
-		assert.NilError(t, c.Finish(t.Context(), done("whole")))
+		// The run that began before the outage succeeds; its record is written once the store is back.
+		assert.NilError(t, c.Finish(t.Context(), storedAnswer("whole")))
 		assert.Equal(t, a.Unsettled(), 1)
-		r.setFaults(fakes.Faults{})
+		h.setFaults(fakes.Faults{})
 		assert.NilError(t, a.Drain(t.Context()))
-		_, stored, err := r.guard("b").Claim(t.Context(), request("before"))
+		_, stored, err := h.guard("b").Claim(t.Context(), request("before"))
 		assert.NilError(t, err)
 		assert.Equal(t, string(stored.Body), "whole")
-		granted(t, a, request("during"))
+		claimGranted(t, a, request("during"))
 	})
 }
 
-func TestAnInstanceThatIsGoneLeavesAnUnknownOutcome(t *testing.T) {
+func TestDepartedHolderLeavesOutcomeUnknown(t *testing.T) {
 	for _, dispatched := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			r := newRig(t)
-			a, b := r.guard("a"), r.guard("b")
-			late := granted(t, a, request("k"))
+			h := newHarness(t)
+			a, b := h.guard("a"), h.guard("b")
+			late := claimGranted(t, a, request("k"))
 			if dispatched {
-				r.setFaults(fakes.Faults{}.WithDown(true))
-				assert.NilError(t, late.Finish(t.Context(), done("unrecorded")))
+				h.setFaults(fakes.Faults{}.WithDown(true))
+				assert.NilError(t, late.Finish(t.Context(), storedAnswer("unrecorded")))
 				a.Close()
-				r.setFaults(fakes.Faults{})
+				h.setFaults(fakes.Faults{})
 			}
-			r.gone.Update(func(value.InstanceID) value.InstanceID { return "a" })
-			assert.Equal(t, refused(t, b, request("k")).Reason, value.ReasonStillRunning)
+			h.departed.Update(func(value.InstanceID) value.InstanceID { return "a" })
+			assert.Equal(t, claimRefused(t, b, request("k")).Reason, value.ReasonStillRunning)
 			time.Sleep(12 * time.Second)
-			unknown := refused(t, b, request("k"))
+			unknown := claimRefused(t, b, request("k"))
 			assert.Equal(t, unknown.Reason, value.ReasonOutcomeUnknown)
 			assert.Assert(t, !unknown.NotRun)
 			time.Sleep(30 * time.Minute)
-			assert.Equal(t, refused(t, b, request("k")).Reason, value.ReasonOutcomeUnknown, "it became free")
+			assert.Equal(t, claimRefused(t, b, request("k")).Reason, value.ReasonOutcomeUnknown, "the key must not become free again")
 			if !dispatched {
-				// A paused holder that wakes up and ends its run tells the truth after all.
-				assert.NilError(t, late.Finish(t.Context(), done("late")))
+				// A holder that was only paused can still record the answer of its run.
+				assert.NilError(t, late.Finish(t.Context(), storedAnswer("late")))
 				_, stored, err := b.Claim(t.Context(), request("k"))
 				assert.NilError(t, err)
 				assert.Equal(t, string(stored.Body), "late")
@@ -207,12 +213,14 @@
 	}
 }
 
-func TestADeposedOwnersWriteIsDecidedAnew(t *testing.T) {
+// Guards against double grants while ownership moves: the old owner goes on deciding on the journal that it
+// wrote last.
+func TestOwnerChangeGrantsEachCallOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t)
-		r.own("old")
-		old, next := r.guard("old"), r.guard("next")
-		granted(t, old, request("warm-up, so that the old owner keeps the journal at hand"))
+		h := newHarness(t)
+		h.setOwner("old")
+		old, next := h.guard("old"), h.guard("next")
+		claimGranted(t, old, request("warm-up, so that the old owner keeps the journal at hand"))
 		var group sync.WaitGroup
 		var runs atomic.Int64
 		for i := range 40 {
@@ -223,13 +231,13 @@
 					if c != nil {
 						runs.Add(1)
 					} else if err == nil {
-						t.Error("no claim and no refusal")
+						t.Error("neither a claim nor a refusal")
 					}
 				})
 			}
 			if i == 20 {
-				r.own("next")
-				r.cut()
+				h.setOwner("next")
+				h.disconnectAll()
 			}
 		}
 		group.Wait()
@@ -237,31 +245,33 @@
 	})
 }
 
-func TestAnOwnerWhoseReplyIsLostCostsNoSecondRun(t *testing.T) {
+// Guards against a second grant if the owner records a forwarded claim but its reply is lost, so that the
+// sender decides the claim again.
+func TestLostOwnerReplyGrantsNoSecondClaim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t)
-		r.own("owner")
-		owner, a, b := r.guard("owner"), r.guard("a"), r.guard("b")
-		r.mute(true)
-		c := granted(t, a, request("k"))
-		assert.Equal(t, refused(t, b, request("k")).Reason, value.ReasonStillRunning)
-		r.mute(false)
-		assert.NilError(t, c.Finish(t.Context(), done("one")))
+		h := newHarness(t)
+		h.setOwner("owner")
+		owner, a, b := h.guard("owner"), h.guard("a"), h.guard("b")
+		h.loseReplies(true)
+		c := claimGranted(t, a, request("k"))
+		assert.Equal(t, claimRefused(t, b, request("k")).Reason, value.ReasonStillRunning)
+		h.loseReplies(false)
+		assert.NilError(t, c.Finish(t.Context(), storedAnswer("one")))
 		_, stored, err := owner.Claim(t.Context(), request("k"))
 		assert.NilError(t, err)
 		assert.Equal(t, string(stored.Body), "one")
 	})
 }
 
-func TestAClaimGivenBackIsFree(t *testing.T) {
+func TestReleasedClaimIsFreeAndDoubtedClaimIsNot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t)
-		r.own("owner")
-		r.guard("owner")
-		a, b := r.guard("a"), r.guard("b")
-		assert.NilError(t, granted(t, a, request("k")).Release(t.Context()))
-		c := granted(t, b, request("k"))
+		h := newHarness(t)
+		h.setOwner("owner")
+		h.guard("owner")
+		a, b := h.guard("a"), h.guard("b")
+		assert.NilError(t, claimGranted(t, a, request("k")).Release(t.Context()))
+		c := claimGranted(t, b, request("k"))
 		assert.NilError(t, c.Doubt(t.Context()))
-		assert.Equal(t, refused(t, a, request("k")).Reason, value.ReasonOutcomeUnknown)
+		assert.Equal(t, claimRefused(t, a, request("k")).Reason, value.ReasonOutcomeUnknown)
 	})
 }
--- a/io/once/rig_test.go
+++ b/io/once/rig_test.go
@@ -18,40 +18,41 @@
 	"endivehitch/io/plat"
 )
 
-type rig struct {
-	t      testing.TB
-	store  *fakes.Store
-	mesh   fakes.Mesh
-	owner  policy.Cell[value.Instance]
-	gone   policy.Cell[value.InstanceID]
-	tokens atomic.Int64
-	// adjust changes the configuration of the guards that are made after it is set.
-	adjust func(*once.Config)
+// harness holds a store and a mesh of connections in which guards of several instances run.
+type harness struct {
+	t        testing.TB
+	store    *fakes.Store
+	mesh     fakes.Mesh
+	owner    policy.Cell[value.Instance]
+	departed policy.Cell[value.InstanceID]
+	tokens   atomic.Int64
+	// configure changes the configuration of each guard that is created after it is set.
+	configure func(*once.Config)
 }
 
-func newRig(t testing.TB) *rig {
+func newHarness(t testing.TB) *harness {
 	t.Helper()
-	e, err := plat.NewEmbedded(plat.EmbeddedConfig{Now: time.Now, History: 100})
+	embedded, err := plat.NewEmbedded(plat.EmbeddedConfig{Now: time.Now, History: 100})
 	assert.NilError(t, err)
-	store := fakes.NewStore(e)
+	store := fakes.NewStore(embedded)
 	t.Cleanup(store.Drain)
-	r := &rig{t: t, store: store, adjust: func(*once.Config) {}}
-	t.Cleanup(r.mesh.Drain)
-	return r
+	h := &harness{t: t, store: store, configure: func(*once.Config) {}}
+	t.Cleanup(h.mesh.Drain)
+	return h
 }
 
-func (r *rig) guard(id value.InstanceID) *once.Guard {
-	r.t.Helper()
-	p := r.mesh.Join(instance(id))
+func (h *harness) guard(id value.InstanceID) *once.Guard {
+	h.t.Helper()
+	port := h.mesh.Join(instance(id))
 	c := once.Config{
 		Self:  id,
-		Store: r.store,
+		Store: h.store,
 		Owner: func(int) (value.Instance, bool) {
-			o := r.owner.Get()
-			return o, o.ID != ""
+			owner := h.owner.Get()
+			return owner, owner.ID != ""
 		},
-		Caller:       p,
-		Gone:         func(id value.InstanceID) bool { return id == r.gone.Get() },
+		Caller:       port,
+		Gone:         func(id value.InstanceID) bool { return id == h.departed.Get() },
 		Now:          time.Now,
 		Rule:         ledger.Rule{Keep: time.Hour, Wait: 10 * time.Second, Bytes: 64 << 10, AnswerBytes: 1 << 10},
 		Slots:        4,
@@ -63,33 +64,33 @@
 		SettleWait:   2 * time.Second,
 		Backlog:      100,
 		Backoff:      policy.Backoff{First: 100 * time.Millisecond, Limit: time.Second},
-		NewToken:     func() string { return fmt.Sprint("token-", r.tokens.Add(1)) },
+		NewToken:     func() string { return fmt.Sprint("token-", h.tokens.Add(1)) },
 	}
-	r.adjust(&c)
+	h.configure(&c)
 	g, err := once.New(c)
-	assert.NilError(r.t, err)
-	assert.NilError(r.t, g.Register(p))
-	r.t.Cleanup(g.Close)
+	assert.NilError(h.t, err)
+	assert.NilError(h.t, g.Register(port))
+	h.t.Cleanup(g.Close)
 	return g
 }
 
-func (r *rig) setFaults(f fakes.Faults) {
-	r.t.Helper()
-	assert.NilError(r.t, r.store.Set(f))
+func (h *harness) setFaults(f fakes.Faults) {
+	h.t.Helper()
+	assert.NilError(h.t, h.store.Set(f))
 }
 
-func (r *rig) own(id value.InstanceID) {
-	r.owner.Update(func(value.Instance) value.Instance { return instance(id) })
+func (h *harness) setOwner(id value.InstanceID) {
+	h.owner.Update(func(value.Instance) value.Instance { return instance(id) })
 }
 
-// cut makes every instance unreachable to the others.
-func (r *rig) cut() {
-	r.mesh.Set(func(_, _ value.Instance) fakes.Fate { return fakes.Fate{Unsent: true} })
+// disconnectAll makes all instances unreachable from each other.
+func (h *harness) disconnectAll() {
+	h.mesh.Set(func(_, _ value.Instance) fakes.Fate { return fakes.Fate{Unsent: true} })
 }
 
-// mute loses every reply.
-func (r *rig) mute(lose bool) {
-	r.mesh.Set(func(_, _ value.Instance) fakes.Fate { return fakes.Fate{LoseReply: lose} })
+// loseReplies drops every RPC reply, or stops doing so.
+func (h *harness) loseReplies(lose bool) {
+	h.mesh.Set(func(_, _ value.Instance) fakes.Fate { return fakes.Fate{LoseReply: lose} })
 }
 
 func instance(id value.InstanceID) value.Instance {
@@ -103,6 +104,6 @@
 	}
 }
 
-func done(body string) flow.Stored {
+func storedAnswer(body string) flow.Stored {
 	return flow.Stored{Head: engine.Head{Status: 201, ContentType: "text/plain"}, Body: []byte(body)}
 }
--- a/io/once/slot.go
+++ b/io/once/slot.go
@@ -11,7 +11,7 @@
 	"endivehitch/io/clock"
 )
 
-// submission is an operation that waits at its slot; its channel takes one result.
+// submission is an operation waiting at its slot; done is buffered for its one result.
 type submission struct {
 	ctx  context.Context
 	op   ledger.Op
@@ -23,56 +23,58 @@
 	err     error
 }
 
-// slot gathers the operations of one journal; one worker at a time writes them in groups.
+// slot queues the operations on one journal; at most one worker at a time writes them, in groups.
 type slot struct {
 	guard  *Guard
 	number int
 
-	mu      sync.Mutex
-	queue   []submission
-	working bool
+	mu        sync.Mutex
+	queue     []submission
+	hasWorker bool
 
-	// The fields below belong to the worker.
-	known   page
+	// The fields below are used by the worker only.
+	last    snapshot
 	written time.Time
 }
 
-// page is a journal as it stood at a revision.
-type page struct {
+// snapshot is a journal at a revision.
+type snapshot struct {
 	journal  ledger.Journal
 	revision int64
-	// cached is set where the next decision may stand on the page without asking the store.
-	cached bool
-	// valid is false where nothing is known.
+	// fromWrite is set if this worker wrote the snapshot itself, so that the next decision may be based
+	// on it without a read from the store.
+	fromWrite bool
+	// valid is false in the zero value, which stands for no known journal.
 	valid bool
 }
 
 var errSlotBusy = errors.New("too many operations wait at the slot")
 
-// unsure is the error of an operation that may have been written.
-type unsure struct {
+// uncertainError is the error of an operation whose write may have taken effect.
+type uncertainError struct {
 	cause error
 }
 
-// Error states the cause.
-func (u unsure) Error() string {
+// Error gives the cause.
+func (u uncertainError) Error() string {
 	return "may have been written: " + u.cause.Error()
 }
 
 // Unwrap returns the cause.
-func (u unsure) Unwrap() error {
+func (u uncertainError) Unwrap() error {
 	return u.cause
 }
 
-func unsureIf(written bool, err error) error {
-	if written {
-		return unsure{err}
+// uncertainIf wraps the error in an uncertainError if a write may have taken effect.
+func uncertainIf(mayBeWritten bool, err error) error {
+	if mayBeWritten {
+		return uncertainError{err}
 	}
 	return err
 }
 
-// do hands the operation to the slot's worker and waits for the verdict.
-func (s *slot) do(ctx context.Context, op ledger.Op) (ledger.Verdict, error) {
+// submit queues the operation for the slot's worker and waits for the verdict.
+func (s *slot) submit(ctx context.Context, op ledger.Op) (ledger.Verdict, error) {
 	sub := submission{ctx: ctx, op: op, done: make(chan result, 1)}
 	if err := s.enqueue(sub); err != nil {
 		return ledger.Verdict{}, err
@@ -81,10 +83,11 @@
 	case r := <-sub.done:
 		return r.verdict, r.err
 	case <-ctx.Done():
-		return ledger.Verdict{}, unsure{fmt.Errorf("await journal: %w", ctx.Err())}
+		return ledger.Verdict{}, uncertainError{fmt.Errorf("await journal: %w", ctx.Err())}
 	}
 }
 
+// enqueue appends the submission to the queue and starts a worker if none is running.
 func (s *slot) enqueue(sub submission) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -92,29 +95,29 @@
 		return errSlotBusy
 	}
 	s.queue = append(s.queue, sub)
-	if s.working {
+	if s.hasWorker {
 		return nil
 	}
-	s.working = s.guard.start(s.work)
-	if !s.working {
+	s.hasWorker = s.guard.start(s.runWorker)
+	if !s.hasWorker {
 		s.queue = nil
 		return errClosed
 	}
 	return nil
 }
 
-// work writes groups until none is left. The wait for the write budget comes before the group is
-// taken, so that all that arrive during the wait go into the same write.
-func (s *slot) work() {
+// runWorker writes groups until the queue is empty. It waits for the write interval and rate before it
+// takes a group, so that operations that arrive during the wait go into the same write.
+func (s *slot) runWorker() {
 	ctx := s.guard.ctx
-	for s.waiting() {
+	for s.hasWork() {
 		err := clock.Wait(ctx, s.written.Add(s.guard.config.Interval).Sub(s.guard.config.Now()))
 		if err == nil {
 			err = s.guard.limiter.Wait(ctx)
 		}
-		group := s.take()
+		group := s.takeGroup()
 		if err != nil {
-			answer(group, nil, err)
+			deliver(group, nil, err)
 			continue
 		}
 		if len(group) > 0 {
@@ -124,16 +127,16 @@
 	}
 }
 
-// waiting reports whether there is work; where there is none, the worker's place is given up.
-func (s *slot) waiting() bool {
+// hasWork reports whether operations are queued; if none are, it also marks the worker as stopped.
+func (s *slot) hasWork() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.working = len(s.queue) > 0
-	return s.working
+	s.hasWorker = len(s.queue) > 0
+	return s.hasWorker
 }
 
-// take removes the next group from the queue and drops operations whose callers have gone.
-func (s *slot) take() []submission {
+// takeGroup removes the next group from the queue and drops the operations whose context is done.
+func (s *slot) takeGroup() []submission {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := min(len(s.queue), s.guard.config.Group)
@@ -147,7 +150,8 @@
 	return group
 }
 
-func answer(group []submission, verdicts []ledger.Verdict, err error) {
+// deliver sends each submission its verdict, or the error if there is one.
+func deliver(group []submission, verdicts []ledger.Verdict, err error) {
 	for i, sub := range group {
 		r := result{err: err}
 		if err == nil {
--- a/io/once/wire.go
+++ b/io/once/wire.go
@@ -10,14 +10,16 @@
 	"endivehitch/core/value"
 )
 
-// journalFormat is the stored form's number; a reader refuses one that it does not know.
+// journalFormat is the version of the stored format; a journal of any other version is an error.
 const journalFormat = 1
 
+// wireJournal is the stored form of a journal.
 type wireJournal struct {
 	Format  int
 	Records []wireRecord
 }
 
+// wireRecord is a record in a stored journal or an RPC reply.
 type wireRecord struct {
 	ID       ledger.CallID
 	Kind     value.KindName `json:",omitempty"`
@@ -30,6 +32,7 @@
 	Answer   *wireAnswer `json:",omitempty"`
 }
 
+// wireAnswer is an answer in a stored record or an RPC message.
 type wireAnswer struct {
 	Status      int
 	ContentType string
@@ -45,7 +48,7 @@
 	}
 	var body bytes.Buffer
 	e := json.NewEncoder(&body)
-	// The bound on a journal's bytes counts on characters that are not spelt out.
+	// The ledger's size bound assumes that <, > and & are not escaped.
 	e.SetEscapeHTML(false)
 	if err := e.Encode(w); err != nil {
 		return nil, fmt.Errorf("encode journal: %w", err)
@@ -71,7 +74,7 @@
 	return w
 }
 
-// decodeJournal reads a stored journal; no bytes are an empty one.
+// decodeJournal decodes a stored journal; an absent or empty value is an empty journal.
 func decodeJournal(body []byte) (ledger.Journal, error) {
 	if len(body) == 0 {
 		return ledger.Journal{}, nil
