--- a/io/trace/trace.go
+++ b/io/trace/trace.go
@@ -14,49 +14,50 @@
 	"endivehitch/io/peer"
 )
 
-// Config sets up a Finder.
+// Config configures a Finder.
 type Config struct {
 	Self value.InstanceID
-	// Local returns the decisions that this instance keeps about a request, the first one first.
+	// Local returns the decisions that this instance stores about a request, in the order they were made.
 	Local func(value.RequestID) []value.Decision
-	// Instances returns the instances that may keep decisions.
+	// Instances returns the instances that may store decisions; this instance is skipped.
 	Instances func() []value.Instance
-	Caller    peer.Caller
-	// Parallel bounds the instances that are asked at once.
+	// Caller sends the queries to the other instances.
+	Caller peer.Caller
+	// Parallel bounds the number of instances queried at once.
 	Parallel int
-	// Timeout bounds each instance's answer.
+	// Timeout bounds the query to each instance.
 	Timeout time.Duration
 }
 
-// Finder finds decisions here or at other instances.
+// Finder looks up decisions at this instance and at the others.
 type Finder struct {
 	config Config
 }
 
-// New returns a finder, or an error that names what the configuration lacks.
+// New returns a Finder, or an error that names what the configuration lacks.
 func New(c Config) (*Finder, error) {
 	switch {
 	case c.Local == nil || c.Instances == nil:
-		return nil, errors.New("trace: no decisions or instances")
+		return nil, errors.New("trace: local decisions or instances function not configured")
 	case c.Caller == nil:
-		return nil, errors.New("trace: no transport")
+		return nil, errors.New("trace: no caller configured")
 	case c.Parallel < 1 || c.Timeout <= 0:
-		return nil, errors.New("trace: no bounds")
+		return nil, errors.New("trace: parallel queries must be at least 1 and the time-out positive")
 	}
 	return &Finder{config: c}, nil
 }
 
-// Register offers this instance's decisions to the others.
+// Register registers the method with which the others query this instance.
 func (f *Finder) Register(r peer.Registrar) error {
 	return findMethod.Serve(r, func(w wireFind) (wireFound, error) {
 		return wireFound{Decisions: toWire(f.config.Local(w.Request))}, nil
 	})
 }
 
-// Find returns the decisions about the request, the first one first.
+// Find returns the decisions about the request, in the order they were made.
 //
-// Where none are found the error is value.ChangeRefused, or value.ChangeUnavailable if
-// an instance that may keep them gave no answer.
+// If none are found the error is value.ChangeRefused, or value.ChangeUnavailable if an instance that may
+// store them did not answer.
 func (f *Finder) Find(ctx context.Context, id value.RequestID) ([]value.Decision, error) {
 	if local := f.config.Local(id); len(local) > 0 {
 		return local, nil
@@ -64,48 +65,50 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var found policy.Cell[[]value.Decision]
-	var silent atomic.Int64
+	var unanswered atomic.Int64
 	var g errgroup.Group
 	g.SetLimit(f.config.Parallel)
-	for _, i := range f.config.Instances() {
-		if i.ID == f.config.Self {
+	for _, instance := range f.config.Instances() {
+		if instance.ID == f.config.Self {
 			continue
 		}
 		g.Go(func() error {
-			list, err := f.ask(ctx, i, id)
+			decisions, err := f.query(ctx, instance, id)
 			if err != nil {
-				silent.Add(1)
+				unanswered.Add(1)
 				return nil
 			}
-			if len(list) > 0 {
-				found.Update(func([]value.Decision) []value.Decision { return list })
+			if len(decisions) > 0 {
+				found.Update(func([]value.Decision) []value.Decision { return decisions })
 				cancel()
 			}
 			return nil
 		})
 	}
-	// The goroutines report through the cell, so that one silent instance stops no other.
+	// The goroutines return no error, so that an instance that does not answer does not stop the others;
+	// results are passed in the cell.
 	_ = g.Wait()
-	return f.result(id, found.Get(), silent.Load())
+	return f.result(id, found.Get(), unanswered.Load())
 }
 
-func (f *Finder) ask(ctx context.Context, i value.Instance, id value.RequestID) ([]value.Decision, error) {
+func (f *Finder) query(ctx context.Context, instance value.Instance, id value.RequestID) ([]value.Decision, error) {
 	ctx, cancel := context.WithTimeout(ctx, f.config.Timeout)
 	defer cancel()
-	w, err := findMethod.Call(ctx, f.config.Caller, i, wireFind{Request: id})
+	w, err := findMethod.Call(ctx, f.config.Caller, instance, wireFind{Request: id})
 	if err != nil {
-		return nil, fmt.Errorf("ask instance %s: %w", i.ID, err)
+		return nil, fmt.Errorf("ask instance %s: %w", instance.ID, err)
 	}
 	return fromWire(w.Decisions), nil
 }
 
-func (f *Finder) result(id value.RequestID, found []value.Decision, silent int64) ([]value.Decision, error) {
+// result returns the decisions found, or the error that tells why there are none.
+func (f *Finder) result(id value.RequestID, found []value.Decision, unanswered int64) ([]value.Decision, error) {
 	switch {
 	case len(found) > 0:
 		return found, nil
-	case silent > 0:
+	case unanswered > 0:
 		return nil, value.ChangeUnavailable{
-			Detail: fmt.Sprintf("no instance that answered keeps decisions about request %s, and %d gave no answer", id, silent),
+			Detail: fmt.Sprintf("no instance that answered keeps decisions about request %s, and %d gave no answer", id, unanswered),
 		}
 	}
 	return nil, value.ChangeRefused{
--- a/io/trace/trace_test.go
+++ b/io/trace/trace_test.go
@@ -12,21 +12,22 @@
 	"endivehitch/io/trace"
 )
 
-// finders returns a finder for each instance, with the request whose decisions it keeps.
-func finders(t *testing.T, keeps map[value.InstanceID]value.RequestID, listed ...value.InstanceID) map[value.InstanceID]*trace.Finder {
+// newFinders returns a finder for each instance in the map, which stores the decisions about one request;
+// the listed instances are queried, also those that do not exist.
+func newFinders(t *testing.T, requests map[value.InstanceID]value.RequestID, listed ...value.InstanceID) map[value.InstanceID]*trace.Finder {
 	t.Helper()
 	var mesh fakes.Mesh
 	var fleet []value.Instance
 	for _, id := range listed {
 		fleet = append(fleet, value.Instance{ID: id, PeerAddress: string(id) + ":1"})
 	}
-	all := make(map[value.InstanceID]*trace.Finder)
-	for id, kept := range keeps {
+	byInstance := make(map[value.InstanceID]*trace.Finder)
+	for id, requestID := range requests {
 		port := mesh.Join(value.Instance{ID: id, PeerAddress: string(id) + ":1"})
-		one, err := trace.New(trace.Config{
+		finder, err := trace.New(trace.Config{
 			Self: id,
 			Local: func(r value.RequestID) []value.Decision {
-				if kept != r {
+				if requestID != r {
 					return nil
 				}
 				return []value.Decision{{Request: r, Step: value.StepAdmit, Detail: string(id)}, {Request: r, Step: value.StepBill}}
@@ -37,28 +38,28 @@
 			Timeout:   time.Second,
 		})
 		assert.NilError(t, err)
-		assert.NilError(t, one.Register(port))
-		all[id] = one
+		assert.NilError(t, finder.Register(port))
+		byInstance[id] = finder
 	}
-	return all
+	return byInstance
 }
 
-func TestFindAsksTheInstanceThatServed(t *testing.T) {
-	all := finders(t, map[value.InstanceID]value.RequestID{"a": "qa", "b": "qb", "c": "qc"}, "a", "b", "c", "gone")
+func TestFindReturnsDecisionsOfInstanceThatServed(t *testing.T) {
+	byInstance := newFinders(t, map[value.InstanceID]value.RequestID{"a": "qa", "b": "qb", "c": "qc"}, "a", "b", "c", "gone")
 	for _, request := range []value.RequestID{"qa", "qc"} {
-		list, err := all["a"].Find(t.Context(), request)
-		assert.NilError(t, err, "an instance that is gone keeps no other from answering")
+		list, err := byInstance["a"].Find(t.Context(), request)
+		assert.NilError(t, err, "an unreachable instance must not prevent another from answering")
 		assert.Equal(t, list[0].Detail, string(request[1:]))
 		assert.Equal(t, list[1].Step, value.StepBill)
 	}
-	_, err := all["a"].Find(t.Context(), "unknown")
+	_, err := byInstance["a"].Find(t.Context(), "unknown")
 	var unavailable value.ChangeUnavailable
-	assert.Assert(t, errors.As(err, &unavailable), "an instance gave no answer: %v", err)
+	assert.Assert(t, errors.As(err, &unavailable), "an instance did not answer: %v", err)
 }
 
-func TestFindSaysWhenNoInstanceKnows(t *testing.T) {
-	all := finders(t, map[value.InstanceID]value.RequestID{"a": "qa", "b": "qb"}, "a", "b")
-	_, err := all["a"].Find(t.Context(), "unknown")
+func TestFindRefusesRequestUnknownToAllInstances(t *testing.T) {
+	byInstance := newFinders(t, map[value.InstanceID]value.RequestID{"a": "qa", "b": "qb"}, "a", "b")
+	_, err := byInstance["a"].Find(t.Context(), "unknown")
 	var refused value.ChangeRefused
 	assert.Assert(t, errors.As(err, &refused), "%v", err)
 	assert.Equal(t, refused.Reason, value.ReasonUnknownRequest)
--- a/io/trace/wire.go
+++ b/io/trace/wire.go
@@ -9,14 +9,17 @@
 
 var findMethod = peer.Method[wireFind, wireFound]{Name: "Trace.Find"}
 
+// wireFind is the query for the decisions about a request.
 type wireFind struct {
 	Request value.RequestID
 }
 
+// wireFound is the reply to a wireFind; it is empty if the instance stores no decisions about the request.
 type wireFound struct {
 	Decisions []wireDecision
 }
 
+// wireDecision is a value.Decision as it is sent; its fields must match, since one is converted to the other.
 type wireDecision struct {
 	Request    value.RequestID
 	Account    value.AccountName
