--- a/io/front/chat.go
+++ b/io/front/chat.go
@@ -49,11 +49,11 @@
 	return f.serve(r, flow.Job{Request: req, Call: call}, answer)
 }
 
-// serve runs the job and writes its answer. A failure after the head has been sent can be signaled only
-// by aborting the connection.
-func (f *Front) serve(r *http.Request, j flow.Job, s *responseWriter) error {
-	_, err := f.Server.Serve(r.Context(), j, s)
-	if err != nil && s.headSent {
+// serve runs the job and writes its answer. A failure after the head has been sent can be signaled
+// only by aborting the connection.
+func (f *Front) serve(r *http.Request, j flow.Job, answer *responseWriter) error {
+	_, err := f.Server.Serve(r.Context(), j, answer)
+	if err != nil && answer.headSent {
 		panic(http.ErrAbortHandler)
 	}
 	return err
--- a/io/front/front.go
+++ b/io/front/front.go
@@ -90,8 +90,8 @@
 	return mux
 }
 
-// route wraps a handler in the checks that each request must pass: billing, in-flight limit, body size
-// and API key.
+// route wraps a handler in the checks that each request must pass: billing, in-flight limit, body
+// size and API key.
 func (f *Front) route(h handler) http.Handler {
 	return alice.New(f.requireBilling, f.limitInFlight, f.limitBody).Then(f.authenticate(h))
 }
--- a/io/front/front_test.go
+++ b/io/front/front_test.go
@@ -53,7 +53,8 @@
 	return startFrontWith(t, s, limits, false)
 }
 
-// startFrontWith serves a Front and returns its base URL; billingDown makes it refuse for lack of billing.
+// startFrontWith serves a Front and returns its base URL; billingDown makes it refuse for lack of
+// billing.
 func startFrontWith(t *testing.T, s front.JobServer, limits front.Limits, billingDown bool) string {
 	t.Helper()
 	signer, err := front.NewSigner(signingKey(1))
--- a/io/front/headers.go
+++ b/io/front/headers.go
@@ -26,7 +26,8 @@
 	return strings.TrimPrefix(r.Header.Get("Authorization"), bearerPrefix)
 }
 
-// idempotencyKey returns the key without the quotes that the string syntax of structured headers allows.
+// idempotencyKey returns the key without the quotes that the string syntax of structured headers
+// allows.
 func idempotencyKey(r *http.Request) (value.IdempotencyKey, error) {
 	key := strings.Trim(r.Header.Get(headerKey), `"`)
 	if len(key) > maxIdempotencyKeyBytes {
@@ -35,8 +36,8 @@
 	return value.IdempotencyKey(key), nil
 }
 
-// parseDeadline returns when the request must be answered: after the duration that the caller's header
-// gives, such as "2s", or after the default time-out.
+// parseDeadline returns when the request must be answered: after the duration that the caller's
+// header gives, such as "2s", or after the default timeout.
 func parseDeadline(r *http.Request, now time.Time, defaultTimeout time.Duration) (time.Time, error) {
 	text := r.Header.Get(headerDeadline)
 	if text == "" {
--- a/io/front/problem.go
+++ b/io/front/problem.go
@@ -45,8 +45,8 @@
 	value.ReasonNoConfiguration: http.StatusServiceUnavailable,
 }
 
-// writeProblem answers with the refusal that the error wraps; any other error is reported as a failure
-// of the backend server.
+// writeProblem answers with the refusal that the error wraps; any other error is reported as a
+// failure of the backend server.
 func writeProblem(w http.ResponseWriter, id value.RequestID, err error) {
 	refusal := value.Refusal{Reason: value.ReasonBackend, Detail: err.Error()}
 	errors.As(err, &refusal)
--- a/io/front/request.go
+++ b/io/front/request.go
@@ -35,7 +35,8 @@
 	return body, nil
 }
 
-// newRequest builds the request from the headers that all routes share; the route adds its own fields.
+// newRequest builds the request from the headers that all routes share; the route adds its own
+// fields.
 func (f *Front) newRequest(r *http.Request, c caller, body []byte) (value.Request, Session, error) {
 	session, err := f.resolveSession(r.Header.Get(headerSession), c.account)
 	if err != nil {
--- a/io/front/sink.go
+++ b/io/front/sink.go
@@ -51,8 +51,8 @@
 	return rw.writeEvent(p.Data)
 }
 
-// isUsageOnly reports whether an event carries only the token usage. The engine adapter always requests
-// that event; callers that did not ask for it must not receive it.
+// isUsageOnly reports whether an event carries only the token usage. The engine adapter always
+// requests that event; callers that did not ask for it must not receive it.
 func isUsageOnly(data []byte) bool {
 	var chunk struct {
 		Choices []json.RawMessage `json:"choices"`
--- a/io/front/token.go
+++ b/io/front/token.go
@@ -14,15 +14,15 @@
 	"endivehitch/core/value"
 )
 
-// ErrInvalidToken is wrapped by errors about a session token that is malformed or signed by none of the
-// instance's keys.
+// ErrInvalidToken is wrapped by errors about a session token that is malformed or signed by none of
+// the instance's keys.
 var ErrInvalidToken = errors.New("session token is not valid")
 
 // minSigningKeyBytes is the length of the shortest signing key that is accepted.
 const minSigningKeyBytes = 32
 
-// Session is the content of a session token. The caller sends the token with each request, so that any
-// instance can keep the session on its version.
+// Session is the content of a session token. The caller sends the token with each request, so that
+// any instance can keep the session on its version.
 type Session struct {
 	ID      value.SessionID
 	Account value.AccountName
@@ -40,8 +40,8 @@
 	keys [][]byte
 }
 
-// NewSigner returns a signer that signs with the first key and accepts the signatures of all keys, so
-// that keys can be rotated.
+// NewSigner returns a signer that signs with the first key and accepts the signatures of all keys,
+// so that keys can be rotated.
 func NewSigner(keys ...[]byte) (*Signer, error) {
 	if len(keys) == 0 {
 		return nil, errors.New("front: no key for session tokens")
@@ -107,7 +107,8 @@
 	return h.Sum(nil)
 }
 
-// resolveSession returns the session of the caller's token, or a new session if the caller sent none.
+// resolveSession returns the session of the caller's token, or a new session if the caller sent
+// none.
 func (f *Front) resolveSession(token string, account value.AccountName) (Session, error) {
 	if token == "" {
 		return Session{ID: value.SessionID(uuid.NewString()), Account: account}, nil
