--- a/io/engine/errors.go
+++ b/io/engine/errors.go
@@ -9,8 +9,8 @@
 // ErrMismatch is wrapped by the errors of answers whose request identifier is not the call's.
 var ErrMismatch = errors.New("answer belongs to another request")
 
-// StaleTokenError is the error of an order whose fencing token is lower than the highest one that the
-// server has received.
+// StaleTokenError is the error of an order whose fencing token is lower than the highest one that
+// the server has received.
 type StaleTokenError struct {
 	Sent    int64
 	Highest int64
--- a/io/engine/http_test.go
+++ b/io/engine/http_test.go
@@ -92,8 +92,8 @@
 	assert.ErrorIs(t, err, engine.ErrNotSent)
 }
 
-// Guards against sending a call with an idempotency key twice: if the server closes a reused connection as
-// the call arrives on it, the transport may resend the call on a new one.
+// Guards against sending a call with an idempotency key twice: if the server closes a reused
+// connection as the call arrives on it, the transport may resend the call on a new one.
 func TestCallWithIdempotencyKeyIsSentOnce(t *testing.T) {
 	var received atomic.Int64
 	a, b := newAdapter(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/io/engine/openai.go
+++ b/io/engine/openai.go
@@ -36,12 +36,13 @@
 	TLS *tls.Config
 }
 
-// HTTP implements Runner, Reporter, Commander and CacheMover: it uses the chat-completions format with
-// engines and plain HTTP with services.
+// HTTP implements Runner, Reporter, Commander and CacheMover: it uses the chat-completions format
+// with engines and plain HTTP with services.
 type HTTP struct {
 	pooled *http.Client
 	// unpooled opens a connection for each call. It is used for calls that must not be sent twice: on
-	// an idle connection that the server has just closed, the transport would send them again by itself.
+	// an idle connection that the server has just closed, the transport would send them again by
+	// itself.
 	unpooled *http.Client
 }
 
@@ -68,7 +69,8 @@
 	}
 }
 
-// newClient returns a client that follows no redirects, because following one would send the call twice.
+// newClient returns a client that follows no redirects, because following one would send the call
+// twice.
 func newClient(t *http.Transport) *http.Client {
 	return &http.Client{
 		Transport:     t,
@@ -133,8 +135,8 @@
 	return req, nil
 }
 
-// withModel returns the body with the call's version as the model and, for a streamed answer, with the
-// request for its usage.
+// withModel returns the body with the call's version as the model and, for a streamed answer, with
+// the request for its usage.
 func withModel(c Call) ([]byte, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(c.Body, &fields); err != nil {
@@ -164,9 +166,9 @@
 	return err
 }
 
-// checkHead returns an error if the status means failure or the answer belongs to another request. An
-// engine fails with 300 or more; a plain service only with 500 or more, since any other status is its
-// answer.
+// checkHead returns an error if the status means failure or the answer belongs to another request.
+// An engine fails with 300 or more; a plain service only with 500 or more, since any other status
+// is its answer.
 func checkHead(resp *http.Response, c Call) error {
 	minFailure := http.StatusInternalServerError
 	if c.Version != "" {
--- a/io/engine/order.go
+++ b/io/engine/order.go
@@ -16,8 +16,8 @@
 	unloadAdapterPath = "/v1/unload_lora_adapter"
 	// headerFencingToken carries the fencing token; servers that don't support fencing ignore it.
 	headerFencingToken = "Fencing-Token"
-	// headerHighestToken carries, in the refusal of a stale order, the highest token that the server has
-	// received.
+	// headerHighestToken carries, in the refusal of a stale order, the highest token that the server
+	// has received.
 	headerHighestToken = "Fencing-Token-Seen"
 )
 
@@ -26,8 +26,8 @@
 	Path string `json:"lora_path,omitempty"`
 }
 
-// Send delivers an order to load or unload a version; for any other verb the error wraps ErrUnsupported,
-// because the adapter API has no change of role.
+// Send delivers an order to load or unload a version; for any other verb the error wraps
+// ErrUnsupported, because the LoRA adapter API has no change of role.
 func (h *HTTP) Send(ctx context.Context, b value.BackendServer, o Order) error {
 	path, ok := map[OrderVerb]string{OrderLoad: loadAdapterPath, OrderUnload: unloadAdapterPath}[o.Verb]
 	if !ok {
--- a/io/engine/port.go
+++ b/io/engine/port.go
@@ -61,7 +61,8 @@
 	Next(ctx context.Context) (Piece, error)
 	// Usage returns the usage reported so far; it is complete once Next has returned io.EOF.
 	Usage() Usage
-	// Cancel stops the attempt and frees its resources; it may be called at any time and more than once.
+	// Cancel stops the attempt and frees its resources; it may be called at any time and more than
+	// once.
 	Cancel()
 }
 
@@ -80,8 +81,8 @@
 	At      time.Time
 }
 
-// CacheEvent reports that a server has cached or dropped a prompt prefix; events arrive late and some
-// are lost.
+// CacheEvent reports that a server has cached or dropped a prompt prefix; events arrive late and
+// some are lost.
 type CacheEvent struct {
 	Server  value.ServerID
 	Prefix  uint64
@@ -113,7 +114,8 @@
 	Verb    OrderVerb
 	Version value.VersionKey
 	Role    string
-	// Fence is the fencing token; a server that checks it refuses a token lower than its highest so far.
+	// Fence is the fencing token; a server that checks it refuses a token lower than its highest so
+	// far.
 	Fence int64
 }
 
--- a/io/engine/report.go
+++ b/io/engine/report.go
@@ -47,8 +47,8 @@
 	return r, nil
 }
 
-// parseGauge parses a line of the Prometheus text format into a name without labels and a value, cut to
-// a whole number; it returns false for comments and for lines that hold no number.
+// parseGauge parses a line of the Prometheus text format into a name without labels and a value,
+// cut to a whole number; it returns false for comments and for lines that hold no number.
 func parseGauge(line string) (string, int, bool) {
 	if strings.HasPrefix(line, "#") {
 		return "", 0, false
--- a/io/engine/whole.go
+++ b/io/engine/whole.go
@@ -32,8 +32,8 @@
 	done     bool
 }
 
-func newBodyAnswer(resp *http.Response, cancel func(), metered bool) *bodyAnswer {
-	return &bodyAnswer{resp: resp, cancel: cancel, hasUsage: metered}
+func newBodyAnswer(resp *http.Response, cancel func(), hasUsage bool) *bodyAnswer {
+	return &bodyAnswer{resp: resp, cancel: cancel, hasUsage: hasUsage}
 }
 
 func (b *bodyAnswer) Head() Head {
