--- a/io/once/bench_test.go
+++ b/io/once/bench_test.go
@@ -51,8 +51,8 @@
 	return guards, h.store
 }
 
-// runCalls has concurrent callers claim and finish the given number of calls, each caller one after the
-// other, and returns the total time and the sorted times that the claims took.
+// runCalls has concurrent callers claim and finish the given number of calls, each caller one after
+// the other, and returns the total time and the sorted times that the claims took.
 func runCalls(b *testing.B, guards []*once.Guard, callers, calls int) (time.Duration, []time.Duration) {
 	b.Helper()
 	start := time.Now()
@@ -79,9 +79,9 @@
 	return time.Since(start), waits
 }
 
-// BenchmarkOnce measures the throughput limit and the added latency of calls that run at most once: with
-// one write for each claim and each end, with group writes at each instance, and with group writes at
-// slot owners, all at the same write rate.
+// BenchmarkOnce measures the throughput limit and the added latency of calls that run at most once:
+// with one write for each claim and each end, with group writes at each instance, and with group
+// writes at slot owners, all at the same write rate.
 func BenchmarkOnce(b *testing.B) {
 	// With this many slots two calls hardly ever share one, as if each call had its own store key.
 	single := func(c *once.Config) { c.Group = 1; c.Slots = 1 << 12 }
--- a/io/once/commit.go
+++ b/io/once/commit.go
@@ -9,8 +9,8 @@
 	"endivehitch/io/plat"
 )
 
-// maxCommitAttempts bounds how often one group is decided, counting the repeats after conflicts and lost
-// responses.
+// maxCommitAttempts bounds how often one group is decided, counting the repeats after conflicts and
+// lost responses.
 const maxCommitAttempts = 8
 
 var errContended = errors.New("other writers kept coming first")
@@ -25,8 +25,9 @@
 	deliver(group, verdicts, err)
 }
 
-// decide returns the verdicts on the group once they are safe: either the journal with their changes has
-// been written, or nothing changes and the journal is the store's, not the one that this worker wrote last.
+// decide returns the verdicts on the group once they are safe: either the journal with their
+// changes has been written, or nothing changes and the journal is the store's, not the one that
+// this worker wrote last.
 func (s *slot) decide(ctx context.Context, group []submission) ([]ledger.Verdict, error) {
 	ops := make([]ledger.Op, len(group))
 	for i, sub := range group {
@@ -66,10 +67,10 @@
 	return ledger.Setting{Now: g.config.Now(), Gone: g.config.Gone}
 }
 
-// load returns the journal as this worker last wrote it, or else as the store has it. After a conflict
-// the store is read although the conflict included the present journal, which may have changed during
-// the wait for the write rate. If the read gives no later revision, the conflict's journal is used, since
-// a read may be stale.
+// load returns the journal as this worker last wrote it, or else as the store has it. After a
+// conflict the store is read although the conflict included the present journal, which may have
+// changed during the wait for the write rate. If the read gives no later revision, the conflict's
+// journal is used, since a read may be stale.
 func (s *slot) load(ctx context.Context) (snapshot, error) {
 	if s.last.valid && s.last.fromWrite {
 		return s.last, nil
@@ -112,9 +113,9 @@
 	return nil
 }
 
-// prepareRetry reports whether the group may be decided again after a failed write, and remembers the
-// journal that a conflict included. A write that may have taken effect can be repeated: operations are
-// idempotent by their token, so a journal that already holds them does not change.
+// prepareRetry reports whether the group may be decided again after a failed write, and remembers
+// the journal that a conflict included. A write that may have taken effect can be repeated:
+// operations are idempotent by their token, so a journal that already holds them does not change.
 func (s *slot) prepareRetry(err error) bool {
 	s.last = snapshot{}
 	var conflict plat.Conflict
--- a/io/once/guard.go
+++ b/io/once/guard.go
@@ -43,7 +43,8 @@
 	return nil, nil, refusalOf(v)
 }
 
-// replayAnswer returns the stored answer, or a refusal if the call has run and its answer was not stored.
+// replayAnswer returns the stored answer, or a refusal if the call has run and its answer was not
+// stored.
 func replayAnswer(a ledger.Answer) (flow.Claim, *flow.Stored, error) {
 	if a.Whole() {
 		head := engine.Head{Status: a.Status, ContentType: a.ContentType}
@@ -81,7 +82,8 @@
 	op    ledger.Op
 }
 
-// Finish records the answer for later calls with the same key, without its body if that is too large.
+// Finish records the answer for later calls with the same key, without its body if that is too
+// large.
 func (c *claim) Finish(ctx context.Context, s flow.Stored) error {
 	digest := sha256.Sum256(s.Body)
 	answer := ledger.Answer{
@@ -107,9 +109,9 @@
 	return c.guard.recordEnd(ctx, c.op.WithVerb(ledger.VerbDoubt))
 }
 
-// recordEnd records the end of a claim. It returns once that is written or SettleWait has passed. In the
-// latter case the record is written in the background, and until then retries are refused because the
-// call may still be running.
+// recordEnd records the end of a claim. It returns once that is written or SettleWait has passed.
+// In the latter case the record is written in the background, and until then retries are refused
+// because the call may still be running.
 func (g *Guard) recordEnd(ctx context.Context, op ledger.Op) error {
 	recorded, err := g.recordEndAsync(op)
 	if err != nil {
@@ -125,8 +127,8 @@
 	return nil
 }
 
-// releaseUncertain frees the key of a claim that failed but may have been recorded. If the backlog is
-// full, the claim is left to expire after its deadline with an unknown outcome.
+// releaseUncertain frees the key of a claim that failed but may have been recorded. If the backlog
+// is full, the claim is left to expire after its deadline with an unknown outcome.
 func (g *Guard) releaseUncertain(op ledger.Op, err error) {
 	if !errors.As(err, new(uncertainError)) {
 		return
@@ -136,8 +138,8 @@
 
 var errBacklog = errors.New("too many claims wait for their end to be recorded")
 
-// recordEndAsync records the end of a claim in the background, with retries; the channel is closed once
-// it is written.
+// recordEndAsync records the end of a claim in the background, with retries; the channel is closed
+// once it is written.
 func (g *Guard) recordEndAsync(op ledger.Op) (<-chan struct{}, error) {
 	if !g.reserveBacklog() {
 		return nil, fmt.Errorf("record end of claim: %w", errBacklog)
--- a/io/once/once.go
+++ b/io/once/once.go
@@ -68,7 +68,7 @@
 	case c.Slots < 1 || c.Group < 1 || c.Queue < 1 || c.Backlog < 1:
 		return errors.New("once: slots, group, queue and backlog must be at least 1")
 	case c.Writes <= 0 || c.StoreTimeout <= 0 || c.OwnerTimeout <= 0:
-		return errors.New("once: write rate, store time-out and owner time-out must be positive")
+		return errors.New("once: write rate, store timeout and owner timeout must be positive")
 	case c.Rule.Bytes < 1 || c.Rule.Bytes > plat.ValueLimit:
 		return fmt.Errorf("once: journal limit of %d bytes is out of range", c.Rule.Bytes)
 	}
@@ -77,7 +77,8 @@
 
 // Stats holds the counters of a Guard.
 type Stats struct {
-	// Operations counts the operations decided by this instance, Commits the journal writes tried for them.
+	// Operations counts the operations decided by this instance, Commits the journal writes tried for
+	// them.
 	Operations int64
 	Commits    int64
 	// Conflicts counts the writes that failed because another writer had changed the journal.
@@ -150,8 +151,8 @@
 	}
 }
 
-// Close stops all workers; the outcome of a claim whose end is not recorded by then is unknown to later
-// callers.
+// Close stops all workers; the outcome of a claim whose end is not recorded by then is unknown to
+// later callers.
 func (g *Guard) Close() {
 	g.mu.Lock()
 	g.closed = true
--- a/io/once/once_test.go
+++ b/io/once/once_test.go
@@ -133,8 +133,8 @@
 	})
 }
 
-// Guards against a claim whose write takes effect only after its caller has timed out: it must not keep the
-// key from the next caller.
+// Guards against a claim whose write takes effect only after its caller has timed out: it must not
+// keep the key from the next caller.
 func TestClaimWrittenAfterCallerTimeoutLeavesKeyFree(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t)
@@ -213,8 +213,8 @@
 	}
 }
 
-// Guards against double grants while ownership moves: the old owner goes on deciding on the journal that it
-// wrote last.
+// Guards against double grants while ownership moves: the old owner goes on deciding on the journal
+// that it wrote last.
 func TestOwnerChangeGrantsEachCallOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t)
@@ -245,8 +245,8 @@
 	})
 }
 
-// Guards against a second grant if the owner records a forwarded claim but its reply is lost, so that the
-// sender decides the claim again.
+// Guards against a second grant if the owner records a forwarded claim but its reply is lost, so
+// that the sender decides the claim again.
 func TestLostOwnerReplyGrantsNoSecondClaim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t)
--- a/io/once/owner.go
+++ b/io/once/owner.go
@@ -35,8 +35,8 @@
 	Unsure  bool
 }
 
-// submit has the operation decided by the slot's owner or, if that fails, by this instance. Deciding it
-// twice is safe because operations are idempotent by their token.
+// submit has the operation decided by the slot's owner or, if that fails, by this instance.
+// Deciding it twice is safe because operations are idempotent by their token.
 func (g *Guard) submit(ctx context.Context, op ledger.Op) (ledger.Verdict, error) {
 	number := op.ID.Slot(g.config.Slots)
 	if g.decidesLocally(number) {
--- a/io/once/slot.go
+++ b/io/once/slot.go
@@ -106,8 +106,8 @@
 	return nil
 }
 
-// runWorker writes groups until the queue is empty. It waits for the write interval and rate before it
-// takes a group, so that operations that arrive during the wait go into the same write.
+// runWorker writes groups until the queue is empty. It waits for the write interval and rate before
+// it takes a group, so that operations that arrive during the wait go into the same write.
 func (s *slot) runWorker() {
 	ctx := s.guard.ctx
 	for s.hasWork() {
