--- a/io/trace/trace.go
+++ b/io/trace/trace.go
@@ -17,7 +17,8 @@
 // Config configures a Finder.
 type Config struct {
 	Self value.InstanceID
-	// Local returns the decisions that this instance stores about a request, in the order they were made.
+	// Local returns the decisions that this instance stores about a request, in the order they were
+	// made.
 	Local func(value.RequestID) []value.Decision
 	// Instances returns the instances that may store decisions; this instance is skipped.
 	Instances func() []value.Instance
@@ -42,7 +43,7 @@
 	case c.Caller == nil:
 		return nil, errors.New("trace: no caller configured")
 	case c.Parallel < 1 || c.Timeout <= 0:
-		return nil, errors.New("trace: parallel queries must be at least 1 and the time-out positive")
+		return nil, errors.New("trace: parallel queries must be at least 1 and the timeout positive")
 	}
 	return &Finder{config: c}, nil
 }
@@ -56,8 +57,8 @@
 
 // Find returns the decisions about the request, in the order they were made.
 //
-// If none are found the error is value.ChangeRefused, or value.ChangeUnavailable if an instance that may
-// store them did not answer.
+// If none are found the error is value.ChangeRefused, or value.ChangeUnavailable if an instance
+// that may store them did not answer.
 func (f *Finder) Find(ctx context.Context, id value.RequestID) ([]value.Decision, error) {
 	if local := f.config.Local(id); len(local) > 0 {
 		return local, nil
@@ -85,8 +86,8 @@
 			return nil
 		})
 	}
-	// The goroutines return no error, so that an instance that does not answer does not stop the others;
-	// results are passed in the cell.
+	// The goroutines return no error, so that an instance that does not answer does not stop the
+	// others; results are passed in the cell.
 	_ = g.Wait()
 	return f.result(id, found.Get(), unanswered.Load())
 }
--- a/io/trace/trace_test.go
+++ b/io/trace/trace_test.go
@@ -12,8 +12,8 @@
 	"endivehitch/io/trace"
 )
 
-// newFinders returns a finder for each instance in the map, which stores the decisions about one request;
-// the listed instances are queried, also those that do not exist.
+// newFinders returns a finder for each instance in the map, which stores the decisions about one
+// request; the listed instances are queried, also those that do not exist.
 func newFinders(t *testing.T, requests map[value.InstanceID]value.RequestID, listed ...value.InstanceID) map[value.InstanceID]*trace.Finder {
 	t.Helper()
 	var mesh fakes.Mesh
--- a/io/trace/wire.go
+++ b/io/trace/wire.go
@@ -14,12 +14,14 @@
 	Request value.RequestID
 }
 
-// wireFound is the reply to a wireFind; it is empty if the instance stores no decisions about the request.
+// wireFound is the reply to a wireFind; it is empty if the instance stores no decisions about the
+// request.
 type wireFound struct {
 	Decisions []wireDecision
 }
 
-// wireDecision is a value.Decision as it is sent; its fields must match, since one is converted to the other.
+// wireDecision is a value.Decision as it is sent; its fields must match, since one is converted to
+// the other.
 type wireDecision struct {
 	Request    value.RequestID
 	Account    value.AccountName
