--- a/io/once/commit.go
+++ b/io/once/commit.go
@@ -63,8 +63,8 @@
 }
 
 // ledgerSetting returns what decisions depend on besides the journal.
-func (g *Guard) ledgerSetting() ledger.Setting {
-	return ledger.Setting{Now: g.config.Now(), Gone: g.config.Gone}
+func (g *Guard) ledgerSetting() ledger.DecisionInputs {
+	return ledger.DecisionInputs{Now: g.config.Now(), HasDeparted: g.config.Gone}
 }
 
 // load returns the journal as this worker last wrote it, or else as the store has it. After a
--- a/io/once/full_test.go
+++ b/io/once/full_test.go
@@ -27,7 +27,7 @@
 func TestFullJournalRefusesClaimsAndKeepsItsByteLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t)
-		h.configure = func(c *once.Config) { c.Slots = 1; c.Rule.Bytes = 20 << 10 }
+		h.configure = func(c *once.Config) { c.Slots = 1; c.Rule.MaxBytes = 20 << 10 }
 		a := h.guard("a")
 		kept := 0
 		for i := range 50 {
--- a/io/once/guard.go
+++ b/io/once/guard.go
@@ -21,13 +21,13 @@
 // value.Refusal.
 func (g *Guard) Claim(ctx context.Context, r value.Request) (flow.Claim, *flow.Stored, error) {
 	op := ledger.Op{
-		Verb:     ledger.VerbClaim,
-		ID:       ledger.NewCallID(r.Account, r.Key),
-		Kind:     r.Kind,
-		Question: r.Question,
-		Token:    g.config.NewToken(),
-		Holder:   g.config.Self,
-		Until:    r.Deadline,
+		Verb:        ledger.VerbClaim,
+		ID:          ledger.NewCallID(r.Account, r.Key),
+		Kind:        r.Kind,
+		RequestHash: r.Question,
+		Token:       g.config.NewToken(),
+		Holder:      g.config.Self,
+		Until:       r.Deadline,
 	}
 	v, err := g.submit(ctx, op)
 	if err != nil {
@@ -46,7 +46,7 @@
 // replayAnswer returns the stored answer, or a refusal if the call has run and its answer was not
 // stored.
 func replayAnswer(a ledger.Answer) (flow.Claim, *flow.Stored, error) {
-	if a.Whole() {
+	if a.IsComplete() {
 		head := engine.Head{Status: a.Status, ContentType: a.ContentType}
 		return nil, &flow.Stored{Head: head, Body: a.Body}, nil
 	}
@@ -93,7 +93,7 @@
 		Digest:      hex.EncodeToString(digest[:]),
 		Bytes:       len(s.Body),
 	}
-	if len(s.Body) > c.guard.config.Rule.AnswerBytes {
+	if len(s.Body) > c.guard.config.Rule.MaxAnswerBytes {
 		answer = answer.WithoutBody()
 	}
 	return c.guard.recordEnd(ctx, c.op.WithAnswer(answer))
@@ -106,7 +106,7 @@
 
 // Doubt records the outcome as unknown, after a dispatch that gave no complete answer.
 func (c *claim) Doubt(ctx context.Context) error {
-	return c.guard.recordEnd(ctx, c.op.WithVerb(ledger.VerbDoubt))
+	return c.guard.recordEnd(ctx, c.op.WithVerb(ledger.VerbMarkInDoubt))
 }
 
 // recordEnd records the end of a claim. It returns once that is written or SettleWait has passed.
--- a/io/once/once.go
+++ b/io/once/once.go
@@ -29,7 +29,7 @@
 	// Gone reports whether an instance has departed for good.
 	Gone func(value.InstanceID) bool
 	Now  func() time.Time
-	Rule ledger.Rule
+	Rule ledger.JournalRule
 	// Slots is the number of journals; it must be the same at all instances and never change.
 	Slots int
 	// Writes is the number of journal writes per second that this instance may make.
@@ -69,8 +69,8 @@
 		return errors.New("once: slots, group, queue and backlog must be at least 1")
 	case c.Writes <= 0 || c.StoreTimeout <= 0 || c.OwnerTimeout <= 0:
 		return errors.New("once: write rate, store timeout and owner timeout must be positive")
-	case c.Rule.Bytes < 1 || c.Rule.Bytes > plat.ValueLimit:
-		return fmt.Errorf("once: journal limit of %d bytes is out of range", c.Rule.Bytes)
+	case c.Rule.MaxBytes < 1 || c.Rule.MaxBytes > plat.ValueLimit:
+		return fmt.Errorf("once: journal limit of %d bytes is out of range", c.Rule.MaxBytes)
 	}
 	return nil
 }
