--- a/io/gossip/bundle.go
+++ b/io/gossip/bundle.go
@@ -12,38 +12,40 @@
 	"endivehitch/io/plat"
 )
 
-// packFrom is the size in bytes from which compression pays.
-const packFrom = 1 << 10
+// compressionThreshold is the size in bytes from which a value is compressed; smaller values gain
+// little.
+const compressionThreshold = 1 << 10
 
-// bundle is the configuration's entries up to a revision; it is immutable.
-type bundle struct {
+// entrySet holds the latest entry of each key of the configuration up to a revision; it is
+// immutable.
+type entrySet struct {
 	revision int64
-	items    policy.Table[string, wireEntry]
+	entries  policy.Table[string, wireEntry]
 }
 
-// wireEntry is an entry as instances send it.
+// wireEntry is a configuration entry as instances send it to each other.
 type wireEntry struct {
 	Key      string
 	Revision int64
 	Value    []byte
-	// Packed says that Value is compressed.
+	// Packed reports that Value is compressed with DEFLATE.
 	Packed bool
 }
 
-// With returns a bundle that holds the entry, unless it has a newer one for the key.
-func (b bundle) With(e wireEntry) bundle {
-	if have, ok := b.items.Get(e.Key); ok && have.Revision >= e.Revision {
-		return b
+// With returns a set that holds the entry, unless it has the same or a newer one for the key.
+func (s entrySet) With(e wireEntry) entrySet {
+	if known, ok := s.entries.Get(e.Key); ok && known.Revision >= e.Revision {
+		return s
 	}
-	b.items = b.items.With(e.Key, e)
-	b.revision = max(b.revision, e.Revision)
-	return b
+	s.entries = s.entries.With(e.Key, e)
+	s.revision = max(s.revision, e.Revision)
+	return s
 }
 
-// after returns the entries of later revisions, in the order of revisions.
-func (b bundle) after(revision int64) []wireEntry {
+// entriesAfter returns the entries with later revisions, ordered by revision.
+func (s entrySet) entriesAfter(revision int64) []wireEntry {
 	var later []wireEntry
-	for _, e := range b.items.All() {
+	for _, e := range s.entries.All() {
 		if e.Revision > revision {
 			later = append(later, e)
 		}
@@ -52,28 +54,32 @@
 	return later
 }
 
-func pack(e plat.Entry) (wireEntry, error) {
+// encodeEntry encodes an entry of the key-value service for other instances and compresses a large
+// value.
+func encodeEntry(e plat.Entry) (wireEntry, error) {
 	w := wireEntry{Key: e.Key, Revision: e.Revision, Value: e.Value}
-	if len(e.Value) < packFrom {
+	if len(e.Value) < compressionThreshold {
 		return w, nil
 	}
-	var out bytes.Buffer
-	packer, err := flate.NewWriter(&out, flate.DefaultCompression)
+	var compressed bytes.Buffer
+	compressor, err := flate.NewWriter(&compressed, flate.DefaultCompression)
 	if err != nil {
-		return wireEntry{}, fmt.Errorf("make compressor: %w", err)
+		return wireEntry{}, fmt.Errorf("create compressor: %w", err)
 	}
-	if _, err := packer.Write(e.Value); err != nil {
+	if _, err := compressor.Write(e.Value); err != nil {
 		return wireEntry{}, fmt.Errorf("compress %s: %w", e.Key, err)
 	}
-	if err := packer.Close(); err != nil {
+	if err := compressor.Close(); err != nil {
 		return wireEntry{}, fmt.Errorf("compress %s: %w", e.Key, err)
 	}
-	w.Value = out.Bytes()
+	w.Value = compressed.Bytes()
 	w.Packed = true
 	return w, nil
 }
 
-func (w wireEntry) unpack() (plat.Entry, error) {
+// decode returns the entry with its value decompressed; a value larger than the key-value service
+// allows is an error.
+func (w wireEntry) decode() (plat.Entry, error) {
 	e := plat.Entry{Key: w.Key, Revision: w.Revision, Value: w.Value}
 	if !w.Packed {
 		return e, nil
@@ -83,7 +89,7 @@
 		return plat.Entry{}, fmt.Errorf("decompress %s: %w", w.Key, err)
 	}
 	if len(plain) > plat.ValueLimit {
-		return plat.Entry{}, fmt.Errorf("decompress %s: more than %d bytes", w.Key, plat.ValueLimit)
+		return plat.Entry{}, fmt.Errorf("decompress %s: value exceeds %d bytes", w.Key, plat.ValueLimit)
 	}
 	e.Value = plain
 	return e, nil
--- a/io/gossip/gossip.go
+++ b/io/gossip/gossip.go
@@ -19,63 +19,64 @@
 	"endivehitch/io/plat"
 )
 
-const defaultListEvery = 30 * time.Second
+const defaultListInterval = 30 * time.Second
 
-// Control is the control loop as workers use it.
+// Control gives access to the control loop.
 type Control interface {
 	// Snapshot returns the latest state.
 	Snapshot() state.State
-	// Do hands a command to the loop and returns once its state is published.
+	// Do runs a command in the loop and returns once the resulting state is published.
 	Do(ctx context.Context, c loop.Command[state.State, state.Effect]) error
 }
 
-// Config sets up a Gossip.
+// Config configures a Gossip.
 type Config struct {
 	Control   Control
 	Caller    peer.Caller
 	Registrar peer.Registrar
 	// List is the platform's instance list.
 	List plat.InstanceList
-	// Store holds the configuration's entries under the prefix.
+	// Store is the key-value service; it holds the configuration's entries under Prefix.
 	Store  plat.Reader
 	Prefix string
-	// Decode turns the entries that changed, in the order of revisions, into what is to be put in
-	// force. Where it returns an error, the command holds what could be decoded. The command's own
-	// revision is set from the entries.
+	// Decode turns the changed entries, ordered by revision, into the command that puts them in force.
+	// If it returns an error, the command holds the entries that could be decoded. The caller sets the
+	// command's Revision and Rejected fields.
 	Decode func(changed []plat.Entry) (cmds.Spread, error)
 	Timing fleet.Timing
-	// ListEvery is how often the instance list is read; zero means the default.
+	// ListEvery is the time between reads of the instance list; zero means 30 s.
 	ListEvery time.Duration
-	// Seed makes the random choices repeatable.
+	// Seed makes the random choices reproducible.
 	Seed uint64
 }
 
-// Gossip is one instance's part in the membership and in the spread of the configuration.
+// Gossip runs membership and the dissemination of the configuration for one instance.
 type Gossip struct {
-	member   *member
-	spread   *spread
-	push     chan struct{}
-	farewell chan struct{}
+	membership   *membership
+	disseminator *disseminator
+	// configChanged and leaving hold at most one signal each.
+	configChanged chan struct{}
+	leaving       chan struct{}
 }
 
-// New registers the methods for other instances and returns a Gossip that does not yet run.
-func New(c Config) (*Gossip, error) {
-	if err := c.check(); err != nil {
+// New registers the methods that other instances call and returns a Gossip that is not running yet.
+func New(config Config) (*Gossip, error) {
+	if err := config.check(); err != nil {
 		return nil, err
 	}
-	if c.ListEvery == 0 {
-		c.ListEvery = defaultListEvery
+	if config.ListEvery == 0 {
+		config.ListEvery = defaultListInterval
 	}
-	rnd := &source{rnd: rand.New(rand.NewPCG(c.Seed, 1))}
-	listed := make(chan struct{})
+	rnd := &lockedRand{rnd: rand.New(rand.NewPCG(config.Seed, 1))}
+	listRead := make(chan struct{})
 	g := &Gossip{
-		member:   &member{Config: c, rnd: rnd, listed: listed},
-		spread:   newSpread(c, rnd, listed),
-		push:     make(chan struct{}, 1),
-		farewell: make(chan struct{}, 1),
+		membership:    &membership{Config: config, rnd: rnd, listRead: listRead},
+		disseminator:  newDisseminator(config, rnd, listRead),
+		configChanged: make(chan struct{}, 1),
+		leaving:       make(chan struct{}, 1),
 	}
-	if err := errors.Join(g.member.serve(c.Registrar), g.spread.serve(c.Registrar)); err != nil {
-		return nil, fmt.Errorf("offer methods: %w", err)
+	if err := errors.Join(g.membership.serve(config.Registrar), g.disseminator.serve(config.Registrar)); err != nil {
+		return nil, fmt.Errorf("register gossip methods: %w", err)
 	}
 	return g, nil
 }
@@ -83,61 +84,65 @@
 func (c Config) check() error {
 	switch {
 	case c.Control == nil:
-		return errors.New("gossip: no control loop")
+		return errors.New("gossip: Control is not set")
 	case c.Caller == nil || c.Registrar == nil:
-		return errors.New("gossip: no transport")
+		return errors.New("gossip: Caller or Registrar is not set")
 	case c.List == nil:
-		return errors.New("gossip: no instance list")
+		return errors.New("gossip: List is not set")
 	case c.Store == nil || c.Decode == nil:
-		return errors.New("gossip: no configuration store")
+		return errors.New("gossip: Store or Decode is not set")
 	case c.Timing.Period <= 0 || c.Timing.Rotation <= 0 || c.Timing.Reconnect < 1:
-		return errors.New("gossip: incomplete timing")
+		return errors.New("gossip: Timing needs positive Period, Rotation and Reconnect")
 	}
 	return nil
 }
 
-// Handle takes an effect of the control loop that concerns the fleet; it never blocks.
+// Handle carries out an effect of the control loop that concerns the fleet and ignores all others;
+// it never blocks.
 func (g *Gossip) Handle(e state.Effect) {
 	switch e := e.(type) {
 	case state.Announce:
-		signal(g.push)
+		signal(g.configChanged)
 	case state.Farewell:
-		signal(g.farewell)
+		signal(g.leaving)
 	case state.Behind:
-		g.spread.want(e)
+		g.disseminator.requestPull(e)
 	}
 }
 
-// Offer puts entries in force that were read from the key-value service elsewhere in this process.
-func (g *Gossip) Offer(ctx context.Context, entries ...plat.Entry) error {
-	return g.spread.offer(ctx, entries)
+// Install puts entries of the key-value service in force that this process has read or written
+// outside of its own watch.
+func (g *Gossip) Install(ctx context.Context, entries ...plat.Entry) error {
+	return g.disseminator.installEntries(ctx, entries)
 }
 
-// Run takes part in the fleet until the context ends.
+// Run runs the protocols until the context ends.
 func (g *Gossip) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
-	group.Go(func() error { return g.member.run(ctx) })
-	group.Go(func() error { return g.spread.run(ctx) })
-	group.Go(func() error { return g.announce(ctx) })
+	group.Go(func() error { return g.membership.run(ctx) })
+	group.Go(func() error { return g.disseminator.run(ctx) })
+	group.Go(func() error { return g.sendNotices(ctx) })
 	if err := group.Wait(); err != nil && ctx.Err() == nil {
-		return fmt.Errorf("take part in the fleet: %w", err)
+		return fmt.Errorf("run gossip: %w", err)
 	}
 	return nil
 }
 
-func (g *Gossip) announce(ctx context.Context) error {
+// sendNotices sends new configurations and the departure notice without waiting for the next probe.
+func (g *Gossip) sendNotices(ctx context.Context) error {
 	for {
 		select {
-		case <-g.push:
-			g.member.push(ctx)
-		case <-g.farewell:
-			g.member.bid(ctx)
+		case <-g.configChanged:
+			g.membership.pushConfig(ctx)
+		case <-g.leaving:
+			g.membership.sendDepartureNotice(ctx)
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
+// signal leaves a signal in the channel unless one is pending.
 func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
@@ -145,16 +150,16 @@
 	}
 }
 
-// source is randomness for several goroutines.
-type source struct {
+// lockedRand is a source of random numbers that several goroutines can use.
+type lockedRand struct {
 	mu  sync.Mutex
 	rnd *rand.Rand
 }
 
-var _ policy.Rand = (*source)(nil)
+var _ policy.Rand = (*lockedRand)(nil)
 
 // IntN returns a number from 0 to n-1.
-func (s *source) IntN(n int) int {
+func (s *lockedRand) IntN(n int) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.rnd.IntN(n)
--- a/io/gossip/measure_test.go
+++ b/io/gossip/measure_test.go
@@ -14,11 +14,12 @@
 	"endivehitch/io/fakes"
 )
 
-// documentLines makes a document of about 64 KB.
+// documentLines is the number of lines that makes a document of about 64 KB.
 const documentLines = 1000
 
-// inBubble runs the function in virtual time, which the testing package offers to tests only.
-func inBubble(b *testing.B, f func(t *testing.T)) {
+// runInVirtualTime runs the function with a virtual clock. It wraps the function in a test, because
+// synctest runs tests but no benchmarks.
+func runInVirtualTime(b *testing.B, f func(t *testing.T)) {
 	b.Helper()
 	test := testing.InternalTest{Name: b.Name(), F: func(t *testing.T) { synctest.Test(t, f) }}
 	every := func(string, string) (bool, error) { return true, nil }
@@ -36,9 +37,9 @@
 	return text.String()
 }
 
-func (r *rig) traffic() fakes.Traffic {
+func (f *fixture) traffic() fakes.Traffic {
 	var sum fakes.Traffic
-	for _, p := range r.processes {
+	for _, p := range f.processes {
 		t := p.port.Sent()
 		sum.Messages += t.Messages
 		sum.Bytes += t.Bytes
@@ -46,7 +47,7 @@
 	return sum
 }
 
-func processorTime() time.Duration {
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		return 0
@@ -54,22 +55,25 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// until returns how long it takes until so many instances have the revision in force.
-func (r *rig) until(revision int64, instances int) time.Duration {
-	begun := time.Now()
-	for r.inForce(revision) < instances && time.Since(begun) < time.Minute {
+// awaitInForce waits until that many instances have the revision in force, at most a minute, and
+// returns how long that took.
+func (f *fixture) awaitInForce(revision int64, instances int) time.Duration {
+	start := time.Now()
+	for f.countInForce(revision) < instances && time.Since(start) < time.Minute {
 		time.Sleep(10 * time.Millisecond)
 	}
-	return time.Since(begun)
+	return time.Since(start)
 }
 
-type measured struct {
-	n            int
+// measurement is the result of one run: the traffic of all instances and the times until a change
+// is in force.
+type measurement struct {
+	instances    int
 	steady       fakes.Traffic
 	change       fakes.Traffic
-	processor    time.Duration
-	most, all    time.Duration
-	worst        time.Duration
+	cpu          time.Duration
+	to99, toAll  time.Duration
+	maxToAll     time.Duration
 	watches      int
 	readsAtStart int
 }
@@ -81,69 +85,70 @@
 	changePause = 10 * time.Second
 )
 
-func measureSpread(t *testing.T, n, readers, lossPercent int) measured {
-	r := newRigWith(t, n, readers)
-	defer r.stop()
+// measureSpread runs a fleet without changes first and then with a sequence of document changes.
+func measureSpread(t *testing.T, n, readers, lossPercent int) measurement {
+	fx := newFixtureWithReaders(t, n, readers)
+	defer fx.stop()
 	var sent atomic.Int64
-	r.mesh.Set(func(from, to value.Instance) fakes.Fate {
+	fx.mesh.Set(func(from, to value.Instance) fakes.Fate {
 		f := latency(from, to)
 		f.LoseRequest = int(sent.Add(1)*37%100) < lossPercent
 		return f
 	})
-	r.platform.put("document", document(0), 1)
+	fx.platform.putEntry("document", document(0), 1)
 	time.Sleep(settleTime)
-	m := measured{n: n, watches: r.platform.watches, readsAtStart: r.platform.reads}
-	before, processor := r.traffic(), processorTime()
+	result := measurement{instances: n, watches: fx.platform.watches, readsAtStart: fx.platform.reads}
+	before, cpuBefore := fx.traffic(), cpuTime()
 	time.Sleep(steadyTime)
-	m.processor = processorTime() - processor
-	m.steady = less(r.traffic(), before)
-	before = r.traffic()
+	result.cpu = cpuTime() - cpuBefore
+	result.steady = subtract(fx.traffic(), before)
+	before = fx.traffic()
 	for i := range changes {
 		revision := int64(i + 2)
-		r.platform.put("document", document(uint64(revision)), revision)
-		m.most = max(m.most, r.until(revision, n*99/100))
-		m.all = r.until(revision, n) + m.most
-		m.worst = max(m.worst, m.all)
+		fx.platform.putEntry("document", document(uint64(revision)), revision)
+		result.to99 = max(result.to99, fx.awaitInForce(revision, n*99/100))
+		result.toAll = fx.awaitInForce(revision, n) + result.to99
+		result.maxToAll = max(result.maxToAll, result.toAll)
 		time.Sleep(changePause)
 	}
-	m.change = less(r.traffic(), before)
-	return m
+	result.change = subtract(fx.traffic(), before)
+	return result
 }
 
-func less(a, b fakes.Traffic) fakes.Traffic {
+func subtract(a, b fakes.Traffic) fakes.Traffic {
 	return fakes.Traffic{Messages: a.Messages - b.Messages, Bytes: a.Bytes - b.Bytes}
 }
 
-func (m measured) report(b *testing.B) {
-	nodeSeconds := float64(m.n) * steadyTime.Seconds()
+func (m measurement) report(b *testing.B) {
+	nodeSeconds := float64(m.instances) * steadyTime.Seconds()
 	b.ReportMetric(0, "ns/op")
-	b.ReportMetric(m.most.Seconds(), "s/99%")
-	b.ReportMetric(m.worst.Seconds(), "s/all")
+	b.ReportMetric(m.to99.Seconds(), "s/99%")
+	b.ReportMetric(m.maxToAll.Seconds(), "s/all")
 	b.ReportMetric(float64(m.steady.Messages)/nodeSeconds, "msg/node/s")
 	b.ReportMetric(float64(m.steady.Bytes)/nodeSeconds, "B/node/s")
-	b.ReportMetric(100*m.processor.Seconds()/nodeSeconds, "%core/node")
+	b.ReportMetric(100*m.cpu.Seconds()/nodeSeconds, "%core/node")
 	during := nodeSeconds * changes * changePause.Seconds() / steadyTime.Seconds()
 	rest := float64(m.steady.Bytes) / nodeSeconds * during
-	b.ReportMetric((float64(m.change.Bytes)-rest)/float64(m.n*changes), "B/node/change")
+	b.ReportMetric((float64(m.change.Bytes)-rest)/float64(m.instances*changes), "B/node/change")
 	b.ReportMetric(float64(m.watches), "watches")
-	b.ReportMetric(float64(m.watches)/float64(m.n), "watches/baseline")
+	b.ReportMetric(float64(m.watches)/float64(m.instances), "watches/baseline")
 }
 
-func run(b *testing.B, n, readers, lossPercent int) {
+func runMeasurement(b *testing.B, n, readers, lossPercent int) {
 	b.Helper()
-	var m measured
+	var result measurement
 	for range b.N {
-		inBubble(b, func(t *testing.T) { m = measureSpread(t, n, readers, lossPercent) })
+		runInVirtualTime(b, func(t *testing.T) { result = measureSpread(t, n, readers, lossPercent) })
 	}
-	m.report(b)
+	result.report(b)
 }
 
-// BenchmarkMeasureSpread measures the spread of a 64 KB document; the baseline is
-// that every instance watches the service, which needs as many watches as instances.
+// BenchmarkMeasureSpread measures the dissemination of a 64 KB document. In the baseline every
+// instance watches the key-value service itself, which takes as many watches as instances.
 func BenchmarkMeasureSpread(b *testing.B) {
 	for _, n := range []int{7, 100, 500, 1000, 2300} {
-		b.Run(fmt.Sprintf("Instances%d", n), func(b *testing.B) { run(b, n, 2, 0) })
+		b.Run(fmt.Sprintf("Instances%d", n), func(b *testing.B) { runMeasurement(b, n, 2, 0) })
 	}
-	b.Run("Instances1000Loss2Percent", func(b *testing.B) { run(b, 1000, 2, 2) })
-	b.Run("BaselineAllWatch500", func(b *testing.B) { run(b, 500, 500, 0) })
+	b.Run("Instances1000Loss2Percent", func(b *testing.B) { runMeasurement(b, 1000, 2, 2) })
+	b.Run("BaselineAllWatch500", func(b *testing.B) { runMeasurement(b, 500, 500, 0) })
 }
--- a/io/gossip/member.go
+++ b/io/gossip/member.go
@@ -17,38 +17,41 @@
 
 const (
 	listTimeout = 5 * time.Second
-	// rollEvery is how many reads of the instance list pass between reads of a peer's whole membership.
-	rollEvery = 20
-	// commandTimeout bounds how long a handler waits for the control loop.
+	// listReadsPerMembershipFetch is how many reads of the instance list there are for each fetch of a
+	// peer's complete membership list.
+	listReadsPerMembershipFetch = 20
+	// commandTimeout bounds how long an RPC handler waits for the control loop.
 	commandTimeout = 5 * time.Second
 )
 
-// member is one instance's part in the membership protocol.
-type member struct {
+// membership runs the membership protocol for one instance: probes, membership updates and reads of
+// the platform's instance list.
+type membership struct {
 	Config
-	rnd *source
-	// listed is closed once the instance list has been asked for the first time.
-	listed chan struct{}
+	rnd *lockedRand
+	// listRead is closed after the first attempt to read the instance list.
+	listRead chan struct{}
 }
 
-func (m *member) serve(r peer.Registrar) error {
+func (m *membership) serve(r peer.Registrar) error {
 	return errors.Join(
-		methodPing.Serve(r, m.answerPing),
-		methodProbe.Serve(r, m.answerProbe),
-		methodRoll.Serve(r, m.answerRoll),
-		methodWhere.Serve(r, m.answerWhere),
+		methodPing.Serve(r, m.handlePing),
+		methodProbe.Serve(r, m.handleProbe),
+		methodMembershipList.Serve(r, m.handleMembershipList),
+		methodStatus.Serve(r, m.handleStatus),
 	)
 }
 
-func (m *member) run(ctx context.Context) error {
+func (m *membership) run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
-	g.Go(func() error { return m.every(ctx, m.Timing.Period, m.round) })
-	g.Go(func() error { return m.readList(ctx) })
+	g.Go(func() error { return m.runEvery(ctx, m.Timing.Period, m.probeNext) })
+	g.Go(func() error { return m.followInstanceList(ctx) })
 	return g.Wait()
 }
 
-// every spreads the rounds of different instances over the period.
-func (m *member) every(ctx context.Context, period time.Duration, round func(context.Context) error) error {
+// runEvery calls work once per period. The first call comes after a random part of the period, so
+// that the calls of different instances are spread over it.
+func (m *membership) runEvery(ctx context.Context, period time.Duration, work func(context.Context) error) error {
 	timer := time.NewTimer(time.Duration(m.rnd.IntN(int(period))))
 	defer timer.Stop()
 	for {
@@ -58,82 +61,87 @@
 		case <-timer.C:
 		}
 		timer.Reset(period)
-		if err := round(ctx); err != nil {
+		if err := work(ctx); err != nil {
 			return err
 		}
 	}
 }
 
-func (m *member) readList(ctx context.Context) error {
+// followInstanceList reads the instance list at once and then at every interval.
+func (m *membership) followInstanceList(ctx context.Context) error {
 	reads := 0
-	read := func(ctx context.Context) error {
-		if err := m.takeList(ctx); err != nil {
+	readOnce := func(ctx context.Context) error {
+		if err := m.syncInstanceList(ctx); err != nil {
 			return err
 		}
-		if reads%rollEvery == 0 {
-			m.readRoll(ctx)
+		if reads%listReadsPerMembershipFetch == 0 {
+			m.fetchMembershipList(ctx)
 		}
 		reads++
 		return nil
 	}
-	if err := read(ctx); err != nil {
+	if err := readOnce(ctx); err != nil {
 		return err
 	}
-	close(m.listed)
-	return m.every(ctx, m.ListEvery, read)
+	close(m.listRead)
+	return m.runEvery(ctx, m.ListEvery, readOnce)
 }
 
-func (m *member) takeList(ctx context.Context) error {
+func (m *membership) syncInstanceList(ctx context.Context) error {
 	bounded, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
 	list, err := m.List.Instances(bounded)
 	if err != nil {
-		// A list that is away changes nothing: instances tell of each other.
+		// Without the list, membership still works: instances learn of each other by gossip.
 		return nil
 	}
 	if err := m.Control.Do(ctx, cmds.SyncInstances{Instances: list}); err != nil {
-		return fmt.Errorf("take in instance list: %w", err)
+		return fmt.Errorf("apply instance list: %w", err)
 	}
 	return nil
 }
 
-// readRoll learns from one peer what it knows of all others; a failure is mended by the next read.
-func (m *member) readRoll(ctx context.Context) {
+// fetchMembershipList fetches one peer's complete membership list. A failure is ignored, because
+// the next fetch makes up for it.
+func (m *membership) fetchMembershipList(ctx context.Context) {
 	to, ok := query.ProbeTarget(m.Control.Snapshot(), m.Timing, m.rnd, time.Now())
 	if !ok {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
-	roll, err := methodRoll.Call(ctx, m.Caller, to, wireRoll{})
+	reply, err := methodMembershipList.Call(ctx, m.Caller, to, wireRoll{})
 	if err != nil {
 		return
 	}
-	_ = m.Control.Do(ctx, cmds.Heard{From: roll.From.value(), News: decodeNews(roll.News), Roll: true})
+	_ = m.Control.Do(ctx, cmds.Heard{From: reply.From.value(), News: decodeUpdates(reply.News), Roll: true})
 }
 
-// bid tells the whole view at once that the instance is leaving.
-func (m *member) bid(ctx context.Context) {
-	m.tell(ctx, query.View(m.Control.Snapshot(), m.Timing, time.Now()))
+// sendDepartureNotice pings all instances of the view at once; the ping carries this instance's
+// leaving state.
+func (m *membership) sendDepartureNotice(ctx context.Context) {
+	m.pingAll(ctx, query.View(m.Control.Snapshot(), m.Timing, time.Now()))
 }
 
-// push tells a few instances at once of the configuration that is in force here.
-func (m *member) push(ctx context.Context) {
-	m.tell(ctx, query.PushTargets(m.Control.Snapshot(), m.Timing, m.rnd, time.Now()))
+// pushConfig pings a few instances of the view at once; the ping carries the revision in force
+// here, and a receiver that has an older one pulls it.
+func (m *membership) pushConfig(ctx context.Context) {
+	m.pingAll(ctx, query.PushTargets(m.Control.Snapshot(), m.Timing, m.rnd, time.Now()))
 }
 
-func (m *member) tell(ctx context.Context, to []value.Instance) {
+func (m *membership) pingAll(ctx context.Context, to []value.Instance) {
 	var g sync.WaitGroup
 	for _, i := range to {
-		// What is lost is repaired by the next probes.
+		// Later probes make up for a ping that is lost.
 		g.Go(func() { _ = m.ping(ctx, i) })
 	}
 	g.Wait()
 }
 
-func (m *member) hear(ctx context.Context, p wirePing) error {
-	if err := m.Control.Do(ctx, cmds.Heard{From: p.From.value(), News: decodeNews(p.News)}); err != nil {
-		return fmt.Errorf("take in message: %w", err)
+// receive applies another instance's gossip message to the control state.
+func (m *membership) receive(ctx context.Context, p wirePing) error {
+	if err := m.Control.Do(ctx, cmds.Heard{From: p.From.value(), News: decodeUpdates(p.News)}); err != nil {
+		return fmt.Errorf("apply gossip message: %w", err)
 	}
 	return nil
 }
--- a/io/gossip/member_test.go
+++ b/io/gossip/member_test.go
@@ -14,88 +14,88 @@
 	"endivehitch/io/fakes"
 )
 
-func TestHealthyFleetStaysSettled(t *testing.T) {
+func TestHealthyFleetSuspectsNoInstance(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, 7)
+		fx := newFixture(t, 7)
 		time.Sleep(2 * time.Minute)
-		assert.NilError(t, r.settled())
-		for _, p := range r.processes {
-			assert.Equal(t, p.logged("InstanceSuspected"), 0)
+		assert.NilError(t, fx.checkAllLive())
+		for _, p := range fx.processes {
+			assert.Equal(t, p.countDecisions("InstanceSuspected"), 0)
 		}
 	})
 }
 
-func TestKilledInstanceIsGoneAndItsSuccessorComesIn(t *testing.T) {
+func TestKilledInstanceIsRemovedAndSuccessorAtSameAddressJoins(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, 7)
-		dead := r.processes[3]
-		r.kill(dead)
+		fx := newFixture(t, 7)
+		dead := fx.processes[3]
+		fx.kill(dead)
 		time.Sleep(20 * time.Second)
-		assert.Equal(t, r.seen(dead.self.ID, value.InstanceGone), 6)
+		assert.Equal(t, fx.countHolding(dead.self.ID, value.InstanceGone), 6)
 		slots := 0
-		for _, p := range r.processes {
+		for _, p := range fx.processes {
 			slots += len(query.OwnedSlots(p.loop.Snapshot()))
 		}
 		assert.Equal(t, slots, 256)
-		// The successor takes over the address before the list shows it.
+		// The successor has the same address and is not on the instance list yet.
 		next := dead.self
 		next.ID = "instance-3b"
-		r.processes = append(r.processes, r.start(next))
+		fx.processes = append(fx.processes, fx.start(next))
 		time.Sleep(10 * time.Second)
-		assert.NilError(t, r.settled())
+		assert.NilError(t, fx.checkAllLive())
 	})
 }
 
-func TestInstanceReplacedAtOnceIsNotMistakenForItsSuccessor(t *testing.T) {
+func TestInstanceReplacedAtOnceIsDistinguishedFromSuccessor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, 7)
-		old := r.processes[2]
-		r.kill(old)
+		fx := newFixture(t, 7)
+		old := fx.processes[2]
+		fx.kill(old)
 		next := old.self
 		next.ID = "instance-2b"
-		r.processes = append(r.processes, r.start(next))
+		fx.processes = append(fx.processes, fx.start(next))
 		time.Sleep(15 * time.Second)
-		assert.NilError(t, r.settled())
-		assert.Equal(t, r.seen(old.self.ID, value.InstanceGone), 7)
+		assert.NilError(t, fx.checkAllLive())
+		assert.Equal(t, fx.countHolding(old.self.ID, value.InstanceGone), 7)
 	})
 }
 
-func TestInstancePausedPastItsSuspicionComesBack(t *testing.T) {
+func TestInstancePausedBeyondSuspicionTimeoutRejoins(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, 7)
+		fx := newFixture(t, 7)
 		time.Sleep(5 * time.Second)
-		paused := r.processes[5]
+		paused := fx.processes[5]
 		paused.port.Pause()
 		time.Sleep(time.Minute)
-		assert.Equal(t, r.seen(paused.self.ID, value.InstanceGone), 6)
+		assert.Equal(t, fx.countHolding(paused.self.ID, value.InstanceGone), 6)
 		paused.port.Resume()
 		time.Sleep(30 * time.Second)
-		assert.NilError(t, r.settled())
-		assert.Assert(t, paused.logged("SuspicionRefuted") > 0)
-		assert.Equal(t, paused.logged("InstanceSuspected"), 0, "the paused instance accused others")
+		assert.NilError(t, fx.checkAllLive())
+		assert.Assert(t, paused.countDecisions("SuspicionRefuted") > 0)
+		assert.Equal(t, paused.countDecisions("InstanceSuspected"), 0, "the paused instance suspected others")
 	})
 }
 
-func TestHalfCutInstanceIsReachedThroughOthers(t *testing.T) {
+func TestIndirectProbesKeepInstanceLiveWhenOneLinkIsCut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, 7)
-		a, b := r.processes[0].self.ID, r.processes[1].self.ID
-		r.mesh.Set(func(from, to value.Instance) fakes.Fate {
+		fx := newFixture(t, 7)
+		a, b := fx.processes[0].self.ID, fx.processes[1].self.ID
+		fx.mesh.Set(func(from, to value.Instance) fakes.Fate {
 			f := latency(from, to)
 			f.LoseRequest = from.ID == a && to.ID == b || from.ID == b && to.ID == a
 			return f
 		})
 		time.Sleep(time.Minute)
-		assert.NilError(t, r.settled())
-		assert.Equal(t, r.processes[0].logged("InstanceGone"), 0)
+		assert.NilError(t, fx.checkAllLive())
+		assert.Equal(t, fx.processes[0].countDecisions("InstanceGone"), 0)
 	})
 }
 
-func TestLossDelayAndDuplicatesKillNoOne(t *testing.T) {
+func TestMessageLossDelayAndDuplicationRemoveNoInstance(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, 12)
+		fx := newFixture(t, 12)
 		var count atomic.Int64
-		r.mesh.Set(func(from, to value.Instance) fakes.Fate {
+		fx.mesh.Set(func(from, to value.Instance) fakes.Fate {
 			n := count.Add(1)
 			f := latency(from, to)
 			f.LoseRequest = n%20 == 0
@@ -104,43 +104,44 @@
 			return f
 		})
 		time.Sleep(time.Minute)
-		for _, p := range r.processes {
-			assert.Equal(t, p.logged("InstanceGone"), 0)
+		for _, p := range fx.processes {
+			assert.Equal(t, p.countDecisions("InstanceGone"), 0)
 		}
 	})
 }
 
-func TestCutBetweenFailureDomainsHeals(t *testing.T) {
+func TestPartitionBetweenFailureDomainsHeals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, 12)
+		fx := newFixture(t, 12)
 		apart := func(i value.Instance) bool { return i.FailureDomain == "domain-1" }
-		r.mesh.Set(func(from, to value.Instance) fakes.Fate {
+		fx.mesh.Set(func(from, to value.Instance) fakes.Fate {
 			f := latency(from, to)
 			f.LoseRequest = apart(from) != apart(to)
 			return f
 		})
 		time.Sleep(5 * time.Minute)
-		assert.Equal(t, r.seen("instance-1", value.InstanceGone), 9)
-		assert.Equal(t, r.seen("instance-0", value.InstanceGone), 3)
-		// The configuration changes meanwhile; each side has readers of its own.
-		r.platform.put("document", "during the cut", 7)
+		assert.Equal(t, fx.countHolding("instance-1", value.InstanceGone), 9)
+		assert.Equal(t, fx.countHolding("instance-0", value.InstanceGone), 3)
+		// A change of the configuration during the partition reaches both sides, because each has readers
+		// of its own.
+		fx.platform.putEntry("document", "during the cut", 7)
 		time.Sleep(15 * time.Second)
-		assert.Equal(t, r.inForce(7), 12)
-		r.mesh.Set(latency)
+		assert.Equal(t, fx.countInForce(7), 12)
+		fx.mesh.Set(latency)
 		time.Sleep(time.Minute)
-		assert.NilError(t, r.settled())
+		assert.NilError(t, fx.checkAllLive())
 	})
 }
 
-func TestLeavingInstanceIsKnownAtOnce(t *testing.T) {
+func TestDepartureNoticeReachesAllInstancesWithinOneSecond(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, 12)
+		fx := newFixture(t, 12)
 		time.Sleep(5 * time.Second)
-		leaver := r.processes[4]
+		leaver := fx.processes[4]
 		assert.NilError(t, leaver.loop.Do(t.Context(), cmds.Leave{}))
 		time.Sleep(time.Second)
-		assert.Equal(t, r.seen(leaver.self.ID, value.InstanceLeaving), 12)
-		for _, p := range r.processes {
+		assert.Equal(t, fx.countHolding(leaver.self.ID, value.InstanceLeaving), 12)
+		for _, p := range fx.processes {
 			assert.Assert(t, !p.loop.Snapshot().Owners().Has(leaver.self.ID))
 		}
 	})
--- a/io/gossip/probe.go
+++ b/io/gossip/probe.go
@@ -13,17 +13,18 @@
 
 var errReplaced = errors.New("another instance answers at the address")
 
-// round probes one instance and lets time pass for the others.
-func (m *member) round(ctx context.Context) error {
+// probeNext advances the membership timers and probes one instance. The instance becomes suspected
+// if neither it nor a helper answers, unless this process itself was paused during the probe.
+func (m *membership) probeNext(ctx context.Context) error {
 	if err := m.Control.Do(ctx, cmds.Tick{Timing: m.Timing}); err != nil {
-		return fmt.Errorf("let time pass: %w", err)
+		return fmt.Errorf("advance membership timers: %w", err)
 	}
-	begun := time.Now()
-	target, ok := query.ProbeTarget(m.Control.Snapshot(), m.Timing, m.rnd, begun)
-	if !ok || m.reach(ctx, target) {
+	start := time.Now()
+	target, ok := query.ProbeTarget(m.Control.Snapshot(), m.Timing, m.rnd, start)
+	if !ok || m.probe(ctx, target) {
 		return nil
 	}
-	if ctx.Err() != nil || m.Timing.Overslept(begun, time.Now()) {
+	if ctx.Err() != nil || m.Timing.Overslept(start, time.Now()) {
 		return nil
 	}
 	if err := m.Control.Do(ctx, cmds.Suspect{ID: target.ID, Incarnation: target.Incarnation}); err != nil {
@@ -32,8 +33,10 @@
 	return nil
 }
 
-// reach reports whether the target need not be suspected: it, or a helper that reached it, answered.
-func (m *member) reach(ctx context.Context, target value.Instance) bool {
+// probe reports whether there is no reason to suspect the target: it answered a direct probe, a
+// helper reached it by an indirect one, or another process answered at its address and the target
+// is marked as replaced.
+func (m *membership) probe(ctx context.Context, target value.Instance) bool {
 	err := m.ping(ctx, target)
 	if err == nil {
 		return true
@@ -43,82 +46,87 @@
 		return true
 	}
 	helpers := query.Helpers(m.Control.Snapshot(), m.Timing, target.ID, m.rnd, time.Now())
-	// A helper needs the time of its own probe and of the way there and back.
+	// An indirect probe takes the helper's own probe and the round trip to the helper.
 	ctx, cancel := context.WithTimeout(ctx, 2*m.Timing.Timeout)
 	defer cancel()
-	answers := make(chan bool, len(helpers)+1)
+	results := make(chan bool, len(helpers)+1)
 	for _, h := range helpers {
 		go func() {
-			a, err := methodProbe.Call(ctx, m.Caller, h, wireProbe{Target: encodeInstance(target)})
-			answers <- err == nil && a.Reached
+			reply, err := methodProbe.Call(ctx, m.Caller, h, wireProbe{Target: encodeInstance(target)})
+			results <- err == nil && reply.Reached
 		}()
 	}
-	// The first probe may just have been lost.
-	go func() { answers <- m.ping(ctx, target) == nil }()
-	for range cap(answers) {
-		if <-answers {
+	// The direct probe is repeated, because a message of the first one may have been lost.
+	go func() { results <- m.ping(ctx, target) == nil }()
+	for range cap(results) {
+		if <-results {
 			return true
 		}
 	}
 	return false
 }
 
-// ping exchanges news with the instance.
-func (m *member) ping(ctx context.Context, to value.Instance) error {
+// ping exchanges membership updates with the instance; it returns errReplaced if the answer comes
+// from another instance at the same address.
+func (m *membership) ping(ctx context.Context, to value.Instance) error {
 	bounded, cancel := context.WithTimeout(ctx, m.Timing.Timeout)
 	defer cancel()
-	message, passed := m.message(to.ID)
-	answer, err := methodPing.Call(bounded, m.Caller, to, message)
+	message, sent := m.buildMessage(to.ID)
+	reply, err := methodPing.Call(bounded, m.Caller, to, message)
 	if err != nil {
 		return err
 	}
-	if err := m.Control.Do(ctx, passed); err != nil {
-		return fmt.Errorf("count news: %w", err)
+	if err := m.Control.Do(ctx, sent); err != nil {
+		return fmt.Errorf("count sent updates: %w", err)
 	}
-	if err := m.hear(ctx, answer); err != nil {
+	if err := m.receive(ctx, reply); err != nil {
 		return err
 	}
-	if answer.From.Instance.ID != string(to.ID) {
+	if reply.From.Instance.ID != string(to.ID) {
 		return errReplaced
 	}
 	return nil
 }
 
-// message returns what the instance tells another one, and the command that counts it.
-func (m *member) message(to value.InstanceID) (wirePing, cmds.Passed) {
-	s := m.Control.Snapshot()
-	news := query.News(s, m.Timing, to)
-	ids := make([]value.InstanceID, 0, len(news))
-	for _, n := range news {
+// buildMessage returns the gossip message for another instance and the command that counts the
+// updates in it as sent.
+func (m *membership) buildMessage(to value.InstanceID) (wirePing, cmds.Passed) {
+	snapshot := m.Control.Snapshot()
+	updates := query.News(snapshot, m.Timing, to)
+	ids := make([]value.InstanceID, 0, len(updates))
+	for _, n := range updates {
 		ids = append(ids, n.ID)
 	}
-	return wirePing{From: encodeSelf(s.Self), News: encodeNews(news)}, cmds.Passed{IDs: ids}
+	return wirePing{From: encodeSelf(snapshot.Self), News: encodeUpdates(updates)}, cmds.Passed{IDs: ids}
 }
 
-// answerPing replies only after the message is taken in, so that the sender learns a refutation at once.
-func (m *member) answerPing(p wirePing) (wirePing, error) {
+// handlePing applies the message before it builds the reply, so that the reply already refutes a
+// suspicion of this instance that the message reports.
+func (m *membership) handlePing(p wirePing) (wirePing, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), commandTimeout)
 	defer cancel()
-	if err := m.hear(ctx, p); err != nil {
+	if err := m.receive(ctx, p); err != nil {
 		return wirePing{}, err
 	}
-	answer, passed := m.message(value.InstanceID(p.From.Instance.ID))
-	if err := m.Control.Do(ctx, passed); err != nil {
-		return wirePing{}, fmt.Errorf("count news: %w", err)
+	reply, sent := m.buildMessage(value.InstanceID(p.From.Instance.ID))
+	if err := m.Control.Do(ctx, sent); err != nil {
+		return wirePing{}, fmt.Errorf("count sent updates: %w", err)
 	}
-	return answer, nil
+	return reply, nil
 }
 
-func (m *member) answerProbe(p wireProbe) (wireProbed, error) {
+// handleProbe probes the target on behalf of another instance.
+func (m *membership) handleProbe(p wireProbe) (wireProbed, error) {
 	err := m.ping(context.Background(), p.Target.value())
 	return wireProbed{Reached: err == nil}, nil
 }
 
-func (m *member) answerRoll(wireRoll) (wirePing, error) {
-	s := m.Control.Snapshot()
-	var all []value.Instance
-	for _, i := range s.Instances().All() {
-		all = append(all, i)
-	}
-	return wirePing{From: encodeSelf(s.Self), News: encodeNews(all)}, nil
+// handleMembershipList returns all instances that this one knows of.
+func (m *membership) handleMembershipList(wireRoll) (wirePing, error) {
+	snapshot := m.Control.Snapshot()
+	var members []value.Instance
+	for _, i := range snapshot.Instances().All() {
+		members = append(members, i)
+	}
+	return wirePing{From: encodeSelf(snapshot.Self), News: encodeUpdates(members)}, nil
 }
--- a/io/gossip/reader.go
+++ b/io/gossip/reader.go
@@ -13,14 +13,16 @@
 	"endivehitch/io/plat"
 )
 
-// readTimeout bounds one read of the key-value service.
+// readTimeout bounds one listing of the configuration in the key-value service.
 const readTimeout = 5 * time.Second
 
-// watchWhenReader follows the service for as long as the instance is one of its failure domain's readers.
-func (s *spread) watchWhenReader(ctx context.Context) error {
-	// An instance that knows of no others yet takes itself for a reader.
+// watchWhileReader watches the key-value service while the instance is one of its failure domain's
+// readers.
+func (d *disseminator) watchWhileReader(ctx context.Context) error {
+	// An instance that knows of no others yet counts as a reader, so the first read of the instance
+	// list comes before.
 	select {
-	case <-s.listed:
+	case <-d.listRead:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
@@ -28,81 +30,87 @@
 	defer func() { stop() }()
 	watching := false
 	for {
-		reads := query.Reads(s.Control.Snapshot(), s.Timing)
-		if reads && !watching {
-			stop = s.startWatch(ctx)
+		isReader := query.Reads(d.Control.Snapshot(), d.Timing)
+		if isReader && !watching {
+			stop = d.startWatch(ctx)
 		}
-		if !reads && watching {
+		if !isReader && watching {
 			stop()
 		}
-		watching = reads
-		if !clock.Passed(ctx, s.Timing.Period) {
+		watching = isReader
+		if !clock.Passed(ctx, d.Timing.Period) {
 			return ctx.Err()
 		}
 	}
 }
 
-// startWatch returns a function that ends the watch and waits for its end.
-func (s *spread) startWatch(ctx context.Context) func() {
+// startWatch starts the watch in the background and returns a function that stops it and waits for
+// its end.
+func (d *disseminator) startWatch(ctx context.Context) func() {
 	ctx, cancel := context.WithCancel(ctx)
 	var ended sync.WaitGroup
-	ended.Go(func() { s.watch(ctx) })
+	ended.Go(func() { d.keepWatching(ctx) })
 	return func() {
 		cancel()
 		ended.Wait()
 	}
 }
 
-// watch reads and follows the service until the context ends.
-func (s *spread) watch(ctx context.Context) {
-	backoff := policy.Backoff{First: backoffFirst, Limit: backoffLimit}
+// keepWatching reads and watches the key-value service until the context ends; it retries with
+// backoff. Only a watch that lasted longer than the maximum backoff resets the backoff.
+func (d *disseminator) keepWatching(ctx context.Context) {
+	backoff := policy.Backoff{First: initialBackoff, Limit: maxBackoff}
 	for ctx.Err() == nil {
-		begun := time.Now()
-		if err := s.follow(ctx); err == nil && time.Since(begun) > backoffLimit {
+		start := time.Now()
+		if err := d.followStore(ctx); err == nil && time.Since(start) > maxBackoff {
 			backoff = backoff.WithSuccess()
 		}
-		clock.Passed(ctx, backoff.Delay(s.rnd))
+		clock.Passed(ctx, backoff.Delay(d.rnd))
 		backoff = backoff.WithFailure()
 	}
 }
 
-// follow returns nil once the watch breaks off.
-func (s *spread) follow(ctx context.Context) error {
-	revision, err := s.read(ctx)
+// followStore reads the configuration and puts later changes in force; it returns nil when the
+// watch ends.
+func (d *disseminator) followStore(ctx context.Context) error {
+	revision, err := d.readStore(ctx)
 	if err != nil {
 		return err
 	}
-	events, err := s.Store.Watch(ctx, s.Prefix, revision+1)
+	events, err := d.Store.Watch(ctx, d.Prefix, revision+1)
 	if err != nil {
 		return fmt.Errorf("watch configuration: %w", err)
 	}
 	for e := range events {
 		if e.Deleted {
-			// What is in force stays so until something newer is accepted.
+			// A deletion does not revert anything: an entry stays in force until a newer one replaces it.
 			continue
 		}
-		_ = s.offer(ctx, []plat.Entry{e.Entry})
+		_ = d.installEntries(ctx, []plat.Entry{e.Entry})
 	}
 	return nil
 }
 
-// read takes over what the service holds and returns the service's revision.
-func (s *spread) read(ctx context.Context) (int64, error) {
+// readStore puts the entries in the key-value service in force and returns the service's revision.
+func (d *disseminator) readStore(ctx context.Context) (int64, error) {
 	bounded, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	listing, err := s.Store.List(bounded, s.Prefix)
+	listing, err := d.Store.List(bounded, d.Prefix)
 	if err != nil {
 		return 0, fmt.Errorf("read configuration: %w", err)
 	}
-	if have := s.held.Get().revision; listing.Revision < have {
-		// The command only leaves a log line: the service answers from an older state.
-		if err := s.Control.Do(ctx, cmds.Spread{Revision: listing.Revision}); err != nil {
-			return 0, fmt.Errorf("report old state: %w", err)
+	if installed := d.current.Get().revision; listing.Revision < installed {
+		// The service answers from an older state than the one installed here. The command changes
+		// nothing; it only records the decision to ignore the revision.
+		if err := d.Control.Do(ctx, cmds.Spread{Revision: listing.Revision}); err != nil {
+			return 0, fmt.Errorf("record outdated read of the configuration: %w", err)
 		}
-		// Its next changes are followed from here; older ones are ignored one by one.
+		// The watch starts at the service's older revision; each entry that is not newer than the
+		// installed revision is ignored as it arrives.
 		return listing.Revision, nil
 	}
-	// Entries that can't be decoded are reported, and the watch goes on to their successors.
-	_ = s.offer(ctx, listing.Entries)
+	// The error is ignored, so that the watch goes on to newer entries. The command records entries
+	// that can't be decoded as rejected.
+	_ = d.installEntries(ctx, listing.Entries)
 	return listing.Revision, nil
 }
--- a/io/gossip/rig_test.go
+++ b/io/gossip/rig_test.go
@@ -28,8 +28,8 @@
 
 const testPrefix = "endivehitch/production/"
 
-// platform stands for the instance list and the reading side of the key-value service.
-type platform struct {
+// fakePlatform is an instance list and the reading side of a key-value service, both in memory.
+type fakePlatform struct {
 	plat.InstanceList
 	mu       sync.Mutex
 	listed   []value.Instance
@@ -41,24 +41,25 @@
 	watches  int
 }
 
-func newPlatform() *platform {
-	return &platform{entries: make(map[string]plat.Entry), changed: make(chan struct{})}
+func newFakePlatform() *fakePlatform {
+	return &fakePlatform{entries: make(map[string]plat.Entry), changed: make(chan struct{})}
 }
 
-func (p *platform) Instances(context.Context) ([]value.Instance, error) {
+func (p *fakePlatform) Instances(context.Context) ([]value.Instance, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Clone(p.listed), nil
 }
 
-func (p *platform) list(change func([]value.Instance) []value.Instance) {
+func (p *fakePlatform) updateList(change func([]value.Instance) []value.Instance) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.listed = change(slices.Clone(p.listed))
 }
 
-// set puts the service into a state; it may also be an older one.
-func (p *platform) set(change func(p *platform)) {
+// update changes the state of the key-value service, possibly to an older one, and wakes its
+// watches.
+func (p *fakePlatform) update(change func(p *fakePlatform)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	change(p)
@@ -66,28 +67,28 @@
 	p.changed = make(chan struct{})
 }
 
-func (p *platform) put(key, text string, revision int64) {
-	p.set(func(p *platform) {
+func (p *fakePlatform) putEntry(key, text string, revision int64) {
+	p.update(func(p *fakePlatform) {
 		p.revision = revision
 		p.entries[testPrefix+key] = plat.Entry{Key: testPrefix + key, Value: []byte(text), Revision: revision}
 	})
 }
 
-func (p *platform) Get(context.Context, string) (plat.Entry, error) {
+func (p *fakePlatform) Get(context.Context, string) (plat.Entry, error) {
 	return plat.Entry{}, errors.New("not used")
 }
 
-func (p *platform) List(_ context.Context, prefix string) (plat.Listing, error) {
+func (p *fakePlatform) List(_ context.Context, prefix string) (plat.Listing, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.reads++
 	if p.down {
 		return plat.Listing{}, plat.ErrUnavailable
 	}
-	return plat.Listing{Entries: p.after(prefix, 0), Revision: p.revision}, nil
+	return plat.Listing{Entries: p.entriesAfter(prefix, 0), Revision: p.revision}, nil
 }
 
-func (p *platform) after(prefix string, revision int64) []plat.Entry {
+func (p *fakePlatform) entriesAfter(prefix string, revision int64) []plat.Entry {
 	var later []plat.Entry
 	for _, e := range p.entries {
 		if strings.HasPrefix(e.Key, prefix) && e.Revision > revision {
@@ -98,7 +99,7 @@
 	return later
 }
 
-func (p *platform) Watch(ctx context.Context, prefix string, from int64) (<-chan plat.Event, error) {
+func (p *fakePlatform) Watch(ctx context.Context, prefix string, from int64) (<-chan plat.Event, error) {
 	out := make(chan plat.Event)
 	p.mu.Lock()
 	p.watches++
@@ -107,7 +108,7 @@
 		defer close(out)
 		for {
 			p.mu.Lock()
-			later, changed, down := p.after(prefix, from-1), p.changed, p.down
+			later, changed, down := p.entriesAfter(prefix, from-1), p.changed, p.down
 			p.mu.Unlock()
 			if down {
 				return
@@ -131,21 +132,21 @@
 }
 
 func decode(changed []plat.Entry) (cmds.Spread, error) {
-	var c cmds.Spread
-	var failed error
+	var command cmds.Spread
+	var decodeErr error
 	for _, e := range changed {
 		text := string(e.Value)
 		if strings.HasPrefix(text, "broken") {
-			failed = errors.New("broken document")
+			decodeErr = errors.New("broken document")
 			continue
 		}
 		if strings.HasSuffix(e.Key, "document") {
-			c.Accepted = value.Accepted{Document: value.Document{Name: text}, Digest: digest(text), Revision: e.Revision}
+			command.Accepted = value.Accepted{Document: value.Document{Name: text}, Digest: digest(text), Revision: e.Revision}
 			continue
 		}
-		c.RollOuts = append(c.RollOuts, value.Progress{Name: value.RollOutName(e.Key), Reason: text})
+		command.RollOuts = append(command.RollOuts, value.Progress{Name: value.RollOutName(e.Key), Reason: text})
 	}
-	return c, failed
+	return command, decodeErr
 }
 
 func digest(text string) string {
@@ -153,7 +154,7 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// process is one instance.
+// process is one running instance of the fleet under test.
 type process struct {
 	self   value.Instance
 	loop   *loop.Loop[state.State, state.Effect]
@@ -161,16 +162,18 @@
 	port   *fakes.Port
 	stop   func()
 
-	mu      sync.Mutex
-	decided []state.Decided
+	mu        sync.Mutex
+	decisions []state.Decided
 }
 
-type rig struct {
+// fixture is a fleet whose instances run in the test's process and call each other in memory.
+type fixture struct {
 	t        testing.TB
-	platform *platform
+	platform *fakePlatform
 	mesh     *fakes.Mesh
 	timing   fleet.Timing
-	// base is the state that processes start from, so that large fleets share its tables.
+	// base is the initial state of all processes, so that the instances of a large fleet share its
+	// tables.
 	base      state.State
 	processes []*process
 }
@@ -184,31 +187,34 @@
 	}
 }
 
-// newRig starts n instances that the list shows; messages take a millisecond or two.
-func newRig(t testing.TB, n int) *rig {
+// newFixture starts n instances that are on the instance list. Messages are delayed as latency
+// says.
+func newFixture(t testing.TB, n int) *fixture {
 	t.Helper()
-	r := newRigWith(t, n, fleet.DefaultTiming().Readers)
-	t.Cleanup(r.stop)
-	return r
+	fx := newFixtureWithReaders(t, n, fleet.DefaultTiming().Readers)
+	t.Cleanup(fx.stop)
+	return fx
 }
 
-// newRigWith also sets how many readers each failure domain has; its caller stops it.
-func newRigWith(t testing.TB, n, readers int) *rig {
+// newFixtureWithReaders also sets how many readers each failure domain has; the caller must stop
+// the fixture.
+func newFixtureWithReaders(t testing.TB, n, readers int) *fixture {
 	t.Helper()
-	r := &rig{t: t, platform: newPlatform(), mesh: new(fakes.Mesh), timing: fleet.DefaultTiming()}
-	r.timing.Readers = readers
-	r.mesh.Set(func(from, to value.Instance) fakes.Fate { return latency(from, to) })
-	r.base = state.New(value.Instance{ID: "nobody", State: value.InstanceGone}).WithoutInstance("nobody")
+	fx := &fixture{t: t, platform: newFakePlatform(), mesh: new(fakes.Mesh), timing: fleet.DefaultTiming()}
+	fx.timing.Readers = readers
+	fx.mesh.Set(func(from, to value.Instance) fakes.Fate { return latency(from, to) })
+	fx.base = state.New(value.Instance{ID: "nobody", State: value.InstanceGone}).WithoutInstance("nobody")
 	for i := range n {
-		r.platform.listed = append(r.platform.listed, instance(i))
-		r.base = r.base.WithInstance(instance(i).WithListed(true))
+		fx.platform.listed = append(fx.platform.listed, instance(i))
+		fx.base = fx.base.WithInstance(instance(i).WithListed(true))
 	}
 	for i := range n {
-		r.processes = append(r.processes, r.start(instance(i)))
+		fx.processes = append(fx.processes, fx.start(instance(i)))
 	}
-	return r
+	return fx
 }
 
+// latency delays messages by 0.3 ms within a failure domain and by 1 ms between failure domains.
 func latency(from, to value.Instance) fakes.Fate {
 	if from.FailureDomain == to.FailureDomain {
 		return fakes.Fate{Delay: 300 * time.Microsecond}
@@ -216,73 +222,74 @@
 	return fakes.Fate{Delay: time.Millisecond}
 }
 
-func (r *rig) start(self value.Instance) *process {
-	r.t.Helper()
-	p := &process{self: self, port: r.mesh.Join(self)}
-	l, err := loop.New(loop.Config[state.State, state.Effect]{
-		Initial: r.base.WithSelf(self), Now: time.Now, Mailbox: 64,
+func (f *fixture) start(self value.Instance) *process {
+	f.t.Helper()
+	proc := &process{self: self, port: f.mesh.Join(self)}
+	control, err := loop.New(loop.Config[state.State, state.Effect]{
+		Initial: f.base.WithSelf(self), Now: time.Now, Mailbox: 64,
 	})
-	assert.NilError(r.t, err)
-	p.loop = l
-	p.gossip, err = gossip.New(gossip.Config{
-		Control: l, Caller: p.port, Registrar: p.port, List: r.platform, Store: r.platform,
-		Prefix: testPrefix, Decode: decode, Timing: r.timing, Seed: uint64(len(r.processes)),
+	assert.NilError(f.t, err)
+	proc.loop = control
+	proc.gossip, err = gossip.New(gossip.Config{
+		Control: control, Caller: proc.port, Registrar: proc.port, List: f.platform, Store: f.platform,
+		Prefix: testPrefix, Decode: decode, Timing: f.timing, Seed: uint64(len(f.processes)),
 	})
-	assert.NilError(r.t, err)
+	assert.NilError(f.t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	var ended sync.WaitGroup
-	ended.Go(func() { l.Run(ctx) })
-	ended.Go(func() { _ = p.gossip.Run(ctx) })
-	ended.Go(p.work)
-	p.stop = func() {
-		p.port.Resume()
+	ended.Go(func() { control.Run(ctx) })
+	ended.Go(func() { _ = proc.gossip.Run(ctx) })
+	ended.Go(proc.handleEffects)
+	proc.stop = func() {
+		proc.port.Resume()
 		cancel()
 		ended.Wait()
 	}
-	return p
+	return proc
 }
 
-func (p *process) work() {
+func (p *process) handleEffects() {
 	for e := range p.loop.Effects() {
 		p.gossip.Handle(e)
 		if d, ok := e.(state.Decided); ok {
 			p.mu.Lock()
-			p.decided = append(p.decided, d)
+			p.decisions = append(p.decisions, d)
 			p.mu.Unlock()
 		}
 	}
 }
 
-func (p *process) logged(what string) int {
+func (p *process) countDecisions(event string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := 0
-	for _, d := range p.decided {
-		if d.What == what {
+	for _, d := range p.decisions {
+		if d.What == event {
 			n++
 		}
 	}
 	return n
 }
 
-func (r *rig) stop() {
-	for _, p := range r.processes {
+func (f *fixture) stop() {
+	for _, p := range f.processes {
 		p.stop()
 	}
-	r.mesh.Drain()
+	f.mesh.Drain()
 }
 
-// kill ends the process without a word.
-func (r *rig) kill(p *process) {
-	r.mesh.Remove(p.self.PeerAddress)
+// kill ends the process without a departure notice.
+func (f *fixture) kill(p *process) {
+	f.mesh.Remove(p.self.PeerAddress)
 	p.stop()
-	r.processes = slices.DeleteFunc(r.processes, func(q *process) bool { return q == p })
+	f.processes = slices.DeleteFunc(f.processes, func(q *process) bool { return q == p })
 }
 
-// seen returns how many of the processes hold the instance to be in the state.
-func (r *rig) seen(id value.InstanceID, s value.InstanceState) int {
+// countHolding returns how many processes consider the instance to be in the state; an unknown
+// instance counts as gone.
+func (f *fixture) countHolding(id value.InstanceID, s value.InstanceState) int {
 	n := 0
-	for _, p := range r.processes {
+	for _, p := range f.processes {
 		i, ok := p.loop.Snapshot().Instance(id)
 		if ok && i.State == s || !ok && s == value.InstanceGone {
 			n++
@@ -291,23 +298,23 @@
 	return n
 }
 
-// settled reports whether every process holds every other one to be live.
-func (r *rig) settled() error {
-	for _, p := range r.processes {
-		for _, q := range r.processes {
+// checkAllLive returns an error unless every process considers every process to be live.
+func (f *fixture) checkAllLive() error {
+	for _, p := range f.processes {
+		for _, q := range f.processes {
 			i, ok := p.loop.Snapshot().Instance(q.self.ID)
 			if !ok || i.State != value.InstanceLive {
-				return fmt.Errorf("%s holds %s to be %q", p.self.ID, q.self.ID, i.State)
+				return fmt.Errorf("%s considers %s to be %q", p.self.ID, q.self.ID, i.State)
 			}
 		}
 	}
 	return nil
 }
 
-// inForce returns how many processes have the revision in force.
-func (r *rig) inForce(revision int64) int {
+// countInForce returns how many processes have the revision in force.
+func (f *fixture) countInForce(revision int64) int {
 	n := 0
-	for _, p := range r.processes {
+	for _, p := range f.processes {
 		if p.loop.Snapshot().Self.Revision == revision {
 			n++
 		}
--- a/io/gossip/spread.go
+++ b/io/gossip/spread.go
@@ -17,20 +17,21 @@
 )
 
 const (
-	// pullTimeout is the time that the first two pulls get; each further two get twice as much, so
-	// that a lost message is made up for soon and a large document arrives all the same.
+	// pullTimeout is the timeout of the first two pulls; it doubles after every second pull, so that a
+	// lost message is retried soon and a large document still arrives.
 	pullTimeout = time.Second
-	// pullsServed bounds the pulls that an instance answers at a time; others try elsewhere.
-	pullsServed = 8
-	// directAfter is how long an instance lags before it reads the service itself.
-	directAfter  = 10 * time.Second
-	backoffFirst = 500 * time.Millisecond
-	backoffLimit = 30 * time.Second
+	// maxServedPulls bounds the pulls that an instance serves concurrently; a rejected caller pulls
+	// from another instance.
+	maxServedPulls = 8
+	// directReadDelay is how long an instance must lag before it reads the key-value service itself.
+	directReadDelay = 10 * time.Second
+	initialBackoff  = 500 * time.Millisecond
+	maxBackoff      = 30 * time.Second
 )
 
 var (
-	errBusy  = errors.New("too many pulls at a time")
-	errEmpty = errors.New("nothing newer there")
+	errBusy         = errors.New("too many concurrent pulls")
+	errNothingNewer = errors.New("instance has no newer configuration entries")
 )
 
 // wirePull asks for the entries after a revision.
@@ -38,130 +39,135 @@
 	After int64
 }
 
+// wirePulled is the answer to wirePull.
 type wirePulled struct {
 	Entries []wireEntry
 }
 
 var methodPull = peer.Method[wirePull, wirePulled]{Name: "Spread.Pull"}
 
-// spread is one instance's part in the spread of the configuration.
-type spread struct {
+// disseminator distributes the configuration for one instance: it installs entries that it reads
+// from the key-value service or pulls from other instances, and serves them to others.
+type disseminator struct {
 	Config
-	rnd    *source
-	listed <-chan struct{}
-	held   policy.Cell[bundle]
-	wanted chan state.Behind
-	// installing is held by the one goroutine that puts entries in force.
-	installing chan struct{}
-	serving    chan struct{}
+	rnd      *lockedRand
+	listRead <-chan struct{}
+	current  policy.Cell[entrySet]
+	wanted   chan state.Behind
+	// installLock is a lock of capacity one; its holder puts entries in force.
+	installLock chan struct{}
+	pullSlots   chan struct{}
 }
 
-func newSpread(c Config, rnd *source, listed <-chan struct{}) *spread {
-	return &spread{
-		Config:     c,
-		rnd:        rnd,
-		listed:     listed,
-		wanted:     make(chan state.Behind, 1),
-		installing: make(chan struct{}, 1),
-		serving:    make(chan struct{}, pullsServed),
+func newDisseminator(c Config, rnd *lockedRand, listRead <-chan struct{}) *disseminator {
+	return &disseminator{
+		Config:      c,
+		rnd:         rnd,
+		listRead:    listRead,
+		wanted:      make(chan state.Behind, 1),
+		installLock: make(chan struct{}, 1),
+		pullSlots:   make(chan struct{}, maxServedPulls),
 	}
 }
 
-func (s *spread) serve(r peer.Registrar) error {
-	return methodPull.Serve(r, s.answerPull)
+func (d *disseminator) serve(r peer.Registrar) error {
+	return methodPull.Serve(r, d.handlePull)
 }
 
-func (s *spread) run(ctx context.Context) error {
+func (d *disseminator) run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
-	g.Go(func() error { return s.watchWhenReader(ctx) })
-	g.Go(func() error { return s.pullWhenWanted(ctx) })
+	g.Go(func() error { return d.watchWhileReader(ctx) })
+	g.Go(func() error { return d.runPulls(ctx) })
 	return g.Wait()
 }
 
-// want keeps the latest wish, as each probe repeats it for as long as the instance lags.
-func (s *spread) want(b state.Behind) {
+// requestPull asks for a pull unless one is already requested; a request that is dropped comes
+// again with the next probe for as long as the instance lags.
+func (d *disseminator) requestPull(b state.Behind) {
 	select {
-	case s.wanted <- b:
+	case d.wanted <- b:
 	default:
 	}
 }
 
-func (s *spread) pullWhenWanted(ctx context.Context) error {
+func (d *disseminator) runPulls(ctx context.Context) error {
 	for {
 		select {
-		case b := <-s.wanted:
-			s.catchUp(ctx, b)
+		case b := <-d.wanted:
+			d.catchUp(ctx, b)
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-// catchUp fetches from the instance that told of the revision, then from others, and from the
-// service only after a long lag, so that the fleet never turns to it all at once.
-func (s *spread) catchUp(ctx context.Context, b state.Behind) {
-	if b.Revision <= s.held.Get().revision {
+// catchUp pulls from the instance that announced the revision, then from other instances. It reads
+// the key-value service only after a long lag, so that the whole fleet never reads it at once.
+func (d *disseminator) catchUp(ctx context.Context, b state.Behind) {
+	if b.Revision <= d.current.Get().revision {
 		return
 	}
-	snapshot := s.Control.Snapshot()
-	others := query.PushTargets(snapshot, s.Timing, s.rnd, time.Now())
+	snapshot := d.Control.Snapshot()
+	others := query.PushTargets(snapshot, d.Timing, d.rnd, time.Now())
 	for i, from := range append([]value.Instance{b.Source}, others...) {
-		err := s.pull(ctx, from, pullTimeout<<(i/2))
+		err := d.pull(ctx, from, pullTimeout<<(i/2))
 		if err == nil || ctx.Err() != nil {
 			return
 		}
 	}
 	lagging := snapshot.Self.Lagging
-	if !lagging.IsZero() && time.Since(lagging) > directAfter {
-		_, _ = s.read(ctx)
+	if !lagging.IsZero() && time.Since(lagging) > directReadDelay {
+		_, _ = d.readStore(ctx)
 	}
 }
 
-func (s *spread) pull(ctx context.Context, from value.Instance, limit time.Duration) error {
-	bounded, cancel := context.WithTimeout(ctx, limit)
+func (d *disseminator) pull(ctx context.Context, from value.Instance, timeout time.Duration) error {
+	bounded, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	pulled, err := methodPull.Call(bounded, s.Caller, from, wirePull{After: s.held.Get().revision})
+	pulled, err := methodPull.Call(bounded, d.Caller, from, wirePull{After: d.current.Get().revision})
 	if err != nil {
 		return err
 	}
 	if len(pulled.Entries) == 0 {
-		return errEmpty
+		return errNothingNewer
 	}
-	return s.install(ctx, pulled.Entries)
+	return d.installEncoded(ctx, pulled.Entries)
 }
 
-func (s *spread) answerPull(p wirePull) (wirePulled, error) {
+// handlePull returns the entries after a revision, or errBusy if all pull slots are taken.
+func (d *disseminator) handlePull(p wirePull) (wirePulled, error) {
 	select {
-	case s.serving <- struct{}{}:
-		defer func() { <-s.serving }()
+	case d.pullSlots <- struct{}{}:
+		defer func() { <-d.pullSlots }()
 	default:
 		return wirePulled{}, errBusy
 	}
-	return wirePulled{Entries: s.held.Get().after(p.After)}, nil
+	return wirePulled{Entries: d.current.Get().entriesAfter(p.After)}, nil
 }
 
-// offer puts entries of the key-value service in force.
-func (s *spread) offer(ctx context.Context, entries []plat.Entry) error {
-	packed := make([]wireEntry, 0, len(entries))
+// installEntries puts entries that were read from the key-value service in force.
+func (d *disseminator) installEntries(ctx context.Context, entries []plat.Entry) error {
+	encoded := make([]wireEntry, 0, len(entries))
 	for _, e := range entries {
-		w, err := pack(e)
+		w, err := encodeEntry(e)
 		if err != nil {
 			return err
 		}
-		packed = append(packed, w)
+		encoded = append(encoded, w)
 	}
-	return s.install(ctx, packed)
+	return d.installEncoded(ctx, encoded)
 }
 
-// install takes over the entries that are newer than what the instance holds.
-func (s *spread) install(ctx context.Context, entries []wireEntry) error {
+// installEncoded puts those entries in force that are newer than the instance's own, and makes them
+// available to others.
+func (d *disseminator) installEncoded(ctx context.Context, entries []wireEntry) error {
 	select {
-	case s.installing <- struct{}{}:
-		defer func() { <-s.installing }()
+	case d.installLock <- struct{}{}:
+		defer func() { <-d.installLock }()
 	case <-ctx.Done():
-		return fmt.Errorf("await installation: %w", ctx.Err())
+		return fmt.Errorf("wait for concurrent installation: %w", ctx.Err())
 	}
-	old := s.held.Get()
+	old := d.current.Get()
 	next := old
 	for _, e := range entries {
 		next = next.With(e)
@@ -169,26 +175,27 @@
 	if next.revision <= old.revision {
 		return nil
 	}
-	changed, err := unpackAll(next.after(old.revision))
+	changed, err := decodeEntries(next.entriesAfter(old.revision))
 	if err != nil {
 		return err
 	}
-	// Entries that can't be decoded here are passed on all the same, as others may be able to.
-	command, broken := s.Decode(changed)
+	// Entries that can't be decoded here are still served to others, which may be able to decode them.
+	command, decodeErr := d.Decode(changed)
 	command.Revision = next.revision
-	command.Rejected = broken != nil
-	// Others may ask for the entries as soon as the command's effects are out.
-	s.held.Update(func(bundle) bundle { return next })
-	if err := s.Control.Do(ctx, command); err != nil {
+	command.Rejected = decodeErr != nil
+	// The entries are stored first, because the command's effects announce the revision and others may
+	// pull the entries at once.
+	d.current.Update(func(entrySet) entrySet { return next })
+	if err := d.Control.Do(ctx, command); err != nil {
 		return fmt.Errorf("put revision %d in force: %w", next.revision, err)
 	}
 	return nil
 }
 
-func unpackAll(list []wireEntry) ([]plat.Entry, error) {
+func decodeEntries(list []wireEntry) ([]plat.Entry, error) {
 	entries := make([]plat.Entry, 0, len(list))
 	for _, w := range list {
-		e, err := w.unpack()
+		e, err := w.decode()
 		if err != nil {
 			return nil, err
 		}
--- a/io/gossip/spread_test.go
+++ b/io/gossip/spread_test.go
@@ -18,195 +18,195 @@
 
 func TestConfigurationReachesEveryInstanceThroughFewReaders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, 40)
+		fx := newFixture(t, 40)
 		time.Sleep(5 * time.Second)
-		r.platform.put("document", strings.Repeat("a long document ", 1000), 7)
+		fx.platform.putEntry("document", strings.Repeat("a long document ", 1000), 7)
 		time.Sleep(5 * time.Second)
-		assert.Equal(t, r.inForce(7), 40)
-		r.platform.put("rollouts/big", "stage 2", 8)
+		assert.Equal(t, fx.countInForce(7), 40)
+		fx.platform.putEntry("rollouts/big", "stage 2", 8)
 		time.Sleep(5 * time.Second)
-		assert.Equal(t, r.inForce(8), 40)
-		last := r.processes[39].loop.Snapshot()
+		assert.Equal(t, fx.countInForce(8), 40)
+		last := fx.processes[39].loop.Snapshot()
 		assert.Equal(t, last.Config.Revision, int64(7))
 		progress, ok := last.Progress(testPrefix + "rollouts/big")
 		assert.Assert(t, ok)
 		assert.Equal(t, progress.Reason, "stage 2")
 		// Two readers in each of four failure domains.
-		assert.Equal(t, r.platform.watches, 8)
-		assert.Equal(t, r.platform.reads, 8)
+		assert.Equal(t, fx.platform.watches, 8)
+		assert.Equal(t, fx.platform.reads, 8)
 	})
 }
 
-func TestGapIsRepairedAfterAllPushesAreLost(t *testing.T) {
+func TestConfigurationArrivesAfterAllPushesAreLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, 12)
+		fx := newFixture(t, 12)
 		time.Sleep(5 * time.Second)
-		r.mesh.Set(func(value.Instance, value.Instance) fakes.Fate { return fakes.Fate{LoseRequest: true} })
-		r.platform.put("document", "new", 7)
+		fx.mesh.Set(func(value.Instance, value.Instance) fakes.Fate { return fakes.Fate{LoseRequest: true} })
+		fx.platform.putEntry("document", "new", 7)
 		time.Sleep(2 * time.Second)
-		r.mesh.Set(latency)
+		fx.mesh.Set(latency)
 		time.Sleep(13 * time.Second)
-		assert.Equal(t, r.inForce(7), 12)
+		assert.Equal(t, fx.countInForce(7), 12)
 	})
 }
 
-func TestLossOfOneCallInTenKeepsTheGoal(t *testing.T) {
+func TestConfigurationReachesAllInstancesAtTenPercentLoss(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, 40)
+		fx := newFixture(t, 40)
 		time.Sleep(5 * time.Second)
 		var sent atomic.Int64
-		r.mesh.Set(func(from, to value.Instance) fakes.Fate {
+		fx.mesh.Set(func(from, to value.Instance) fakes.Fate {
 			f := latency(from, to)
 			f.LoseRequest = sent.Add(1)%10 == 0
 			return f
 		})
-		r.platform.put("document", "new", 7)
+		fx.platform.putEntry("document", "new", 7)
 		time.Sleep(15 * time.Second)
-		assert.Equal(t, r.inForce(7), 40)
+		assert.Equal(t, fx.countInForce(7), 40)
 	})
 }
 
-func TestServiceThatAnswersFromAnOlderStateTurnsNoOneBack(t *testing.T) {
+func TestStoreAnsweringFromOlderStateRevertsNoInstance(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, 7)
-		r.platform.put("document", "old", 5)
+		fx := newFixture(t, 7)
+		fx.platform.putEntry("document", "old", 5)
 		time.Sleep(5 * time.Second)
-		r.platform.put("document", "new", 7)
+		fx.platform.putEntry("document", "new", 7)
 		time.Sleep(5 * time.Second)
-		// The service restarts with an older state while an instance is replaced.
-		r.platform.set(func(p *platform) { p.down = true })
-		r.kill(r.processes[6])
-		r.platform.set(func(p *platform) { p.down = false })
-		r.platform.put("document", "old", 5)
+		// The key-value service restarts with an older state while an instance is replaced.
+		fx.platform.update(func(p *fakePlatform) { p.down = true })
+		fx.kill(fx.processes[6])
+		fx.platform.update(func(p *fakePlatform) { p.down = false })
+		fx.platform.putEntry("document", "old", 5)
 		next := instance(6)
 		next.ID = "instance-6b"
-		r.processes = append(r.processes, r.start(next))
+		fx.processes = append(fx.processes, fx.start(next))
 		time.Sleep(time.Minute)
-		assert.Equal(t, r.inForce(7), 7)
+		assert.Equal(t, fx.countInForce(7), 7)
 		ignored := 0
-		for _, p := range r.processes {
+		for _, p := range fx.processes {
 			assert.Equal(t, p.loop.Snapshot().Config.Document.Name, "new")
-			ignored += p.logged("ConfigIgnored")
+			ignored += p.countDecisions("ConfigIgnored")
 		}
 		assert.Assert(t, ignored > 0)
-		r.platform.put("document", "newest", 9)
+		fx.platform.putEntry("document", "newest", 9)
 		time.Sleep(5 * time.Second)
-		assert.Equal(t, r.inForce(9), 7)
+		assert.Equal(t, fx.countInForce(9), 7)
 	})
 }
 
-func TestNewInstancesStartFromTheirPeersWhileTheServiceIsDown(t *testing.T) {
+func TestNewInstancesGetConfigurationFromPeersWhileStoreIsDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, 7)
-		r.platform.put("document", "kept", 7)
+		fx := newFixture(t, 7)
+		fx.platform.putEntry("document", "kept", 7)
 		time.Sleep(5 * time.Second)
-		r.platform.set(func(p *platform) { p.down = true })
-		// Every instance is replaced, one after another.
+		fx.platform.update(func(p *fakePlatform) { p.down = true })
+		// Replace every instance, one after another.
 		for i := range 7 {
-			r.kill(r.processes[0])
+			fx.kill(fx.processes[0])
 			next := instance(i)
 			next.ID += "b"
-			r.platform.list(func(l []value.Instance) []value.Instance {
+			fx.platform.updateList(func(l []value.Instance) []value.Instance {
 				l[i] = next
 				return l
 			})
-			r.processes = append(r.processes, r.start(next))
+			fx.processes = append(fx.processes, fx.start(next))
 			time.Sleep(5 * time.Second)
 		}
-		assert.Equal(t, r.inForce(7), 7)
-		for _, p := range r.processes {
+		assert.Equal(t, fx.countInForce(7), 7)
+		for _, p := range fx.processes {
 			assert.Equal(t, p.loop.Snapshot().Config.Document.Name, "kept")
 		}
 	})
 }
 
-func TestUndecodableDocumentLeavesTheOldOneInForceButHoldsNothingElseUp(t *testing.T) {
+func TestUndecodableDocumentIsRejectedAndOtherEntriesAreApplied(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, 12)
-		r.platform.put("document", "good", 7)
+		fx := newFixture(t, 12)
+		fx.platform.putEntry("document", "good", 7)
 		time.Sleep(5 * time.Second)
-		r.platform.set(func(p *platform) { p.down = true })
-		r.platform.put("document", "broken", 8)
-		r.platform.put("rollouts/big", "stage 2", 9)
-		r.platform.set(func(p *platform) { p.down = false })
+		fx.platform.update(func(p *fakePlatform) { p.down = true })
+		fx.platform.putEntry("document", "broken", 8)
+		fx.platform.putEntry("rollouts/big", "stage 2", 9)
+		fx.platform.update(func(p *fakePlatform) { p.down = false })
 		time.Sleep(time.Minute)
-		for _, p := range r.processes {
+		for _, p := range fx.processes {
 			s := p.loop.Snapshot()
 			assert.Equal(t, s.Config.Document.Name, "good")
 			assert.Equal(t, s.Self.Digest, digest("good"))
 			assert.Assert(t, !s.Self.Lagging.IsZero())
-			assert.Equal(t, p.logged("ConfigRejected"), 1)
+			assert.Equal(t, p.countDecisions("ConfigRejected"), 1)
 			progress, _ := s.Progress(testPrefix + "rollouts/big")
 			assert.Equal(t, progress.Reason, "stage 2")
 		}
-		r.platform.put("document", "good again", 10)
+		fx.platform.putEntry("document", "good again", 10)
 		time.Sleep(5 * time.Second)
-		for _, p := range r.processes {
+		for _, p := range fx.processes {
 			assert.Equal(t, p.loop.Snapshot().Config.Document.Name, "good again")
 			assert.Assert(t, p.loop.Snapshot().Self.Lagging.IsZero())
 		}
 	})
 }
 
-func TestPausedInstanceCatchesUpAndSaysForHowLongItLags(t *testing.T) {
+func TestPausedInstanceCatchesUpAndNoLongerLags(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, 12)
+		fx := newFixture(t, 12)
 		time.Sleep(5 * time.Second)
-		paused := r.processes[11]
+		paused := fx.processes[11]
 		paused.port.Pause()
-		r.platform.put("document", "new", 7)
+		fx.platform.putEntry("document", "new", 7)
 		time.Sleep(30 * time.Second)
-		assert.Assert(t, r.inForce(7) >= 11)
+		assert.Assert(t, fx.countInForce(7) >= 11)
 		paused.port.Resume()
 		time.Sleep(5 * time.Second)
-		assert.Equal(t, r.inForce(7), 12)
+		assert.Equal(t, fx.countInForce(7), 12)
 		assert.Assert(t, paused.loop.Snapshot().Self.Lagging.IsZero())
 	})
 }
 
-func TestReadersThatDieAreReplacedInTimeForAChange(t *testing.T) {
+func TestChangeRightAfterReadersAreKilledReachesAllInstances(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, 40)
+		fx := newFixture(t, 40)
 		time.Sleep(5 * time.Second)
 		killed := 0
-		for _, p := range slices.Clone(r.processes) {
-			if query.Reads(p.loop.Snapshot(), r.timing) {
-				r.kill(p)
+		for _, p := range slices.Clone(fx.processes) {
+			if query.Reads(p.loop.Snapshot(), fx.timing) {
+				fx.kill(p)
 				killed++
 			}
 		}
 		assert.Equal(t, killed, 8)
-		r.platform.put("document", "new", 7)
+		fx.platform.putEntry("document", "new", 7)
 		time.Sleep(6 * time.Second)
-		assert.Equal(t, r.inForce(7), 32)
+		assert.Equal(t, fx.countInForce(7), 32)
 	})
 }
 
-func TestOfferedEntrySpreadsFromTheInstanceThatWroteIt(t *testing.T) {
+func TestInstalledEntryReachesAllInstancesWhileStoreIsDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, 7)
-		r.platform.set(func(p *platform) { p.down = true })
+		fx := newFixture(t, 7)
+		fx.platform.update(func(p *fakePlatform) { p.down = true })
 		time.Sleep(5 * time.Second)
 		e := plat.Entry{Key: testPrefix + "document", Value: []byte("mine"), Revision: 7}
-		assert.NilError(t, r.processes[2].gossip.Offer(t.Context(), e))
+		assert.NilError(t, fx.processes[2].gossip.Install(t.Context(), e))
 		time.Sleep(2 * time.Second)
-		assert.Equal(t, r.inForce(7), 7)
+		assert.Equal(t, fx.countInForce(7), 7)
 	})
 }
 
-func TestSurveyTellsWhichInstanceLags(t *testing.T) {
+func TestSurveyShowsWhichInstanceLags(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, 40)
-		r.platform.put("document", "old", 5)
+		fx := newFixture(t, 40)
+		fx.platform.putEntry("document", "old", 5)
 		time.Sleep(5 * time.Second)
-		slow := r.processes[20]
+		slow := fx.processes[20]
 		slow.port.Pause()
-		r.platform.put("document", "new", 7)
+		fx.platform.putEntry("document", "new", 7)
 		time.Sleep(5 * time.Second)
-		survey := r.processes[0].gossip.Survey(t.Context())
+		survey := fx.processes[0].gossip.Survey(t.Context())
 		assert.Equal(t, len(survey), 40)
 		for _, i := range survey {
-			assert.Equal(t, i.Revision == 7, i.ID != slow.self.ID, "%s has %d", i.ID, i.Revision)
+			assert.Equal(t, i.Revision == 7, i.ID != slow.self.ID, "%s reports revision %d", i.ID, i.Revision)
 		}
 	})
 }
--- a/io/gossip/survey.go
+++ b/io/gossip/survey.go
@@ -8,52 +8,54 @@
 	"endivehitch/io/peer"
 )
 
-// surveyCalls bounds the calls that a survey has under way.
-const surveyCalls = 32
+// maxStatusCalls bounds the concurrent calls of one Survey.
+const maxStatusCalls = 32
 
+// wireWhere asks for an instance's statement about itself.
 type wireWhere struct{}
 
-var methodWhere = peer.Method[wireWhere, wireSelf]{Name: "Member.Where"}
+var methodStatus = peer.Method[wireWhere, wireSelf]{Name: "Member.Where"}
 
-// Survey asks every instance which configuration it has in force and since when it lags.
+// Survey queries every instance for the configuration it has in force and since when it lags.
 //
-// In a large fleet an instance hears so only from the few that it exchanges probes with; an
-// operator's question is rare enough for asking all. The statement of an instance that does not
-// answer is the latest one heard.
+// In a large fleet an instance receives these statements only from the few instances it exchanges
+// probes with. Operators' status queries are rare enough to call every instance. For an instance
+// that does not answer, the result holds its latest known statement.
 func (g *Gossip) Survey(ctx context.Context) []value.Instance {
-	s := g.member.Control.Snapshot()
-	var asked []value.Instance
-	for _, i := range s.Instances().All() {
-		asked = append(asked, i)
+	snapshot := g.membership.Control.Snapshot()
+	var members []value.Instance
+	for _, i := range snapshot.Instances().All() {
+		members = append(members, i)
 	}
-	places := make(chan struct{}, surveyCalls)
-	var open sync.WaitGroup
-	for n, i := range asked {
-		if i.ID == s.Self.ID || i.State == value.InstanceGone {
+	slots := make(chan struct{}, maxStatusCalls)
+	var calls sync.WaitGroup
+	for n, i := range members {
+		if i.ID == snapshot.Self.ID || i.State == value.InstanceGone {
 			continue
 		}
-		places <- struct{}{}
-		open.Go(func() {
-			defer func() { <-places }()
-			asked[n] = g.member.where(ctx, i)
+		slots <- struct{}{}
+		calls.Go(func() {
+			defer func() { <-slots }()
+			members[n] = g.membership.queryStatus(ctx, i)
 		})
 	}
-	open.Wait()
-	return asked
+	calls.Wait()
+	return members
 }
 
-// where returns the instance as known here, with its own statement about its configuration.
-func (m *member) where(ctx context.Context, i value.Instance) value.Instance {
+// queryStatus returns the instance as known here, updated with its own statement about its
+// configuration if it answers.
+func (m *membership) queryStatus(ctx context.Context, i value.Instance) value.Instance {
 	ctx, cancel := context.WithTimeout(ctx, m.Timing.Period)
 	defer cancel()
-	answer, err := methodWhere.Call(ctx, m.Caller, i, wireWhere{})
-	if err != nil || answer.Instance.ID != string(i.ID) {
+	reply, err := methodStatus.Call(ctx, m.Caller, i, wireWhere{})
+	if err != nil || reply.Instance.ID != string(i.ID) {
 		return i
 	}
-	told := answer.value()
-	return i.WithRevision(told.Revision).WithDigest(told.Digest).WithLagging(told.Lagging)
+	reported := reply.value()
+	return i.WithRevision(reported.Revision).WithDigest(reported.Digest).WithLagging(reported.Lagging)
 }
 
-func (m *member) answerWhere(wireWhere) (wireSelf, error) {
+func (m *membership) handleStatus(wireWhere) (wireSelf, error) {
 	return encodeSelf(m.Control.Snapshot().Self), nil
 }
--- a/io/gossip/wire.go
+++ b/io/gossip/wire.go
@@ -7,7 +7,7 @@
 	"endivehitch/io/peer"
 )
 
-// wireInstance is a statement about an instance.
+// wireInstance is one membership update: a statement about an instance.
 type wireInstance struct {
 	ID            string
 	FailureDomain string
@@ -16,7 +16,7 @@
 	State         string
 }
 
-// wireSelf is an instance's statement about itself.
+// wireSelf is an instance's statement about itself and the configuration it has in force.
 type wireSelf struct {
 	Instance wireInstance
 	Revision int64
@@ -24,13 +24,14 @@
 	Lagging  time.Time
 }
 
-// wirePing is both a probe and its answer.
+// wirePing is a gossip message: both a direct probe and its answer.
 type wirePing struct {
 	From wireSelf
+	// News holds the membership updates.
 	News []wireInstance
 }
 
-// wireProbe asks for a probe of another instance.
+// wireProbe asks a helper for an indirect probe of another instance.
 type wireProbe struct {
 	Target wireInstance
 }
@@ -40,13 +41,13 @@
 	Reached bool
 }
 
-// wireRoll asks for all that an instance knows of others.
+// wireRoll asks for an instance's complete membership list.
 type wireRoll struct{}
 
 var (
-	methodPing  = peer.Method[wirePing, wirePing]{Name: "Member.Ping"}
-	methodProbe = peer.Method[wireProbe, wireProbed]{Name: "Member.Probe"}
-	methodRoll  = peer.Method[wireRoll, wirePing]{Name: "Member.Roll"}
+	methodPing           = peer.Method[wirePing, wirePing]{Name: "Member.Ping"}
+	methodProbe          = peer.Method[wireProbe, wireProbed]{Name: "Member.Probe"}
+	methodMembershipList = peer.Method[wireRoll, wirePing]{Name: "Member.Roll"}
 )
 
 func encodeInstance(i value.Instance) wireInstance {
@@ -77,18 +78,18 @@
 	return w.Instance.value().WithRevision(w.Revision).WithDigest(w.Digest).WithLagging(w.Lagging)
 }
 
-func encodeNews(list []value.Instance) []wireInstance {
-	news := make([]wireInstance, len(list))
+func encodeUpdates(list []value.Instance) []wireInstance {
+	updates := make([]wireInstance, len(list))
 	for i, n := range list {
-		news[i] = encodeInstance(n)
+		updates[i] = encodeInstance(n)
 	}
-	return news
+	return updates
 }
 
-func decodeNews(list []wireInstance) []value.Instance {
-	news := make([]value.Instance, len(list))
+func decodeUpdates(list []wireInstance) []value.Instance {
+	updates := make([]value.Instance, len(list))
 	for i, n := range list {
-		news[i] = n.value()
+		updates[i] = n.value()
 	}
-	return news
+	return updates
 }
--- a/io/gossip/wire_test.go
+++ b/io/gossip/wire_test.go
@@ -18,9 +18,10 @@
 	"endivehitch/io/peer"
 )
 
-// TestMessagesPassOverNetRPC brings about what the transport in memory can't: messages that don't survive their encoding.
-func TestMessagesPassOverNetRPC(t *testing.T) {
-	p := newPlatform()
+// TestMessagesSurviveNetRPCEncoding guards against messages that lose data in their encoding, which
+// the in-memory transport of the other tests does not use.
+func TestMessagesSurviveNetRPCEncoding(t *testing.T) {
+	store := newFakePlatform()
 	ctx, cancel := context.WithCancel(t.Context())
 	var ended sync.WaitGroup
 	defer ended.Wait()
@@ -30,47 +31,47 @@
 	timing.Readers = 1
 	var listeners []net.Listener
 	for i := range 3 {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		assert.NilError(t, err)
 		self := instance(i)
 		self.FailureDomain = "guj-a"
-		self.PeerAddress = l.Addr().String()
-		listeners = append(listeners, l)
-		p.listed = append(p.listed, self)
+		self.PeerAddress = listener.Addr().String()
+		listeners = append(listeners, listener)
+		store.listed = append(store.listed, self)
 	}
 	var loops []*loop.Loop[state.State, state.Effect]
-	for i, self := range p.listed {
+	for i, self := range store.listed {
 		server, err := peer.NewServer(peer.ServerConfig{})
 		assert.NilError(t, err)
 		client, err := peer.NewClient(peer.ClientConfig{})
 		assert.NilError(t, err)
-		l, err := loop.New(loop.Config[state.State, state.Effect]{Initial: state.New(self), Now: time.Now, Mailbox: 64})
+		control, err := loop.New(loop.Config[state.State, state.Effect]{Initial: state.New(self), Now: time.Now, Mailbox: 64})
 		assert.NilError(t, err)
-		g, err := gossip.New(gossip.Config{
-			Control: l, Caller: client, Registrar: server, List: p, Store: p,
+		member, err := gossip.New(gossip.Config{
+			Control: control, Caller: client, Registrar: server, List: store, Store: store,
 			Prefix: testPrefix, Decode: decode, Timing: timing, Seed: uint64(i),
 		})
 		assert.NilError(t, err)
-		ended.Go(func() { l.Run(ctx) })
+		ended.Go(func() { control.Run(ctx) })
 		ended.Go(func() {
-			for e := range l.Effects() {
-				g.Handle(e)
+			for e := range control.Effects() {
+				member.Handle(e)
 			}
 		})
 		ended.Go(func() { _ = server.Serve(ctx, listeners[i]) })
 		ended.Go(func() {
-			_ = g.Run(ctx)
+			_ = member.Run(ctx)
 			client.Close()
 		})
-		loops = append(loops, l)
+		loops = append(loops, control)
 	}
 	text := strings.Repeat("long enough to be compressed ", 100)
-	p.put("document", text, 7)
+	store.putEntry("document", text, 7)
 	for _, l := range loops {
 		s := await(t, l, func(s state.State) bool { return s.Self.Revision == 7 })
 		assert.Equal(t, s.Config.Document.Name, text)
 		await(t, l, func(s state.State) bool {
-			for _, i := range p.listed {
+			for _, i := range store.listed {
 				known, _ := s.Instance(i.ID)
 				if known.State != value.InstanceLive || known.Revision != 7 || known.Digest != digest(text) {
 					return false
@@ -79,15 +80,18 @@
 			return true
 		})
 	}
-	p.set(func(p *platform) { assert.Equal(t, p.watches, 1, "instances watched before they knew of each other") })
+	store.update(func(p *fakePlatform) {
+		assert.Equal(t, p.watches, 1, "instances watched before they knew of each other")
+	})
 }
 
-// await returns the first state that fits; a test that waits in vain ends with the test binary's own timeout.
-func await(t *testing.T, l *loop.Loop[state.State, state.Effect], fits func(state.State) bool) state.State {
+// await returns the first state that matches; if none does, the timeout of the test binary ends the
+// test.
+func await(t *testing.T, control *loop.Loop[state.State, state.Effect], matches func(state.State) bool) state.State {
 	t.Helper()
 	for {
-		s, changed := l.Watch()
-		if fits(s) {
+		s, changed := control.Watch()
+		if matches(s) {
 			return s
 		}
 		<-changed
