--- a/io/peer/client.go
+++ b/io/peer/client.go
@@ -16,28 +16,29 @@
 
 const (
 	defaultDialTimeout = 2 * time.Second
-	backoffFirst       = 200 * time.Millisecond
-	backoffLimit       = 10 * time.Second
+	initialBackoff     = 200 * time.Millisecond
+	maxBackoff         = 10 * time.Second
 )
 
 // DialFunc opens a connection to an address; net.Dialer's DialContext is one.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// ClientConfig sets up a Client.
+// ClientConfig configures a Client.
 type ClientConfig struct {
-	// TLS presents the instance's certificate and verifies those of others; nil calls without TLS.
+	// TLS holds this instance's certificate and the authorities of other instances' certificates; nil
+	// means calls without TLS.
 	TLS *tls.Config
 	// Dial opens connections; nil means TCP.
 	Dial DialFunc
-	// PerPeer bounds the calls under way to one instance; zero means the default.
+	// PerPeer bounds the concurrent calls to one instance; zero means 64.
 	PerPeer int
-	// Idle is how long an unused connection is kept; zero means the default.
+	// Idle is how long an unused connection stays open; zero means one minute.
 	Idle time.Duration
-	// Seed makes the backoff's jitter repeatable.
+	// Seed makes the jitter of the backoff reproducible.
 	Seed uint64
 }
 
-// Client calls other instances over one kept connection each.
+// Client calls other instances over one persistent connection each.
 type Client struct {
 	config ClientConfig
 
@@ -47,46 +48,47 @@
 	closed bool
 }
 
-// NewClient returns a client without connections.
-func NewClient(c ClientConfig) (*Client, error) {
-	if c.TLS != nil && len(c.TLS.Certificates) == 0 && c.TLS.GetClientCertificate == nil {
+// NewClient returns a client without connections; it fails if TLS is set without a client
+// certificate.
+func NewClient(config ClientConfig) (*Client, error) {
+	if config.TLS != nil && len(config.TLS.Certificates) == 0 && config.TLS.GetClientCertificate == nil {
 		return nil, fmt.Errorf("peer client: TLS without a certificate of its own")
 	}
-	if c.Dial == nil {
-		c.Dial = (&net.Dialer{Timeout: defaultDialTimeout}).DialContext
+	if config.Dial == nil {
+		config.Dial = (&net.Dialer{Timeout: defaultDialTimeout}).DialContext
 	}
-	c.PerPeer = orDefault(c.PerPeer, defaultPerPeer)
-	c.Idle = orDefault(c.Idle, defaultIdle)
+	config.PerPeer = orDefault(config.PerPeer, defaultPerPeer)
+	config.Idle = orDefault(config.Idle, defaultIdle)
 	return &Client{
-		config: c,
+		config: config,
 		links:  make(map[string]*link),
-		rnd:    rand.New(rand.NewPCG(c.Seed, 0)),
+		rnd:    rand.New(rand.NewPCG(config.Seed, 0)),
 	}, nil
 }
 
-// Call implements Caller.
+// Call implements Caller; it dials the instance if there is no open connection to it.
 func (c *Client) Call(ctx context.Context, to value.Instance, method string, args, reply any) error {
-	l, err := c.link(to.PeerAddress)
+	l, err := c.linkTo(to.PeerAddress)
 	if err != nil {
 		return err
 	}
 	return l.call(ctx, method, args, reply)
 }
 
-// Open returns how many connections are open.
+// Open returns the number of open connections.
 func (c *Client) Open() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	open := 0
+	count := 0
 	for _, l := range c.links {
 		if l.isOpen() {
-			open++
+			count++
 		}
 	}
-	return open
+	return count
 }
 
-// Close closes all connections; calls under way fail and later ones are not sent.
+// Close closes all connections; calls in progress fail, and later calls return ErrUnreachable.
 func (c *Client) Close() {
 	c.mu.Lock()
 	links := c.links
@@ -98,7 +100,8 @@
 	}
 }
 
-func (c *Client) link(address string) (*link, error) {
+// linkTo returns the link for the address. Before it adds a new one, it removes all unused links.
+func (c *Client) linkTo(address string) (*link, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
@@ -109,21 +112,21 @@
 		return l, nil
 	}
 	now := time.Now()
-	maps.DeleteFunc(c.links, func(_ string, l *link) bool { return l.unused(now) })
+	maps.DeleteFunc(c.links, func(_ string, l *link) bool { return l.isUnused(now) })
 	l = &link{
-		client:  c,
-		address: address,
-		slots:   make(chan struct{}, c.config.PerPeer),
-		dialing: make(chan struct{}, 1),
-		backoff: policy.Backoff{First: backoffFirst, Limit: backoffLimit},
-		next:    now,
+		client:   c,
+		address:  address,
+		slots:    make(chan struct{}, c.config.PerPeer),
+		dialLock: make(chan struct{}, 1),
+		backoff:  policy.Backoff{First: initialBackoff, Limit: maxBackoff},
+		nextDial: now,
 	}
 	c.links[address] = l
 	return l, nil
 }
 
-// forget drops a link that was unused for the idle time.
-func (c *Client) forget(l *link) {
+// removeLink removes a link, unless another one has replaced it.
+func (c *Client) removeLink(l *link) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.links[l.address] == l {
@@ -131,12 +134,14 @@
 	}
 }
 
-func (c *Client) delay(b policy.Backoff) time.Duration {
+// backoffDelay returns the backoff's next delay with jitter.
+func (c *Client) backoffDelay(b policy.Backoff) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return b.Delay(c.rnd)
 }
 
+// dial opens a connection, including the TLS handshake.
 func (c *Client) dial(ctx context.Context, address string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, defaultDialTimeout)
 	defer cancel()
@@ -147,21 +152,23 @@
 	if c.config.TLS == nil {
 		return conn, nil
 	}
-	secure := tls.Client(conn, c.tlsFor(address))
-	if err := secure.HandshakeContext(ctx); err != nil {
+	tlsConn := tls.Client(conn, c.tlsConfigFor(address))
+	if err := tlsConn.HandshakeContext(ctx); err != nil {
 		_ = conn.Close()
 		return nil, fmt.Errorf("shake hands with %s: %w", address, err)
 	}
-	return secure, nil
+	return tlsConn, nil
 }
 
-func (c *Client) tlsFor(address string) *tls.Config {
+// tlsConfigFor returns the TLS configuration that expects the address's host in the server's
+// certificate, unless the configuration names the server itself.
+func (c *Client) tlsConfigFor(address string) *tls.Config {
 	if c.config.TLS.ServerName != "" {
 		return c.config.TLS
 	}
-	own := c.config.TLS.Clone()
+	config := c.config.TLS.Clone()
 	if host, _, err := net.SplitHostPort(address); err == nil {
-		own.ServerName = host
+		config.ServerName = host
 	}
-	return own
+	return config
 }
--- a/io/peer/codec.go
+++ b/io/peer/codec.go
@@ -12,97 +12,101 @@
 	"time"
 )
 
-// messageLimit bounds one message in bytes: a whole value of the key-value service and its frame.
-const messageLimit = 2 << 20
+// maxMessageBytes bounds one message; it leaves room for the largest value of the key-value service
+// and its framing.
+const maxMessageBytes = 2 << 20
 
 var errTooLarge = errors.New("message exceeds the limit")
 
-// request is what the client side hands to its codec, which notes that the whole message went out.
+// request is a call on its way to the client's codec, which sets sent once the complete message is
+// written.
 type request struct {
 	args any
 	sent atomic.Bool
 }
 
-// wire is one connection's encoding, for either side.
-type wire struct {
-	conn    net.Conn
-	in      *bounded
-	decoder *gob.Decoder
-	out     *bufio.Writer
-	encoder *gob.Encoder
-	write   time.Duration
+// codec encodes and decodes the messages of one connection, on the client or the server.
+type codec struct {
+	conn         net.Conn
+	in           *limitedReader
+	decoder      *gob.Decoder
+	out          *bufio.Writer
+	encoder      *gob.Encoder
+	writeTimeout time.Duration
 }
 
-func newWire(c net.Conn, write time.Duration) *wire {
-	in := &bounded{reader: bufio.NewReader(c)}
-	out := bufio.NewWriter(c)
-	return &wire{conn: c, in: in, decoder: gob.NewDecoder(in), out: out, encoder: gob.NewEncoder(out), write: write}
+func newCodec(conn net.Conn, timeout time.Duration) *codec {
+	in := &limitedReader{reader: bufio.NewReader(conn)}
+	out := bufio.NewWriter(conn)
+	return &codec{conn: conn, in: in, decoder: gob.NewDecoder(in), out: out, encoder: gob.NewEncoder(out), writeTimeout: timeout}
 }
 
-// send writes a header and a body; after an error the connection is of no further use.
-func (w *wire) send(header, body any) error {
-	err := w.encode(header, body)
+// send writes a header and a body; on an error it closes the connection, because a partial message
+// may have been written.
+func (c *codec) send(header, body any) error {
+	err := c.encode(header, body)
 	if err != nil {
-		_ = w.conn.Close()
+		_ = c.conn.Close()
 	}
 	return err
 }
 
-func (w *wire) encode(header, body any) error {
-	if err := w.conn.SetWriteDeadline(time.Now().Add(w.write)); err != nil {
+func (c *codec) encode(header, body any) error {
+	if err := c.conn.SetWriteDeadline(time.Now().Add(c.writeTimeout)); err != nil {
 		return fmt.Errorf("set write deadline: %w", err)
 	}
-	if err := w.encoder.Encode(header); err != nil {
+	if err := c.encoder.Encode(header); err != nil {
 		return fmt.Errorf("encode header: %w", err)
 	}
-	if err := w.encoder.Encode(body); err != nil {
+	if err := c.encoder.Encode(body); err != nil {
 		return fmt.Errorf("encode body: %w", err)
 	}
-	if err := w.out.Flush(); err != nil {
+	if err := c.out.Flush(); err != nil {
 		return fmt.Errorf("flush message: %w", err)
 	}
 	return nil
 }
 
-// bounded reads at most messageLimit bytes between resets.
-type bounded struct {
-	reader *bufio.Reader
-	used   int
+// limitedReader reads at most maxMessageBytes between resets.
+type limitedReader struct {
+	reader   *bufio.Reader
+	consumed int
 }
 
-func (b *bounded) reset() {
-	b.used = 0
+func (r *limitedReader) reset() {
+	r.consumed = 0
 }
 
-func (b *bounded) Read(p []byte) (int, error) {
-	if b.used >= messageLimit {
+func (r *limitedReader) Read(p []byte) (int, error) {
+	if r.consumed >= maxMessageBytes {
 		return 0, errTooLarge
 	}
-	n, err := b.reader.Read(p[:min(len(p), messageLimit-b.used)])
-	b.used += n
+	n, err := r.reader.Read(p[:min(len(p), maxMessageBytes-r.consumed)])
+	r.consumed += n
 	return n, err
 }
 
-func (b *bounded) ReadByte() (byte, error) {
-	if b.used >= messageLimit {
+func (r *limitedReader) ReadByte() (byte, error) {
+	if r.consumed >= maxMessageBytes {
 		return 0, errTooLarge
 	}
-	c, err := b.reader.ReadByte()
-	b.used++
+	c, err := r.reader.ReadByte()
+	r.consumed++
 	return c, err
 }
 
+// clientCodec implements rpc.ClientCodec.
 type clientCodec struct {
-	*wire
+	*codec
 }
 
 func (c clientCodec) WriteRequest(r *rpc.Request, body any) error {
-	req := body.(*request)
-	if err := c.send(r, req.args); err != nil {
-		// The other side runs nothing before it has the whole message.
+	outgoing := body.(*request)
+	if err := c.send(r, outgoing.args); err != nil {
+		// The request counts as not sent: the server runs no method before it has the complete message.
 		return err
 	}
-	req.sent.Store(true)
+	outgoing.sent.Store(true)
 	return nil
 }
 
@@ -119,13 +123,14 @@
 	return c.conn.Close()
 }
 
+// serverCodec implements rpc.ServerCodec.
 type serverCodec struct {
-	*wire
-	// slots bounds the requests that one connection has under way.
+	*codec
+	// slots bounds the concurrent requests of one connection.
 	slots chan struct{}
 	idle  time.Duration
-	// stop says that no further requests are to be read.
-	stop *atomic.Bool
+	// draining is set once the server stops, after which no further requests are read.
+	draining *atomic.Bool
 }
 
 func (c serverCodec) ReadRequestHeader(r *rpc.Request) error {
@@ -133,8 +138,9 @@
 	if err := c.conn.SetReadDeadline(time.Now().Add(c.idle)); err != nil {
 		return fmt.Errorf("set read deadline: %w", err)
 	}
-	// The deadline is set first, so that it can't undo the one that the stopping server sets.
-	if c.stop.Load() {
+	// A stopping server sets draining before its own read deadline. If the deadline above replaced
+	// that one, the flag is already set here.
+	if c.draining.Load() {
 		return io.EOF
 	}
 	if err := c.decoder.Decode(r); err != nil {
--- a/io/peer/link.go
+++ b/io/peer/link.go
@@ -17,43 +17,46 @@
 	errBackoff = fmt.Errorf("waiting before the next dial: %w", ErrUnreachable)
 )
 
-// link is the connection to one instance; it is dialled on demand.
+// link manages the connection to one instance: it dials on demand, with backoff after failures, and
+// closes the connection after the idle time.
 type link struct {
 	client  *Client
 	address string
-	// slots bounds the calls under way, also those whose callers no longer wait.
+	// slots bounds the calls in progress, including those whose callers no longer wait.
 	slots chan struct{}
-	// dialing is held by the one caller that dials.
-	dialing chan struct{}
+	// dialLock is a lock of capacity one; its holder dials.
+	dialLock chan struct{}
 
 	mu      sync.Mutex
 	session *session
 	backoff policy.Backoff
-	// next is the earliest time of the next dial.
-	next time.Time
+	// nextDial is the earliest time of the next dial.
+	nextDial time.Time
 }
 
-// session is one connection's life.
+// session is one open connection and the calls in progress on it.
 type session struct {
-	rpc  *rpc.Client
-	idle *time.Timer
+	rpc       *rpc.Client
+	idleTimer *time.Timer
 
 	mu      sync.Mutex
 	pending int
-	// heard is when the latest reply came.
-	heard time.Time
+	// lastReply is when the latest reply arrived.
+	lastReply time.Time
 }
 
 func (l *link) call(ctx context.Context, method string, args, reply any) error {
-	err := l.try(ctx, method, args, reply)
+	err := l.attempt(ctx, method, args, reply)
 	if errors.Is(err, errStale) {
-		// A second try dials anew, so that a restarted instance is reached by the first call.
-		return l.try(ctx, method, args, reply)
+		// The connection had been closed by the other side before the call was sent. A second attempt
+		// dials again, so that the first call after an instance's restart succeeds.
+		return l.attempt(ctx, method, args, reply)
 	}
 	return err
 }
 
-func (l *link) try(ctx context.Context, method string, args, reply any) error {
+// attempt makes the call once, or returns errBusy if all slots are taken.
+func (l *link) attempt(ctx context.Context, method string, args, reply any) error {
 	select {
 	case l.slots <- struct{}{}:
 	default:
@@ -64,70 +67,77 @@
 		<-l.slots
 		return fmt.Errorf("%w: %w", ErrUnreachable, err)
 	}
-	return l.exchange(ctx, s, method, &request{args: args}, reply)
+	return l.roundTrip(ctx, s, method, &request{args: args}, reply)
 }
 
-func (l *link) exchange(ctx context.Context, s *session, method string, req *request, reply any) error {
+// roundTrip sends the request and waits for the reply until the context ends.
+//
+// If nothing arrived on the connection since the call began, the connection is closed as well,
+// because the instance may have been replaced.
+func (l *link) roundTrip(ctx context.Context, s *session, method string, req *request, reply any) error {
 	start := time.Now()
-	s.begin()
+	s.startCall()
 	done := s.rpc.Go(method, req, reply, make(chan *rpc.Call, 1)).Done
 	select {
 	case call := <-done:
-		l.end(s)
-		return l.outcome(s, req, call.Error)
+		l.endCall(s)
+		return l.handleResult(s, req, call.Error)
 	case <-ctx.Done():
-		// The reply may still be written until the call ends, so the slot stays taken until then.
+		// The call is still in progress and net/rpc may still write to reply, so the slot stays taken
+		// until it ends.
 		go func() {
 			<-done
-			l.end(s)
+			l.endCall(s)
 		}()
-		if s.silentSince(start) {
-			l.drop(s)
+		if s.isSilentSince(start) {
+			l.closeSession(s)
 		}
 		return fmt.Errorf("await reply: %w", ctx.Err())
 	}
 }
 
-func (l *link) outcome(s *session, req *request, err error) error {
+// handleResult returns the call's error: an error of the remote handler as it is, errStale if the
+// request was not sent completely, and otherwise an error that leaves open whether the method ran.
+func (l *link) handleResult(s *session, req *request, err error) error {
 	if err == nil {
-		s.reply(time.Now())
+		s.recordReply(time.Now())
 		return nil
 	}
 	var remote rpc.ServerError
 	if errors.As(err, &remote) {
-		s.reply(time.Now())
+		s.recordReply(time.Now())
 		return fmt.Errorf("remote: %w", err)
 	}
-	l.drop(s)
+	l.closeSession(s)
 	if !req.sent.Load() {
 		return fmt.Errorf("%w: %w", errStale, err)
 	}
 	return fmt.Errorf("connection failed: %w", err)
 }
 
-// connect returns the open session, or dials; callers that come meanwhile wait for the dial.
+// connect returns the open session or dials a new one; concurrent callers wait for the same dial.
 func (l *link) connect(ctx context.Context) (*session, error) {
-	if s := l.current(); s != nil {
+	if s := l.currentSession(); s != nil {
 		return s, nil
 	}
 	select {
-	case l.dialing <- struct{}{}:
-		defer func() { <-l.dialing }()
+	case l.dialLock <- struct{}{}:
+		defer func() { <-l.dialLock }()
 	case <-ctx.Done():
 		return nil, fmt.Errorf("await dial: %w", ctx.Err())
 	}
-	if s := l.current(); s != nil {
+	if s := l.currentSession(); s != nil {
 		return s, nil
 	}
-	if !l.mayDial(time.Now()) {
+	if !l.canDial(time.Now()) {
 		return nil, errBackoff
 	}
 	conn, err := l.client.dial(ctx, l.address)
 	if err != nil {
-		l.failed(time.Now())
+		l.recordDialFailure(time.Now())
 		return nil, err
 	}
-	s := &session{rpc: rpc.NewClientWithCodec(clientCodec{wire: newWire(conn, writeTimeout)})}
+	s := &session{rpc: rpc.NewClientWithCodec(clientCodec{codec: newCodec(conn, writeTimeout)})}
 	l.install(s)
 	return s, nil
 }
@@ -137,101 +147,104 @@
 	defer l.mu.Unlock()
 	l.session = s
 	l.backoff = l.backoff.WithSuccess()
-	s.idle = time.AfterFunc(l.client.config.Idle, func() { l.expire(s) })
+	s.idleTimer = time.AfterFunc(l.client.config.Idle, func() { l.closeIfIdle(s) })
 }
 
-func (l *link) current() *session {
+func (l *link) currentSession() *session {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.session
 }
 
 func (l *link) isOpen() bool {
-	return l.current() != nil
+	return l.currentSession() != nil
 }
 
-func (l *link) mayDial(now time.Time) bool {
+func (l *link) canDial(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return !now.Before(l.next)
+	return !now.Before(l.nextDial)
 }
 
-// failed is called by the one caller that dials.
-func (l *link) failed(now time.Time) {
-	next := now.Add(l.client.delay(l.backoff))
+// recordDialFailure sets the time of the next dial; its caller holds dialLock.
+func (l *link) recordDialFailure(now time.Time) {
+	next := now.Add(l.client.backoffDelay(l.backoff))
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.next = next
+	l.nextDial = next
 	l.backoff = l.backoff.WithFailure()
 }
 
-// unused reports whether nothing has been dialled for the idle time.
-func (l *link) unused(now time.Time) bool {
+// isUnused reports whether the link has no session and could have dialled for longer than the idle
+// time.
+func (l *link) isUnused(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.session == nil && now.After(l.next.Add(l.client.config.Idle))
+	return l.session == nil && now.After(l.nextDial.Add(l.client.config.Idle))
 }
 
-// drop closes the session, and the next call dials anew.
-func (l *link) drop(s *session) {
+// closeSession closes the session; the next call dials again.
+func (l *link) closeSession(s *session) {
 	l.mu.Lock()
 	if l.session == s {
 		l.session = nil
 	}
 	l.mu.Unlock()
-	s.idle.Stop()
+	s.idleTimer.Stop()
 	_ = s.rpc.Close()
 }
 
-func (l *link) expire(s *session) {
-	if s.busy() {
-		s.idle.Reset(l.client.config.Idle)
+// closeIfIdle closes the session and removes the link, unless calls are in progress.
+func (l *link) closeIfIdle(s *session) {
+	if s.isBusy() {
+		s.idleTimer.Reset(l.client.config.Idle)
 		return
 	}
-	l.client.forget(l)
-	l.drop(s)
+	l.client.removeLink(l)
+	l.closeSession(s)
 }
 
 func (l *link) close() {
-	if s := l.current(); s != nil {
-		l.drop(s)
+	if s := l.currentSession(); s != nil {
+		l.closeSession(s)
 	}
 }
 
-func (l *link) end(s *session) {
-	s.finish(l.client.config.Idle)
+// endCall restarts the idle time and frees the call's slot.
+func (l *link) endCall(s *session) {
+	s.endCall(l.client.config.Idle)
 	<-l.slots
 }
 
-func (s *session) begin() {
+func (s *session) startCall() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.pending++
 }
 
-func (s *session) finish(idle time.Duration) {
+func (s *session) endCall(idle time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.pending--
-	if s.idle.Stop() {
-		s.idle.Reset(idle)
+	if s.idleTimer.Stop() {
+		s.idleTimer.Reset(idle)
 	}
 }
 
-func (s *session) busy() bool {
+func (s *session) isBusy() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.pending > 0
 }
 
-func (s *session) reply(at time.Time) {
+func (s *session) recordReply(at time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.heard = at
+	s.lastReply = at
 }
 
-func (s *session) silentSince(t time.Time) bool {
+func (s *session) isSilentSince(t time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.heard.Before(t)
+	return s.lastReply.Before(t)
 }
--- a/io/peer/measure_test.go
+++ b/io/peer/measure_test.go
@@ -14,39 +14,39 @@
 	"endivehitch/io/peer"
 )
 
-// counted counts a connection's bytes in both directions.
-type counted struct {
+// countingConn counts the bytes of a connection in both directions.
+type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
-func (c counted) Read(p []byte) (int, error) {
+func (c countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-func (c counted) Write(p []byte) (int, error) {
+func (c countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-// BenchmarkMeasureCall measures small calls with mutual TLS on loopback: over a kept
-// connection and, as the baseline, over a new one for each call. Bytes are those of
-// both directions and processor time that of both sides.
+// BenchmarkMeasureCall measures small calls with mutual TLS on loopback: over a persistent
+// connection and, as the baseline, over a new connection for each call. Bytes include both
+// directions, CPU time includes both sides.
 func BenchmarkMeasureCall(b *testing.B) {
 	ours := newAuthority(b)
 	server, err := peer.NewServer(peer.ServerConfig{TLS: &tls.Config{
 		Certificates: []tls.Certificate{ours.issue(b)}, ClientAuth: tls.RequireAndVerifyClientCert, ClientCAs: ours.pool(),
 	}})
 	assert.NilError(b, err)
-	assert.NilError(b, echo.Serve(server, func(a wireAsk) (wireTell, error) { return wireTell(a), nil }))
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	assert.NilError(b, echo.Serve(server, func(a wireReq) (wireResp, error) { return wireResp(a), nil }))
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(b, err)
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	go func() { ended <- server.Serve(ctx, l) }()
+	go func() { ended <- server.Serve(ctx, listener) }()
 	var bytes atomic.Int64
 	certificate := ours.issue(b)
 	newClient := func() *peer.Client {
@@ -54,23 +54,23 @@
 			TLS: &tls.Config{Certificates: []tls.Certificate{certificate}, RootCAs: ours.pool()},
 			Dial: func(ctx context.Context, network, address string) (net.Conn, error) {
 				conn, err := new(net.Dialer).DialContext(ctx, network, address)
-				return counted{Conn: conn, bytes: &bytes}, err
+				return countingConn{Conn: conn, bytes: &bytes}, err
 			},
 		})
 		assert.NilError(b, err)
 		return c
 	}
-	to := value.Instance{ID: "b", PeerAddress: l.Addr().String()}
+	to := value.Instance{ID: "b", PeerAddress: listener.Addr().String()}
 	client := newClient()
 	measure := func(b *testing.B, after func()) {
-		begun, used := bytes.Load(), processorMicros()
+		bytesBefore, cpuBefore := bytes.Load(), cpuMicros()
 		for range b.N {
-			_, err := echo.Call(ctx, client, to, wireAsk{Text: "hello"})
+			_, err := echo.Call(ctx, client, to, wireReq{Text: "hello"})
 			assert.NilError(b, err)
 			after()
 		}
-		b.ReportMetric(float64(bytes.Load()-begun)/float64(b.N), "wire-B/call")
-		b.ReportMetric(float64(processorMicros()-used)/float64(b.N), "cpu-us/call")
+		b.ReportMetric(float64(bytes.Load()-bytesBefore)/float64(b.N), "wire-B/call")
+		b.ReportMetric(float64(cpuMicros()-cpuBefore)/float64(b.N), "cpu-us/call")
 	}
 	b.Run("Kept", func(b *testing.B) { measure(b, func() {}) })
 	b.Run("BaselineNew", func(b *testing.B) {
@@ -84,7 +84,7 @@
 	assert.NilError(b, <-ended)
 }
 
-func processorMicros() int64 {
+func cpuMicros() int64 {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		return 0
--- a/io/peer/method.go
+++ b/io/peer/method.go
@@ -7,20 +7,21 @@
 	"endivehitch/core/value"
 )
 
-// Method is a typed method of other instances, named as Service.Method.
+// Method is a remote method with argument type A and reply type R, named as Service.Method.
 type Method[A, R any] struct {
 	Name string
 }
 
-// Frame carries a message; it lets handlers keep their wire types unexported.
+// Frame wraps a message. net/rpc requires exported argument and reply types, so that Frame lets
+// other packages keep their message types unexported.
 type Frame[T any] struct {
 	Body T
 }
 
-// handleMethod is the method that net/rpc finds on each endpoint.
+// handleMethod is the suffix under which net/rpc registers the Handle method of an endpoint.
 const handleMethod = ".Handle"
 
-// Call sends the arguments and returns the reply; errors are those of Caller.
+// Call calls the method at an instance and returns its reply; its errors wrap those of Caller.
 func (m Method[A, R]) Call(ctx context.Context, c Caller, to value.Instance, args A) (R, error) {
 	var reply Frame[R]
 	if err := c.Call(ctx, to, m.Name+handleMethod, &Frame[A]{Body: args}, &reply); err != nil {
@@ -30,7 +31,7 @@
 	return reply.Body, nil
 }
 
-// Serve offers the method; the handler runs on a goroutine of its own for each call.
+// Serve registers the handler of the method; each call runs in its own goroutine.
 func (m Method[A, R]) Serve(r Registrar, handler func(A) (R, error)) error {
 	if err := r.Register(m.Name, &endpoint[A, R]{handler: handler}); err != nil {
 		return fmt.Errorf("register %s: %w", m.Name, err)
@@ -38,11 +39,12 @@
 	return nil
 }
 
+// endpoint is the receiver that net/rpc calls for one method.
 type endpoint[A, R any] struct {
 	handler func(A) (R, error)
 }
 
-// Handle has the form that net/rpc asks for.
+// Handle has the signature that net/rpc requires of a method.
 func (e *endpoint[A, R]) Handle(args *Frame[A], reply *Frame[R]) error {
 	body, err := e.handler(args.Body)
 	if err != nil {
--- a/io/peer/peer_test.go
+++ b/io/peer/peer_test.go
@@ -16,17 +16,17 @@
 	"endivehitch/io/peer"
 )
 
-type wireAsk struct{ Text string }
+type wireReq struct{ Text string }
 
-type wireTell struct{ Text string }
+type wireResp struct{ Text string }
 
 var (
-	echo = peer.Method[wireAsk, wireTell]{Name: "Echo"}
-	hang = peer.Method[wireAsk, wireTell]{Name: "Hang"}
+	echo = peer.Method[wireReq, wireResp]{Name: "Echo"}
+	hang = peer.Method[wireReq, wireResp]{Name: "Hang"}
 )
 
-// pipes is a listener whose connections stay in memory.
-type pipes struct {
+// pipeListener is a listener with in-memory connections; its dial method opens them.
+type pipeListener struct {
 	conns  chan net.Conn
 	closed chan struct{}
 	once   sync.Once
@@ -35,156 +35,156 @@
 	refuse bool
 }
 
-func newPipes() *pipes {
-	return &pipes{conns: make(chan net.Conn), closed: make(chan struct{})}
+func newPipeListener() *pipeListener {
+	return &pipeListener{conns: make(chan net.Conn), closed: make(chan struct{})}
 }
 
-func (p *pipes) Accept() (net.Conn, error) {
+func (l *pipeListener) Accept() (net.Conn, error) {
 	select {
-	case c := <-p.conns:
+	case c := <-l.conns:
 		return c, nil
-	case <-p.closed:
+	case <-l.closed:
 		return nil, net.ErrClosed
 	}
 }
 
-func (p *pipes) Close() error {
-	p.once.Do(func() { close(p.closed) })
+func (l *pipeListener) Close() error {
+	l.once.Do(func() { close(l.closed) })
 	return nil
 }
 
-func (p *pipes) Addr() net.Addr { return &net.TCPAddr{} }
+func (l *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-func (p *pipes) dial(context.Context, string, string) (net.Conn, error) {
-	p.dials++
-	if p.refuse {
+func (l *pipeListener) dial(context.Context, string, string) (net.Conn, error) {
+	l.dials++
+	if l.refuse {
 		return nil, errors.New("connection refused")
 	}
 	near, far := net.Pipe()
-	p.last = near
+	l.last = near
 	select {
-	case p.conns <- far:
+	case l.conns <- far:
 		return near, nil
-	case <-p.closed:
+	case <-l.closed:
 		return nil, errors.New("connection refused")
 	}
 }
 
-type rig struct {
-	pipes  *pipes
-	client *peer.Client
-	to     value.Instance
-	// release ends the calls of Hang.
+type fixture struct {
+	listener *pipeListener
+	client   *peer.Client
+	to       value.Instance
+	// release ends the calls of Hang, one for each value sent, or all when it is closed.
 	release chan struct{}
-	// stop ends the server, which then tells how.
+	// stop stops the server; ended then receives the result of Serve.
 	stop  func()
 	ended chan error
 }
 
-func newRig(t *testing.T, c peer.ClientConfig) rig {
+func newFixture(t *testing.T, config peer.ClientConfig) fixture {
 	t.Helper()
-	r := rig{pipes: newPipes(), to: value.Instance{ID: "b", PeerAddress: "b:1"}, release: make(chan struct{})}
+	fx := fixture{listener: newPipeListener(), to: value.Instance{ID: "b", PeerAddress: "b:1"}, release: make(chan struct{})}
 	server, err := peer.NewServer(peer.ServerConfig{})
 	assert.NilError(t, err)
-	assert.NilError(t, echo.Serve(server, func(a wireAsk) (wireTell, error) {
+	assert.NilError(t, echo.Serve(server, func(a wireReq) (wireResp, error) {
 		if a.Text == "fail" {
-			return wireTell{}, errors.New("refused by handler")
+			return wireResp{}, errors.New("refused by handler")
 		}
-		return wireTell(a), nil
+		return wireResp(a), nil
 	}))
-	assert.NilError(t, hang.Serve(server, func(a wireAsk) (wireTell, error) {
-		<-r.release
-		return wireTell(a), nil
+	assert.NilError(t, hang.Serve(server, func(a wireReq) (wireResp, error) {
+		<-fx.release
+		return wireResp(a), nil
 	}))
 	ctx, stop := context.WithCancel(t.Context())
-	r.stop, r.ended = stop, make(chan error, 1)
+	fx.stop, fx.ended = stop, make(chan error, 1)
 	go func() {
-		r.ended <- server.Serve(ctx, r.pipes)
-		close(r.ended)
+		fx.ended <- server.Serve(ctx, fx.listener)
+		close(fx.ended)
 	}()
-	c.Dial = r.pipes.dial
-	r.client, err = peer.NewClient(c)
+	config.Dial = fx.listener.dial
+	fx.client, err = peer.NewClient(config)
 	assert.NilError(t, err)
 	t.Cleanup(func() {
-		r.client.Close()
-		close(r.release)
+		fx.client.Close()
+		close(fx.release)
 		stop()
-		assert.NilError(t, <-r.ended)
+		assert.NilError(t, <-fx.ended)
 	})
-	return r
+	return fx
 }
 
-func (r rig) call(t *testing.T, m peer.Method[wireAsk, wireTell], text string) error {
+func (f fixture) call(t *testing.T, m peer.Method[wireReq, wireResp], text string) error {
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
-	tell, err := m.Call(ctx, r.client, r.to, wireAsk{Text: text})
+	reply, err := m.Call(ctx, f.client, f.to, wireReq{Text: text})
 	if err == nil {
-		assert.Equal(t, tell.Text, text)
+		assert.Equal(t, reply.Text, text)
 	}
 	return err
 }
 
-func TestOneConnectionIsKeptAndClosedWhenIdle(t *testing.T) {
+func TestClientReusesOneConnectionAndClosesItWhenIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, peer.ClientConfig{Idle: time.Minute})
+		r := newFixture(t, peer.ClientConfig{Idle: time.Minute})
 		for range 5 {
 			assert.NilError(t, r.call(t, echo, "hello"))
 			time.Sleep(50 * time.Second)
 		}
-		assert.Equal(t, r.pipes.dials, 1)
+		assert.Equal(t, r.listener.dials, 1)
 		time.Sleep(time.Minute)
 		synctest.Wait()
 		assert.Equal(t, r.client.Open(), 0)
 		assert.NilError(t, r.call(t, echo, "again"))
-		assert.Equal(t, r.pipes.dials, 2)
+		assert.Equal(t, r.listener.dials, 2)
 	})
 }
 
-func TestHandlersErrorIsNotUnreachable(t *testing.T) {
+func TestHandlerErrorIsNotReportedAsUnreachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, peer.ClientConfig{})
+		r := newFixture(t, peer.ClientConfig{})
 		err := r.call(t, echo, "fail")
 		assert.ErrorContains(t, err, "refused by handler")
 		assert.Assert(t, !errors.Is(err, peer.ErrUnreachable))
 		assert.NilError(t, r.call(t, echo, "fine"))
-		assert.Equal(t, r.pipes.dials, 1)
+		assert.Equal(t, r.listener.dials, 1)
 	})
 }
 
-func TestRefusedDialIsUnreachableAndBacksOff(t *testing.T) {
+func TestRefusedDialReportsUnreachableAndBacksOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, peer.ClientConfig{})
-		r.pipes.refuse = true
+		r := newFixture(t, peer.ClientConfig{})
+		r.listener.refuse = true
 		for range 100 {
 			assert.ErrorIs(t, r.call(t, echo, "hello"), peer.ErrUnreachable)
 			time.Sleep(100 * time.Millisecond)
 		}
-		assert.Assert(t, r.pipes.dials < 12, "%d dials in 10s", r.pipes.dials)
-		r.pipes.refuse = false
+		assert.Assert(t, r.listener.dials < 12, "%d dials within 10 s", r.listener.dials)
+		r.listener.refuse = false
 		time.Sleep(10 * time.Second)
 		assert.NilError(t, r.call(t, echo, "hello"))
 	})
 }
 
-func TestUnansweredCallLeavesOpenWhetherItRan(t *testing.T) {
+func TestTimedOutCallIsNotReportedAsUnreachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, peer.ClientConfig{})
+		r := newFixture(t, peer.ClientConfig{})
 		err := r.call(t, hang, "slow")
 		assert.ErrorIs(t, err, context.DeadlineExceeded)
 		assert.Assert(t, !errors.Is(err, peer.ErrUnreachable))
-		// The silent connection is given up, so that a replaced instance is reached at once.
+		// The connection without a reply is closed, so that the next call reaches a replaced instance.
 		assert.NilError(t, r.call(t, echo, "hello"))
-		assert.Equal(t, r.pipes.dials, 2)
+		assert.Equal(t, r.listener.dials, 2)
 	})
 }
 
-func TestCutConnectionLeavesOpenWhetherTheCallRan(t *testing.T) {
+func TestBrokenConnectionIsNotReportedAsUnreachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, peer.ClientConfig{})
+		r := newFixture(t, peer.ClientConfig{})
 		failed := make(chan error, 1)
 		go func() { failed <- r.call(t, hang, "slow") }()
 		synctest.Wait()
-		assert.NilError(t, r.pipes.last.Close())
+		assert.NilError(t, r.listener.last.Close())
 		err := <-failed
 		assert.Assert(t, err != nil)
 		assert.Assert(t, !errors.Is(err, peer.ErrUnreachable), "%v", err)
@@ -192,9 +192,9 @@
 	})
 }
 
-func TestCallsUnderWayAreBounded(t *testing.T) {
+func TestCallsBeyondPerPeerLimitAreRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, peer.ClientConfig{PerPeer: 2})
+		r := newFixture(t, peer.ClientConfig{PerPeer: 2})
 		failed := make(chan error, 2)
 		for range 2 {
 			go func() { failed <- r.call(t, hang, "slow") }()
@@ -208,26 +208,26 @@
 	})
 }
 
-func TestOversizedMessageEndsTheConnection(t *testing.T) {
+func TestOversizedMessageFailsAndNextCallSucceeds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, peer.ClientConfig{})
+		r := newFixture(t, peer.ClientConfig{})
 		assert.Assert(t, r.call(t, echo, strings.Repeat("x", 3<<20)) != nil)
 		assert.NilError(t, r.call(t, echo, "small"))
 	})
 }
 
-func TestClosedClientSendsNothing(t *testing.T) {
+func TestClosedClientRejectsCallsWithoutDialing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, peer.ClientConfig{})
+		r := newFixture(t, peer.ClientConfig{})
 		r.client.Close()
 		assert.ErrorIs(t, r.call(t, echo, "late"), peer.ErrUnreachable)
-		assert.Equal(t, r.pipes.dials, 0)
+		assert.Equal(t, r.listener.dials, 0)
 	})
 }
 
-func TestStoppingServerFinishesCallsUnderWayAndTakesNoFurtherOnes(t *testing.T) {
+func TestStoppingServerFinishesCallsInProgressAndRejectsNewOnes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, peer.ClientConfig{})
+		r := newFixture(t, peer.ClientConfig{})
 		failed := make(chan error, 1)
 		go func() { failed <- r.call(t, hang, "slow") }()
 		synctest.Wait()
@@ -243,9 +243,9 @@
 	})
 }
 
-func TestStoppingServerDoesNotWaitForCallsForEver(t *testing.T) {
+func TestStoppingServerReportsCallsThatExceedGracePeriod(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, peer.ClientConfig{})
+		r := newFixture(t, peer.ClientConfig{})
 		assert.Assert(t, r.call(t, hang, "stuck") != nil)
 		r.stop()
 		assert.ErrorContains(t, <-r.ended, "outlasted the grace time")
--- a/io/peer/port.go
+++ b/io/peer/port.go
@@ -12,13 +12,13 @@
 
 // Caller calls methods of other instances.
 type Caller interface {
-	// Call waits for the reply until the context ends; an error that does not wrap
-	// ErrUnreachable leaves open whether the method ran.
+	// Call waits for the reply until the context ends. After an error that wraps ErrUnreachable, the
+	// method certainly did not run; after any other error it may have run.
 	Call(ctx context.Context, to value.Instance, method string, args, reply any) error
 }
 
-// Registrar offers methods to other instances.
+// Registrar registers methods that other instances can call.
 type Registrar interface {
-	// Register offers the receiver's methods, as net/rpc defines them, under the name.
+	// Register registers the receiver's methods under the name, by the rules of net/rpc.
 	Register(name string, receiver any) error
 }
--- a/io/peer/server.go
+++ b/io/peer/server.go
@@ -18,54 +18,57 @@
 	defaultIdle        = time.Minute
 	defaultGrace       = 10 * time.Second
 	writeTimeout       = 5 * time.Second
-	// The client closes an idle connection first, so that no call meets a connection that the server is closing.
+	// serverIdleFactor makes the server's idle timeout longer than the client's, so that the client
+	// closes an idle connection first and no call is sent on a connection that the server is closing.
 	serverIdleFactor = 3
 )
 
-// ServerConfig sets up a Server.
+// ServerConfig configures a Server.
 type ServerConfig struct {
-	// TLS must require and verify client certificates; nil serves without TLS.
+	// TLS must require and verify client certificates; nil means connections without TLS.
 	TLS *tls.Config
-	// Connections bounds the accepted connections; zero means the default.
+	// Connections bounds the concurrent connections; zero means 512.
 	Connections int
-	// PerConnection bounds the calls that one connection has under way; zero means the default.
+	// PerConnection bounds the concurrent calls of one connection; zero means 64.
 	PerConnection int
-	// Idle is how long clients keep an unused connection; zero means the default.
+	// Idle is how long clients keep an unused connection open; zero means one minute. The server
+	// closes idle connections only after three times as long.
 	Idle time.Duration
-	// Grace is how long calls under way may take once the server stops; zero means the default.
+	// Grace is how long calls in progress may take once the server stops; zero means 10 s.
 	Grace time.Duration
 }
 
-// Server offers methods to other instances.
+// Server serves the registered methods to other instances.
 type Server struct {
-	config ServerConfig
-	rpc    *rpc.Server
-	places chan struct{}
-	// draining is set once no further calls are read.
+	config          ServerConfig
+	rpc             *rpc.Server
+	connectionSlots chan struct{}
+	// draining is set once the server stops reading calls.
 	draining atomic.Bool
 
 	mu    sync.Mutex
 	conns map[net.Conn]struct{}
 }
 
-// NewServer returns a server without methods; it fails where TLS would admit unknown clients.
-func NewServer(c ServerConfig) (*Server, error) {
-	if c.TLS != nil && c.TLS.ClientAuth != tls.RequireAndVerifyClientCert {
+// NewServer returns a server without methods; it fails if TLS is set but does not require and
+// verify client certificates.
+func NewServer(config ServerConfig) (*Server, error) {
+	if config.TLS != nil && config.TLS.ClientAuth != tls.RequireAndVerifyClientCert {
 		return nil, errors.New("peer server: TLS does not verify client certificates")
 	}
-	c.Connections = orDefault(c.Connections, defaultConnections)
-	c.PerConnection = orDefault(c.PerConnection, defaultPerPeer)
-	c.Idle = orDefault(c.Idle, defaultIdle)
-	c.Grace = orDefault(c.Grace, defaultGrace)
+	config.Connections = orDefault(config.Connections, defaultConnections)
+	config.PerConnection = orDefault(config.PerConnection, defaultPerPeer)
+	config.Idle = orDefault(config.Idle, defaultIdle)
+	config.Grace = orDefault(config.Grace, defaultGrace)
 	return &Server{
-		config: c,
-		rpc:    rpc.NewServer(),
-		places: make(chan struct{}, c.Connections),
-		conns:  make(map[net.Conn]struct{}),
+		config:          config,
+		rpc:             rpc.NewServer(),
+		connectionSlots: make(chan struct{}, config.Connections),
+		conns:           make(map[net.Conn]struct{}),
 	}, nil
 }
 
-// Register offers the receiver's methods under the name.
+// Register implements Registrar.
 func (s *Server) Register(name string, receiver any) error {
 	if err := s.rpc.RegisterName(name, receiver); err != nil {
 		return fmt.Errorf("register methods: %w", err)
@@ -73,41 +76,43 @@
 	return nil
 }
 
-// Serve answers calls until the context ends, then lets calls under way finish within the grace time.
-func (s *Server) Serve(ctx context.Context, l net.Listener) error {
-	stop := context.AfterFunc(ctx, func() { s.drain(l) })
+// Serve serves calls until the context ends and then lets calls in progress finish within the grace
+// time.
+func (s *Server) Serve(ctx context.Context, listener net.Listener) error {
+	stop := context.AfterFunc(ctx, func() { s.drain(listener) })
 	defer stop()
-	var open sync.WaitGroup
-	err := s.accept(ctx, l, &open)
-	s.drain(l)
-	if !s.finish(&open) {
+	var handlers sync.WaitGroup
+	err := s.accept(ctx, listener, &handlers)
+	s.drain(listener)
+	if !s.awaitConnections(&handlers) {
 		return errors.Join(err, errors.New("peer server: calls under way outlasted the grace time"))
 	}
 	return err
 }
 
-func (s *Server) accept(ctx context.Context, l net.Listener, open *sync.WaitGroup) error {
+func (s *Server) accept(ctx context.Context, listener net.Listener, handlers *sync.WaitGroup) error {
 	for {
-		s.places <- struct{}{}
-		conn, err := l.Accept()
+		s.connectionSlots <- struct{}{}
+		conn, err := listener.Accept()
 		if err != nil && ctx.Err() != nil {
 			return nil
 		}
 		if err != nil {
 			return fmt.Errorf("accept peer: %w", err)
 		}
-		open.Go(func() {
-			defer func() { <-s.places }()
+		handlers.Go(func() {
+			defer func() { <-s.connectionSlots }()
 			s.serve(ctx, conn)
 		})
 	}
 }
 
-// finish reports whether all connections ended within the grace time; the rest are cut.
-func (s *Server) finish(open *sync.WaitGroup) bool {
+// awaitConnections reports whether all connections ended within the grace time; it closes those
+// that did not.
+func (s *Server) awaitConnections(handlers *sync.WaitGroup) bool {
 	ended := make(chan struct{})
 	go func() {
-		open.Wait()
+		handlers.Wait()
 		close(ended)
 	}()
 	grace := time.NewTimer(s.config.Grace)
@@ -126,50 +131,51 @@
 }
 
 func (s *Server) serve(ctx context.Context, conn net.Conn) {
-	s.keep(conn)
-	defer s.drop(conn)
+	s.trackConn(conn)
+	defer s.closeConn(conn)
 	if ctx.Err() != nil {
 		return
 	}
 	if s.config.TLS != nil {
-		secure := tls.Server(conn, s.config.TLS)
-		if err := handshake(ctx, secure); err != nil {
+		tlsConn := tls.Server(conn, s.config.TLS)
+		if err := handshake(ctx, tlsConn); err != nil {
 			return
 		}
-		conn = secure
+		conn = tlsConn
 	}
 	s.rpc.ServeCodec(serverCodec{
-		wire:  newWire(conn, writeTimeout),
-		slots: make(chan struct{}, s.config.PerConnection),
-		idle:  s.config.Idle * serverIdleFactor,
-		stop:  &s.draining,
+		codec:    newCodec(conn, writeTimeout),
+		slots:    make(chan struct{}, s.config.PerConnection),
+		idle:     s.config.Idle * serverIdleFactor,
+		draining: &s.draining,
 	})
 }
 
-// handshake is bounded in time, so that a client that sends nothing soon frees its place.
+// handshake runs the TLS handshake with a timeout, so that a client that sends nothing does not
+// occupy a connection slot for long.
 func handshake(ctx context.Context, c *tls.Conn) error {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	return c.HandshakeContext(ctx)
 }
 
-func (s *Server) keep(c net.Conn) {
+func (s *Server) trackConn(c net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.conns[c] = struct{}{}
 }
 
-func (s *Server) drop(c net.Conn) {
+func (s *Server) closeConn(c net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, c)
 	_ = c.Close()
 }
 
-// drain takes no further connections and calls; it may be called more than once.
-func (s *Server) drain(l net.Listener) {
+// drain stops accepting connections and reading calls; it may be called more than once.
+func (s *Server) drain(listener net.Listener) {
 	s.draining.Store(true)
-	_ = l.Close()
+	_ = listener.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
--- a/io/peer/tls_test.go
+++ b/io/peer/tls_test.go
@@ -19,6 +19,7 @@
 	"endivehitch/io/peer"
 )
 
+// authority is a certificate authority of the test.
 type authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
@@ -59,34 +60,34 @@
 	return pool
 }
 
-func TestOnlyInstancesOfTheSameAuthorityTalk(t *testing.T) {
+func TestOnlyInstancesWithCertificatesOfSameAuthorityConnect(t *testing.T) {
 	ours, theirs := newAuthority(t), newAuthority(t)
 	server, err := peer.NewServer(peer.ServerConfig{TLS: &tls.Config{
 		Certificates: []tls.Certificate{ours.issue(t)}, ClientAuth: tls.RequireAndVerifyClientCert, ClientCAs: ours.pool(),
 	}})
 	assert.NilError(t, err)
 	ran := make(chan string, 1)
-	assert.NilError(t, echo.Serve(server, func(a wireAsk) (wireTell, error) {
+	assert.NilError(t, echo.Serve(server, func(a wireReq) (wireResp, error) {
 		ran <- a.Text
-		return wireTell(a), nil
+		return wireResp(a), nil
 	}))
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
-	go func() { ended <- server.Serve(ctx, l) }()
-	to := value.Instance{ID: "b", PeerAddress: l.Addr().String()}
+	go func() { ended <- server.Serve(ctx, listener) }()
+	to := value.Instance{ID: "b", PeerAddress: listener.Addr().String()}
 
 	for _, c := range []struct {
 		issuer, trusts authority
-		fits           bool
+		connects       bool
 	}{{ours, ours, true}, {theirs, ours, false}, {ours, theirs, false}} {
 		client, err := peer.NewClient(peer.ClientConfig{TLS: &tls.Config{
 			Certificates: []tls.Certificate{c.issuer.issue(t)}, RootCAs: c.trusts.pool(),
 		}})
 		assert.NilError(t, err)
-		_, err = echo.Call(t.Context(), client, to, wireAsk{Text: "hello"})
-		assert.Equal(t, err == nil, c.fits, "%v", err)
+		_, err = echo.Call(t.Context(), client, to, wireReq{Text: "hello"})
+		assert.Equal(t, err == nil, c.connects, "%v", err)
 		client.Close()
 	}
 	assert.Equal(t, len(ran), 1)
@@ -94,7 +95,7 @@
 	assert.NilError(t, <-ended)
 }
 
-func TestTLSWithoutVerificationIsRefused(t *testing.T) {
+func TestTLSConfigWithoutMutualAuthenticationIsRejected(t *testing.T) {
 	_, err := peer.NewServer(peer.ServerConfig{TLS: &tls.Config{}})
 	assert.ErrorContains(t, err, "does not verify")
 	_, err = peer.NewClient(peer.ClientConfig{TLS: &tls.Config{}})
