--- a/io/lease/hold.go
+++ b/io/lease/hold.go
@@ -15,43 +15,49 @@
 	"endivehitch/io/plat"
 )
 
-// The reasons for changes of a duty's holder.
+// The reasons that are recorded when an instance takes or leaves a duty.
 const (
-	ReasonVacant  value.Reason = "DutyVacant"
-	ReasonEnded   value.Reason = "TermEnded"
-	ReasonDone    value.Reason = "DutyDone"
+	// ReasonVacant means that the duty had no holder, so that this instance took it.
+	ReasonVacant value.Reason = "DutyVacant"
+	// ReasonEnded means that the lease was lost or could not be renewed in time.
+	ReasonEnded value.Reason = "TermEnded"
+	// ReasonDone means that the duty's Run function returned.
+	ReasonDone value.Reason = "DutyDone"
+	// ReasonLeaving means that this instance is shutting down.
 	ReasonLeaving value.Reason = "InstanceLeaving"
 )
 
-// holding is a lease that this instance was granted, with the duty's key under it.
-type holding struct {
-	lease  plat.LeaseID
-	tenure *policy.Cell[fleet.Tenure]
+// acquiredLease is a lease that this instance holds and that the duty's key is bound to.
+type acquiredLease struct {
+	id       plat.LeaseID
+	validity *policy.Cell[fleet.Tenure]
 }
 
-// take grants a lease and puts the duty's key under it; the key's revision is the fencing token.
-func (r *Runner) take(ctx context.Context, duty string) (holding, error) {
+// acquire obtains a lease and binds the duty's key to it by compare-and-swap; the key's revision is
+// the fencing token. If the duty has a holder, the error is a plat.Conflict.
+func (r *Runner) acquire(ctx context.Context, duty string) (acquiredLease, error) {
 	ctx, cancel := context.WithTimeout(ctx, r.Rule.Length-r.Rule.Margin)
 	defer cancel()
-	sent := time.Now()
+	requested := time.Now()
 	id, err := r.Store.Grant(ctx, r.Rule.Length)
 	if err != nil {
-		return holding{}, fmt.Errorf("grant lease for %s: %w", duty, err)
+		return acquiredLease{}, fmt.Errorf("obtain lease for duty %s: %w", duty, err)
 	}
 	key := r.Prefix + duty
-	s, _ := r.Observer.Watch()
-	fence, err := r.Store.Swap(ctx, plat.Swap{Key: key, Value: []byte(s.Self.ID), Lease: id})
+	snapshot, _ := r.Observer.Watch()
+	token, err := r.Store.Swap(ctx, plat.Swap{Key: key, Value: []byte(snapshot.Self.ID), Lease: id})
 	if errors.Is(err, plat.ErrUnknown) {
-		fence, err = r.readBack(ctx, key, id)
+		token, err = r.readBack(ctx, key, id)
 	}
 	if err != nil {
 		r.revoke(ctx, id)
-		return holding{}, fmt.Errorf("take duty %s: %w", duty, err)
+		return acquiredLease{}, fmt.Errorf("acquire duty %s: %w", duty, err)
 	}
-	return holding{lease: id, tenure: policy.NewCell(fleet.NewTenure(r.Rule, fence, sent))}, nil
+	return acquiredLease{id: id, validity: policy.NewCell(fleet.NewTenure(r.Rule, token, requested))}, nil
 }
 
-// readBack finds out whether a swap whose answer was lost took effect.
+// readBack finds out whether a swap whose answer was lost took effect, and returns the key's
+// revision if it did.
 func (r *Runner) readBack(ctx context.Context, key string, id plat.LeaseID) (int64, error) {
 	e, err := r.Store.Get(ctx, key)
 	if err != nil {
@@ -63,68 +69,73 @@
 	return e.Revision, nil
 }
 
-// hold serves the duty until it is done, the term ends, or the instance leaves.
-func (r *Runner) hold(ctx context.Context, d Duty, h holding) error {
-	r.record("DutyTaken", d.Name, ReasonVacant)
-	serving, stop := context.WithCancel(ctx)
+// serveTerm runs the duty until it returns, the term ends or the instance leaves, and then releases
+// the lease.
+func (r *Runner) serveTerm(ctx context.Context, duty Duty, acquired acquiredLease) error {
+	r.recordEvent("DutyTaken", duty.Name, ReasonVacant)
+	dutyCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	var ended sync.WaitGroup
-	why := policy.NewCell(ReasonDone)
+	var helpers sync.WaitGroup
+	endReason := policy.NewCell(ReasonDone)
 	end := func(reason value.Reason) {
-		why.TryUpdate(func(was value.Reason) (value.Reason, bool) { return reason, was == ReasonDone })
+		endReason.TryUpdate(func(current value.Reason) (value.Reason, bool) { return reason, current == ReasonDone })
 		stop()
 	}
-	ended.Go(func() { r.renew(serving, h, end) })
-	ended.Go(func() { r.leave(serving, end) })
-	err := d.Run(serving, Term{rule: r.Rule, tenure: h.tenure})
+	helpers.Go(func() { r.renewUntilEnd(dutyCtx, acquired, end) })
+	helpers.Go(func() { r.awaitLeaving(dutyCtx, end) })
+	err := duty.Run(dutyCtx, Term{rule: r.Rule, validity: acquired.validity})
 	stop()
-	ended.Wait()
-	// Whoever still has the term must not act on it while the next holder does.
-	h.tenure.Update(fleet.Tenure.WithEnd)
-	r.record("DutyLeft", d.Name, why.Get())
-	r.revoke(context.WithoutCancel(ctx), h.lease)
+	helpers.Wait()
+	// Code that still has the term must not act on it any longer, because the next holder may start.
+	acquired.validity.Update(fleet.Tenure.WithEnd)
+	r.recordEvent("DutyLeft", duty.Name, endReason.Get())
+	r.revoke(context.WithoutCancel(ctx), acquired.id)
 	if err != nil && !errors.Is(err, context.Canceled) {
-		return fmt.Errorf("serve duty %s: %w", d.Name, err)
+		return fmt.Errorf("run duty %s: %w", duty.Name, err)
 	}
 	return nil
 }
 
-// renew keeps the lease alive, and ends the duty before the lease can lapse.
-func (r *Runner) renew(ctx context.Context, h holding, end func(value.Reason)) {
+// renewUntilEnd renews the lease until the context ends, and ends the duty before the lease can
+// expire in the key-value service.
+func (r *Runner) renewUntilEnd(ctx context.Context, acquired acquiredLease, end func(value.Reason)) {
 	for {
-		left := h.tenure.Get().Left(time.Now())
-		if left <= 0 {
+		remaining := acquired.validity.Get().Left(time.Now())
+		if remaining <= 0 {
 			end(ReasonEnded)
 			return
 		}
-		clock.Passed(ctx, min(r.Rule.Renew, left))
+		clock.Passed(ctx, min(r.Rule.Renew, remaining))
 		if ctx.Err() != nil {
 			return
 		}
-		if err := r.renewOnce(ctx, h); errors.Is(err, plat.ErrLeaseLost) {
+		if err := r.renewOnce(ctx, acquired); errors.Is(err, plat.ErrLeaseLost) {
 			end(ReasonEnded)
 			return
 		}
 	}
 }
 
-func (r *Runner) renewOnce(ctx context.Context, h holding) error {
-	left := h.tenure.Get().Left(time.Now())
-	ctx, cancel := context.WithTimeout(ctx, min(r.Rule.Renew, max(left, 0)))
+// renewOnce renews the lease. The call must end within the renewal interval, so that a failed one
+// can be retried, and within the term.
+func (r *Runner) renewOnce(ctx context.Context, acquired acquiredLease) error {
+	remaining := acquired.validity.Get().Left(time.Now())
+	ctx, cancel := context.WithTimeout(ctx, min(r.Rule.Renew, max(remaining, 0)))
 	defer cancel()
 	sent := time.Now()
-	granted, err := r.Store.KeepAlive(ctx, h.lease)
+	ttl, err := r.Store.KeepAlive(ctx, acquired.id)
 	if err != nil {
 		return fmt.Errorf("renew lease: %w", err)
 	}
-	h.tenure.Update(func(t fleet.Tenure) fleet.Tenure {
-		return t.WithRenewal(r.Rule, sent, granted, time.Now())
+	acquired.validity.Update(func(t fleet.Tenure) fleet.Tenure {
+		return t.WithRenewal(r.Rule, sent, ttl, time.Now())
 	})
 	return nil
 }
 
-// leave ends the duty when the instance is shutting down, so that another can take it at once.
-func (r *Runner) leave(ctx context.Context, end func(value.Reason)) {
+// awaitLeaving ends the duty when this instance starts to shut down, so that another instance can
+// take it at once.
+func (r *Runner) awaitLeaving(ctx context.Context, end func(value.Reason)) {
 	for {
 		s, changed := r.Observer.Watch()
 		if s.Leaving {
@@ -139,13 +150,13 @@
 	}
 }
 
-// revoke is best effort: a lease that is not revoked lapses.
+// revoke ignores errors: a lease that is not revoked expires.
 func (r *Runner) revoke(ctx context.Context, id plat.LeaseID) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), r.Rule.Renew)
 	defer cancel()
 	_ = r.Store.Revoke(ctx, id)
 }
 
-func (r *Runner) record(what, duty string, why value.Reason) {
-	r.Record(state.Decided{What: what, Subject: duty, Reason: why})
+func (r *Runner) recordEvent(event, duty string, reason value.Reason) {
+	r.Record(state.Decided{What: event, Subject: duty, Reason: reason})
 }
--- a/io/lease/lease_test.go
+++ b/io/lease/lease_test.go
@@ -23,17 +23,17 @@
 
 var rule = fleet.DefaultLeaseRule()
 
-// ledger is what the holders of the test's duty did.
-type ledger struct {
+// termLog records the terms of all holders of the test's duty.
+type termLog struct {
 	mu     sync.Mutex
 	fences []int64
-	// active are the terms that hold themselves to be valid.
-	active map[string]lease.Term
-	most   int
+	// active holds each contender's latest term.
+	active   map[string]lease.Term
+	maxValid int
 }
 
-// note checks at one moment how many holders believe in their terms.
-func (l *ledger) note() {
+// countValid counts the terms that are valid now and keeps the maximum.
+func (l *termLog) countValid() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	valid := 0
@@ -42,33 +42,35 @@
 			valid++
 		}
 	}
-	l.most = max(l.most, valid)
+	l.maxValid = max(l.maxValid, valid)
 }
 
-func (l *ledger) enter(id string, t lease.Term) {
+func (l *termLog) add(id string, t lease.Term) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.active[id] = t
 	l.fences = append(l.fences, t.Fence())
 }
 
+// contender is an instance that contends for the test's duty.
 type contender struct {
 	id    string
 	store *fakes.Store
-	// loseSwap makes the next swap take effect without an answer.
+	// loseSwap makes the next successful swap return ErrUnknown.
 	loseSwap atomic.Bool
 	swaps    atomic.Int64
 	loop     *loop.Loop[state.State, state.Effect]
 	cancel   func()
 }
 
-// losing is a contender's store.
-type losing struct {
+// answerLosingStore is a contender's access to the store; it counts swaps and can lose the answer
+// of one.
+type answerLosingStore struct {
 	plat.Store
 	c *contender
 }
 
-func (l losing) Swap(ctx context.Context, s plat.Swap) (int64, error) {
+func (l answerLosingStore) Swap(ctx context.Context, s plat.Swap) (int64, error) {
 	l.c.swaps.Add(1)
 	revision, err := l.Store.Swap(ctx, s)
 	if err == nil && l.c.loseSwap.CompareAndSwap(true, false) {
@@ -77,48 +79,50 @@
 	return revision, err
 }
 
-type field struct {
+// fixture is a set of contenders for one duty and their common store.
+type fixture struct {
 	embedded   *plat.Embedded
-	ledger     *ledger
+	terms      *termLog
 	contenders []*contender
 }
 
-// newField starts instances that contend for one duty, each with its own way to the same store.
-func newField(t *testing.T, n int) *field {
+// newFixture starts n contenders, each with its own access to the same store, so that tests can
+// inject faults for one of them.
+func newFixture(t *testing.T, n int) *fixture {
 	t.Helper()
 	embedded, err := plat.NewEmbedded(plat.EmbeddedConfig{Now: time.Now, History: 1000})
 	assert.NilError(t, err)
-	f := &field{embedded: embedded, ledger: &ledger{active: make(map[string]lease.Term)}}
+	fx := &fixture{embedded: embedded, terms: &termLog{active: make(map[string]lease.Term)}}
 	for i := range n {
-		f.contenders = append(f.contenders, f.start(t, i, n))
+		fx.contenders = append(fx.contenders, fx.start(t, i, n))
 	}
 	t.Cleanup(func() {
-		for _, c := range f.contenders {
+		for _, c := range fx.contenders {
 			c.cancel()
 		}
-		// Leases that were not revoked lapse, which ends the store's timers.
+		// Leases that were not revoked expire in this time, which ends the store's timers.
 		time.Sleep(time.Minute)
 	})
-	return f
+	return fx
 }
 
 func member(i int) value.Instance {
 	return value.Instance{ID: value.InstanceID("instance-" + strconv.Itoa(i)), State: value.InstanceLive}
 }
 
-func (f *field) start(t *testing.T, i, n int) *contender {
+func (f *fixture) start(t *testing.T, i, n int) *contender {
 	t.Helper()
 	initial := state.New(member(i))
 	for j := range n {
 		initial = initial.WithInstance(member(j))
 	}
-	l, err := loop.New(loop.Config[state.State, state.Effect]{Initial: initial, Now: time.Now, Mailbox: 8})
+	control, err := loop.New(loop.Config[state.State, state.Effect]{Initial: initial, Now: time.Now, Mailbox: 8})
 	assert.NilError(t, err)
-	c := &contender{id: string(member(i).ID), store: fakes.NewStore(f.embedded), loop: l}
+	cont := &contender{id: string(member(i).ID), store: fakes.NewStore(f.embedded), loop: control}
 	r, err := lease.New(lease.Config{
-		Observer: l, Store: losing{Store: c.store, c: c}, Prefix: "endivehitch/duties/", Rule: rule, Seed: uint64(i),
+		Observer: control, Store: answerLosingStore{Store: cont.store, c: cont}, Prefix: "endivehitch/duties/", Rule: rule, Seed: uint64(i),
 		Duties: []lease.Duty{{Name: "placement", Run: func(ctx context.Context, term lease.Term) error {
-			f.ledger.enter(c.id, term)
+			f.terms.add(cont.id, term)
 			<-ctx.Done()
 			return ctx.Err()
 		}}},
@@ -126,28 +130,28 @@
 	assert.NilError(t, err)
 	ctx, cancel := context.WithCancel(t.Context())
 	var ended sync.WaitGroup
-	ended.Go(func() { l.Run(ctx) })
+	ended.Go(func() { control.Run(ctx) })
 	ended.Go(func() {
-		for e := range l.Effects() {
+		for e := range control.Effects() {
 			t.Log(e)
 		}
 	})
 	ended.Go(func() { _ = r.Run(ctx) })
-	c.cancel = func() {
+	cont.cancel = func() {
 		cancel()
 		ended.Wait()
 	}
-	return c
+	return cont
 }
 
-// pass lets time go by and looks all the while for two holders at once.
-func (f *field) pass(d time.Duration) {
+// advance lets the time pass and counts the valid terms every 100 ms.
+func (f *fixture) advance(d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
-		f.ledger.note()
+		f.terms.countValid()
 	}
 }
 
-func (f *field) holder(t *testing.T) *contender {
+func (f *fixture) holder(t *testing.T) *contender {
 	t.Helper()
 	e, err := f.embedded.Get(t.Context(), "endivehitch/duties/placement")
 	assert.NilError(t, err)
@@ -156,83 +160,83 @@
 			return c
 		}
 	}
-	t.Fatal("nobody holds the duty")
+	t.Fatal("no contender holds the duty")
 	return nil
 }
 
-func (f *field) checkTerms(t *testing.T, terms int) {
+func (f *fixture) checkTerms(t *testing.T, count int) {
 	t.Helper()
-	assert.Equal(t, f.ledger.most, 1)
-	assert.Equal(t, len(f.ledger.fences), terms)
-	for i := 1; i < terms; i++ {
-		assert.Assert(t, f.ledger.fences[i] > f.ledger.fences[i-1])
+	assert.Equal(t, f.terms.maxValid, 1)
+	assert.Equal(t, len(f.terms.fences), count)
+	for i := 1; i < count; i++ {
+		assert.Assert(t, f.terms.fences[i] > f.terms.fences[i-1])
 	}
 }
 
-func TestOneInstanceHoldsTheDutyAndKeepsIt(t *testing.T) {
+func TestOneInstanceAcquiresDutyAndRenewsItsLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newField(t, 7)
-		f.pass(4 * time.Minute)
+		f := newFixture(t, 7)
+		f.advance(4 * time.Minute)
 		f.checkTerms(t, 1)
 	})
 }
 
-func TestHolderCutFromTheServiceEndsBeforeItsSuccessorBegins(t *testing.T) {
+func TestHolderCutOffFromStoreStopsBeforeSuccessorStarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newField(t, 7)
-		f.pass(20 * time.Second)
+		f := newFixture(t, 7)
+		f.advance(20 * time.Second)
 		first := f.holder(t)
 		assert.NilError(t, first.store.Set(fakes.Faults{Down: true}))
-		f.pass(rule.Length + 10*time.Second)
+		f.advance(rule.Length + 10*time.Second)
 		assert.Assert(t, f.holder(t) != first)
 		f.checkTerms(t, 2)
 	})
 }
 
-func TestRenewalAnsweredTooLateRevivesNoTerm(t *testing.T) {
+func TestRenewalAnsweredAfterTermEndDoesNotExtendIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newField(t, 3)
-		f.pass(20 * time.Second)
+		f := newFixture(t, 3)
+		f.advance(20 * time.Second)
 		first := f.holder(t)
 		assert.NilError(t, first.store.Set(fakes.Faults{Delay: rule.Length + time.Second}))
-		f.pass(time.Minute)
-		assert.Equal(t, f.ledger.most, 1)
-		assert.Assert(t, len(f.ledger.fences) > 1)
+		f.advance(time.Minute)
+		assert.Equal(t, f.terms.maxValid, 1)
+		assert.Assert(t, len(f.terms.fences) > 1)
 	})
 }
 
-func TestLeavingHolderHandsOverAtOnce(t *testing.T) {
+func TestLeavingHolderHandsDutyOverWithinSeconds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newField(t, 3)
-		f.pass(20 * time.Second)
+		f := newFixture(t, 3)
+		f.advance(20 * time.Second)
 		first := f.holder(t)
 		assert.NilError(t, first.loop.Do(t.Context(), cmds.Leave{}))
-		f.pass(3 * time.Second)
+		f.advance(3 * time.Second)
 		assert.Assert(t, f.holder(t) != first)
 		f.checkTerms(t, 2)
 	})
 }
 
-func TestTakingWhoseAnswerIsLostIsReadBack(t *testing.T) {
+func TestLostSwapAnswerIsResolvedByReadingBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newField(t, 1)
-		f.pass(10 * time.Second)
+		f := newFixture(t, 1)
+		f.advance(10 * time.Second)
 		only := f.contenders[0]
 		only.loseSwap.Store(true)
 		assert.NilError(t, only.store.LapseLeases(t.Context()))
-		f.pass(30 * time.Second)
+		f.advance(30 * time.Second)
 		f.checkTerms(t, 2)
 		assert.Assert(t, !only.loseSwap.Load())
 		assert.Equal(t, only.swaps.Load(), int64(2))
 	})
 }
 
-func TestUnsafeRulesAreRefused(t *testing.T) {
-	late, long, hasty := rule, rule, rule
-	late.Renew = late.Length
-	long.Order = long.Length
-	hasty.Quiet = 0
-	for _, bad := range []fleet.LeaseRule{{}, late, long, hasty} {
+func TestUnsafeLeaseRulesAreRejected(t *testing.T) {
+	slowRenewal, longOrder, noTakeoverDelay := rule, rule, rule
+	slowRenewal.Renew = slowRenewal.Length
+	longOrder.Order = longOrder.Length
+	noTakeoverDelay.Quiet = 0
+	for _, bad := range []fleet.LeaseRule{{}, slowRenewal, longOrder, noTakeoverDelay} {
 		assert.Assert(t, bad.Check() != nil)
 	}
 	assert.NilError(t, rule.Check())
--- a/io/lease/order.go
+++ b/io/lease/order.go
@@ -12,85 +12,91 @@
 	"endivehitch/io/engine"
 )
 
-// ErrNotCarried marks an order that a read back did not confirm; it is to be given again.
-var ErrNotCarried = errors.New("order not confirmed by reading back")
+// ErrNotConfirmed marks an order whose effect was not found when the server was read back; the
+// order has to be sent again.
+var ErrNotConfirmed = errors.New("order had no effect at the backend server")
 
-// Goal is what a backend server is to carry or not.
-type Goal struct {
+// DesiredState says whether a backend server is to have a version loaded.
+type DesiredState struct {
 	Server  value.BackendServer
 	Version value.VersionKey
-	Carry   bool
-	// Fencing says that the server refuses an order with an old fencing token.
+	Loaded  bool
+	// Fencing reports that the server rejects orders with an older fencing token.
 	Fencing bool
 }
 
-// Orders brings backend servers to goals, within a duty's term.
-type Orders struct {
+// Reconciler brings backend servers to their desired state, within a duty's term.
+type Reconciler struct {
 	Commander engine.Commander
 }
 
-// Reach brings the server to the goal and returns once a read back confirms it.
+// Reconcile brings the server to the desired state and returns nil once the server, read back,
+// confirms it.
 //
-// It reads first, so that an order given again changes nothing. An error that wraps
-// ErrTermEnded means that no order was sent.
-func (o Orders) Reach(ctx context.Context, t Term, g Goal) error {
-	if err := awaitQuiet(ctx, t, g); err != nil {
+// It sends no order if the server already is in that state, so that a retry is idempotent. An error
+// that wraps ErrTermEnded means that no order was sent.
+func (r Reconciler) Reconcile(ctx context.Context, term Term, desired DesiredState) error {
+	if err := awaitTakeoverDelay(ctx, term, desired); err != nil {
 		return err
 	}
-	reached, err := o.reached(ctx, t, g)
-	if err != nil || reached {
+	matches, err := r.matches(ctx, term, desired)
+	if err != nil || matches {
 		return err
 	}
-	if err := o.send(ctx, t, g); err != nil {
+	if err := r.sendOrder(ctx, term, desired); err != nil {
 		return err
 	}
-	reached, err = o.reached(ctx, t, g)
+	matches, err = r.matches(ctx, term, desired)
 	if err != nil {
 		return err
 	}
-	if !reached {
-		return fmt.Errorf("%s at %s: %w", g.Version, g.Server.ID, ErrNotCarried)
+	if !matches {
+		return fmt.Errorf("%s at %s: %w", desired.Version, desired.Server.ID, ErrNotConfirmed)
 	}
 	return nil
 }
 
-func awaitQuiet(ctx context.Context, t Term, g Goal) error {
-	if g.Fencing {
+// awaitTakeoverDelay waits until orders of the previous holder can no longer arrive, unless the
+// server rejects those by their fencing token.
+func awaitTakeoverDelay(ctx context.Context, term Term, desired DesiredState) error {
+	if desired.Fencing {
 		return nil
 	}
-	if left := t.QuietLeft(time.Now()); left > 0 {
+	if left := term.TakeoverDelayLeft(time.Now()); left > 0 {
 		clock.Passed(ctx, left)
 	}
 	if err := ctx.Err(); err != nil {
-		return fmt.Errorf("await predecessor's orders: %w: %w", ErrTermEnded, err)
+		return fmt.Errorf("wait for end of previous holder's orders: %w: %w", ErrTermEnded, err)
 	}
 	return nil
 }
 
-func (o Orders) reached(ctx context.Context, t Term, g Goal) (bool, error) {
-	ctx, cancel := context.WithTimeout(ctx, t.rule.Order)
+// matches reads back whether the server is in the desired state.
+func (r Reconciler) matches(ctx context.Context, term Term, desired DesiredState) (bool, error) {
+	ctx, cancel := context.WithTimeout(ctx, term.rule.Order)
 	defer cancel()
-	carried, err := o.Commander.Carried(ctx, g.Server)
+	loaded, err := r.Commander.Carried(ctx, desired.Server)
 	if err != nil {
-		return false, fmt.Errorf("read back %s: %w", g.Server.ID, err)
+		return false, fmt.Errorf("read loaded versions of %s: %w", desired.Server.ID, err)
 	}
-	return slices.Contains(carried, g.Version) == g.Carry, nil
+	return slices.Contains(loaded, desired.Version) == desired.Loaded, nil
 }
 
-// send checks the term as late as possible and bounds the order by it.
-func (o Orders) send(ctx context.Context, t Term, g Goal) error {
-	ctx, cancel := context.WithTimeout(ctx, t.rule.Order)
+// sendOrder sends a load or unload order. It checks the term right before and bounds the order's
+// time, so that the order ends within the term.
+func (r Reconciler) sendOrder(ctx context.Context, term Term, desired DesiredState) error {
+	ctx, cancel := context.WithTimeout(ctx, term.rule.Order)
 	defer cancel()
-	if !t.MayOrder(time.Now()) {
-		return fmt.Errorf("order %s: %w", g.Server.ID, ErrTermEnded)
+	if !term.CanSendOrder(time.Now()) {
+		return fmt.Errorf("send order to %s: %w", desired.Server.ID, ErrTermEnded)
 	}
 	verb := engine.OrderUnload
-	if g.Carry {
+	if desired.Loaded {
 		verb = engine.OrderLoad
 	}
-	order := engine.Order{Verb: verb, Version: g.Version, Fence: t.Fence()}
-	if err := o.Commander.Send(ctx, g.Server, order); err != nil {
-		return fmt.Errorf("order %s: %w", g.Server.ID, err)
+	order := engine.Order{Verb: verb, Version: desired.Version, Fence: term.Fence()}
+	if err := r.Commander.Send(ctx, desired.Server, order); err != nil {
+		return fmt.Errorf("send order to %s: %w", desired.Server.ID, err)
 	}
 	return nil
 }
--- a/io/lease/order_test.go
+++ b/io/lease/order_test.go
@@ -15,87 +15,87 @@
 	"endivehitch/io/lease"
 )
 
-// server is a backend server that takes orders.
-type server struct {
-	mu      sync.Mutex
-	carried []value.VersionKey
-	orders  []engine.Order
-	times   []time.Time
-	// deaf servers answer orders without carrying them out.
-	deaf bool
-	// onRead is called before each read back.
+// fakeServer stands for a backend server and records the orders that it receives.
+type fakeServer struct {
+	mu     sync.Mutex
+	loaded []value.VersionKey
+	orders []engine.Order
+	times  []time.Time
+	// ignoresOrders makes the server confirm orders without carrying them out.
+	ignoresOrders bool
+	// onRead is called before each read of the loaded versions.
 	onRead func()
 }
 
-func (s *server) Send(_ context.Context, _ value.BackendServer, o engine.Order) error {
+func (s *fakeServer) Send(_ context.Context, _ value.BackendServer, o engine.Order) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.orders = append(s.orders, o)
 	s.times = append(s.times, time.Now())
-	if !s.deaf && o.Verb == engine.OrderLoad {
-		s.carried = append(s.carried, o.Version)
+	if !s.ignoresOrders && o.Verb == engine.OrderLoad {
+		s.loaded = append(s.loaded, o.Version)
 	}
 	return nil
 }
 
-func (s *server) Carried(context.Context, value.BackendServer) ([]value.VersionKey, error) {
+func (s *fakeServer) Carried(context.Context, value.BackendServer) ([]value.VersionKey, error) {
 	if s.onRead != nil {
 		s.onRead()
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Clone(s.carried), nil
+	return slices.Clone(s.loaded), nil
 }
 
-// inTerm runs the function as the only contender's duty and returns its error.
+// inTerm runs the function with the term of a fleet's only contender and returns its error.
 func inTerm(t *testing.T, f func(ctx context.Context, term lease.Term) error) error {
 	t.Helper()
-	field := newField(t, 1)
-	field.pass(time.Second)
-	return f(t.Context(), field.ledger.active[field.contenders[0].id])
+	fx := newFixture(t, 1)
+	fx.advance(time.Second)
+	return f(t.Context(), fx.terms.active[fx.contenders[0].id])
 }
 
-var load = lease.Goal{Server: value.BackendServer{ID: "s1"}, Version: "m/v2", Carry: true}
+var loadV2 = lease.DesiredState{Server: value.BackendServer{ID: "s1"}, Version: "m/v2", Loaded: true}
 
-func TestOrderWaitsAfterAChangeOfHolderAndConverges(t *testing.T) {
+func TestNewHolderWaitsBeforeOrderAndSendsItOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := new(server)
-		begun := time.Now()
+		backend := new(fakeServer)
+		start := time.Now()
 		err := inTerm(t, func(ctx context.Context, term lease.Term) error {
 			for range 3 {
-				assert.NilError(t, lease.Orders{Commander: s}.Reach(ctx, term, load))
+				assert.NilError(t, lease.Reconciler{Commander: backend}.Reconcile(ctx, term, loadV2))
 			}
 			return nil
 		})
 		assert.NilError(t, err)
-		assert.Equal(t, len(s.orders), 1)
-		assert.Assert(t, s.orders[0].Fence > 0)
-		assert.Assert(t, s.times[0].Sub(begun) >= rule.Quiet)
+		assert.Equal(t, len(backend.orders), 1)
+		assert.Assert(t, backend.orders[0].Fence > 0)
+		assert.Assert(t, backend.times[0].Sub(start) >= rule.Quiet)
 	})
 }
 
-func TestHolderPausedWhileReadingSendsNothingOnWaking(t *testing.T) {
+func TestHolderPausedDuringReadBackSendsNoOrderAfterTermEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		field := newField(t, 1)
-		field.pass(10 * time.Second)
-		only := field.contenders[0]
-		term := field.ledger.active[only.id]
-		s := &server{onRead: func() {
+		fx := newFixture(t, 1)
+		fx.advance(10 * time.Second)
+		only := fx.contenders[0]
+		term := fx.terms.active[only.id]
+		backend := &fakeServer{onRead: func() {
 			only.cancel()
 			time.Sleep(rule.Length)
 		}}
-		err := lease.Orders{Commander: s}.Reach(t.Context(), term, load)
+		err := lease.Reconciler{Commander: backend}.Reconcile(t.Context(), term, loadV2)
 		assert.ErrorIs(t, err, lease.ErrTermEnded)
-		assert.Equal(t, len(s.orders), 0)
+		assert.Equal(t, len(backend.orders), 0)
 	})
 }
 
-func TestOrderThatHadNoEffectIsReported(t *testing.T) {
+func TestOrderWithoutEffectReturnsErrNotConfirmed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &server{deaf: true}
+		backend := &fakeServer{ignoresOrders: true}
 		err := inTerm(t, func(ctx context.Context, term lease.Term) error {
-			return lease.Orders{Commander: s}.Reach(ctx, term, load)
+			return lease.Reconciler{Commander: backend}.Reconcile(ctx, term, loadV2)
 		})
-		assert.ErrorIs(t, err, lease.ErrNotCarried)
+		assert.ErrorIs(t, err, lease.ErrNotConfirmed)
 	})
 }
--- a/io/lease/placer.go
+++ b/io/lease/placer.go
@@ -12,68 +12,71 @@
 	"endivehitch/io/plat"
 )
 
-// PlacerConfig sets up the duty of placement.
+// PlacerConfig configures the placement duty.
 type PlacerConfig struct {
 	Snapshot func() state.State
-	// Wants returns the demand and the sessions of the moment; its Loads are set from the weight store.
-	Wants   func() query.Wants
-	Weights plat.WeightStore
-	Orders  Orders
-	Rule    query.PlaceRule
-	// Every is the time between passes.
-	Every time.Duration
-	// Record takes each placement decision.
+	// Demand returns the present demand and sessions; the placer sets Loads from the weight store.
+	Demand     func() query.Wants
+	Weights    plat.WeightStore
+	Reconciler Reconciler
+	Rule       query.PlaceRule
+	// Interval is the time between placement passes.
+	Interval time.Duration
+	// Record is called with each placement decision.
 	Record func(state.Decided)
 }
 
-// NewPlacement returns the duty that brings backend servers to what is wanted of them.
-func NewPlacement(c PlacerConfig) (Duty, error) {
+// NewPlacement returns the duty that loads and unloads versions at backend servers as demand
+// requires.
+func NewPlacement(config PlacerConfig) (Duty, error) {
 	switch {
-	case c.Snapshot == nil || c.Wants == nil || c.Weights == nil || c.Orders.Commander == nil || c.Record == nil:
-		return Duty{}, errors.New("placement: incomplete configuration")
-	case c.Every <= 0 || c.Rule.VersionsPerServer < 1 || c.Rule.Domains < 1:
-		return Duty{}, errors.New("placement: incomplete rule")
+	case config.Snapshot == nil || config.Demand == nil || config.Weights == nil || config.Reconciler.Commander == nil || config.Record == nil:
+		return Duty{}, errors.New("placement: a function, Weights or Reconciler is not set")
+	case config.Interval <= 0 || config.Rule.VersionsPerServer < 1 || config.Rule.Domains < 1:
+		return Duty{}, errors.New("placement: Interval, VersionsPerServer and Domains must be positive")
 	}
-	p := placer{PlacerConfig: c}
+	p := placer{PlacerConfig: config}
 	return Duty{Name: "placement", Run: p.run}, nil
 }
 
+// placer runs the placement duty.
 type placer struct {
 	PlacerConfig
 }
 
 func (p placer) run(ctx context.Context, t Term) error {
 	for ctx.Err() == nil {
-		// What failed is still wanted in the next pass.
-		if err := p.pass(ctx, t); errors.Is(err, ErrTermEnded) {
+		// Other errors are ignored: the next pass plans again and retries what failed.
+		if err := p.runPass(ctx, t); errors.Is(err, ErrTermEnded) {
 			return err
 		}
-		clock.Passed(ctx, p.Every)
+		clock.Passed(ctx, p.Interval)
 	}
 	return fmt.Errorf("place versions: %w", ctx.Err())
 }
 
-func (p placer) pass(ctx context.Context, t Term) error {
-	wants := p.Wants()
+// runPass plans the placement and carries out its orders until one fails.
+func (p placer) runPass(ctx context.Context, term Term) error {
+	demand := p.Demand()
 	loads, err := p.Weights.Available(ctx)
 	if err != nil {
-		// Without the weight store only unloads are possible.
+		// While the weight store is unreachable, versions can only be unloaded.
 		loads = 0
 	}
-	wants.Loads = loads
-	s := p.Snapshot()
-	for _, o := range query.Place(s, p.Rule, wants) {
-		pool, _ := s.Pool(o.Server.Pool)
-		p.Record(state.Decided{What: what(o), Subject: string(o.Version) + " at " + string(o.Server.ID), Reason: o.Reason})
-		goal := Goal{Server: o.Server, Version: o.Version, Carry: o.Carry, Fencing: pool.Fencing}
-		if err := p.Orders.Reach(ctx, t, goal); err != nil {
+	demand.Loads = loads
+	snapshot := p.Snapshot()
+	for _, order := range query.Place(snapshot, p.Rule, demand) {
+		pool, _ := snapshot.Pool(order.Server.Pool)
+		p.Record(state.Decided{What: eventName(order), Subject: string(order.Version) + " at " + string(order.Server.ID), Reason: order.Reason})
+		desired := DesiredState{Server: order.Server, Version: order.Version, Loaded: order.Carry, Fencing: pool.Fencing}
+		if err := p.Reconciler.Reconcile(ctx, term, desired); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func what(o query.Placement) string {
+func eventName(o query.Placement) string {
 	if o.Carry {
 		return "PlacementLoad"
 	}
--- a/io/lease/placer_test.go
+++ b/io/lease/placer_test.go
@@ -15,13 +15,13 @@
 	"endivehitch/io/plat"
 )
 
-type weights struct{ err error }
+type fakeWeightStore struct{ err error }
 
-func (w weights) Available(context.Context) (int, error) {
+func (w fakeWeightStore) Available(context.Context) (int, error) {
 	return 1, w.err
 }
 
-func placement(t *testing.T, w plat.WeightStore, s *server, logged *[]state.Decided) lease.Duty {
+func newPlacement(t *testing.T, weights plat.WeightStore, backend *fakeServer, decisions *[]state.Decided) lease.Duty {
 	t.Helper()
 	document := value.Document{
 		Models: []value.Model{{Name: "m", Versions: []value.Version{{Name: "v1", Pool: "p"}}}},
@@ -30,44 +30,44 @@
 	snapshot := state.New(member(0)).WithConfig(value.Accepted{Document: document, Revision: 1}).
 		WithServer(value.BackendServer{ID: "s1", Pool: "p", State: value.ServerLive})
 	d, err := lease.NewPlacement(lease.PlacerConfig{
-		Snapshot: func() state.State { return snapshot },
-		Wants:    func() query.Wants { return query.Wants{} },
-		Weights:  w,
-		Orders:   lease.Orders{Commander: s},
-		Rule:     query.PlaceRule{VersionsPerServer: 2, Domains: 2},
-		Every:    10 * time.Second,
-		Record:   func(d state.Decided) { *logged = append(*logged, d) },
+		Snapshot:   func() state.State { return snapshot },
+		Demand:     func() query.Wants { return query.Wants{} },
+		Weights:    weights,
+		Reconciler: lease.Reconciler{Commander: backend},
+		Rule:       query.PlaceRule{VersionsPerServer: 2, Domains: 2},
+		Interval:   10 * time.Second,
+		Record:     func(d state.Decided) { *decisions = append(*decisions, d) },
 	})
 	assert.NilError(t, err)
 	return d
 }
 
-func TestPlacementGivesEachOrderOnceAndLogsIt(t *testing.T) {
+func TestPlacementSendsEachOrderOnceAndRecordsIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := new(server)
-		var logged []state.Decided
+		backend := new(fakeServer)
+		var decisions []state.Decided
 		err := inTerm(t, func(ctx context.Context, term lease.Term) error {
 			ctx, cancel := context.WithTimeout(ctx, time.Minute)
 			defer cancel()
-			return placement(t, weights{}, s, &logged).Run(ctx, term)
+			return newPlacement(t, fakeWeightStore{}, backend, &decisions).Run(ctx, term)
 		})
 		assert.ErrorIs(t, err, context.DeadlineExceeded)
-		assert.Equal(t, len(s.orders), 1)
-		assert.Equal(t, logged[0].What, "PlacementLoad")
-		assert.Equal(t, logged[0].Reason, query.ReasonNoCarrier)
+		assert.Equal(t, len(backend.orders), 1)
+		assert.Equal(t, decisions[0].What, "PlacementLoad")
+		assert.Equal(t, decisions[0].Reason, query.ReasonNoCarrier)
 	})
 }
 
-func TestPlacementLoadsNothingWhileTheWeightStoreIsAway(t *testing.T) {
+func TestPlacementLoadsNothingWhileWeightStoreIsUnreachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := new(server)
-		var logged []state.Decided
+		backend := new(fakeServer)
+		var decisions []state.Decided
 		err := inTerm(t, func(ctx context.Context, term lease.Term) error {
 			ctx, cancel := context.WithTimeout(ctx, time.Minute)
 			defer cancel()
-			return placement(t, weights{err: plat.ErrUnavailable}, s, &logged).Run(ctx, term)
+			return newPlacement(t, fakeWeightStore{err: plat.ErrUnavailable}, backend, &decisions).Run(ctx, term)
 		})
 		assert.ErrorIs(t, err, context.DeadlineExceeded)
-		assert.Equal(t, len(s.orders), 0)
+		assert.Equal(t, len(backend.orders), 0)
 	})
 }
--- a/io/lease/runner.go
+++ b/io/lease/runner.go
@@ -19,47 +19,48 @@
 )
 
 const (
-	backoffFirst = time.Second
-	backoffLimit = 30 * time.Second
+	initialBackoff = time.Second
+	maxBackoff     = 30 * time.Second
 )
 
-// Duty is work that one instance of the fleet does at a time.
+// Duty is a singleton task of the fleet, run by the instance that holds its lease.
 type Duty struct {
 	Name string
-	// Run works until the context ends, which is at the latest when the term does.
+	// Run runs the task until the context ends, which is no later than the end of the term.
 	Run func(ctx context.Context, t Term) error
 }
 
-// Observer reads the control state and learns of its changes; *loop.Loop is one.
+// Observer gives access to the control state and its changes; *loop.Loop implements it.
 type Observer interface {
-	// Watch returns the latest state and a channel that is closed once there is a newer one.
+	// Watch returns the latest state and a channel that is closed when there is a newer one.
 	Watch() (state.State, <-chan struct{})
 }
 
-// Config sets up a Runner.
+// Config configures a Runner.
 type Config struct {
 	Observer Observer
 	Store    plat.Store
-	// Prefix is where the duties' keys are kept.
+	// Prefix is the prefix of the duties' keys in the key-value service.
 	Prefix string
 	Rule   fleet.LeaseRule
 	Duties []Duty
-	// Record takes each change of a duty's holder; nil means none.
+	// Record is called when this instance takes or leaves a duty; it may be nil.
 	Record func(state.Decided)
-	Seed   uint64
+	// Seed makes the jitter of the backoff reproducible.
+	Seed uint64
 }
 
-// Runner contends for duties and serves those that it gets.
+// Runner contends for the leases of its duties and runs each duty while it holds the lease.
 type Runner struct {
 	Config
 	mu  sync.Mutex
 	rnd *rand.Rand
 }
 
-// New returns a runner, or an error that names what the configuration lacks.
+// New returns a runner, or an error if the configuration is incomplete or the lease rule is unsafe.
 func New(c Config) (*Runner, error) {
 	if c.Observer == nil || c.Store == nil {
-		return nil, errors.New("lease: no control state or no store")
+		return nil, errors.New("lease: Observer or Store is not set")
 	}
 	if err := c.Rule.Check(); err != nil {
 		return nil, err
@@ -70,25 +71,27 @@
 	return &Runner{Config: c, rnd: rand.New(rand.NewPCG(c.Seed, 2))}, nil
 }
 
-// Run serves duties until the context ends.
+// Run contends for all duties and runs those that it acquires, until the context ends.
 func (r *Runner) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	for _, d := range r.Duties {
 		g.Go(func() error {
-			r.serve(ctx, d)
+			r.contendRepeatedly(ctx, d)
 			return nil
 		})
 	}
 	if err := g.Wait(); err != nil {
-		return fmt.Errorf("serve duties: %w", err)
+		return fmt.Errorf("run duties: %w", err)
 	}
 	return nil
 }
 
-func (r *Runner) serve(ctx context.Context, d Duty) {
-	backoff := policy.Backoff{First: backoffFirst, Limit: backoffLimit}
-	for r.awaitCandidacy(ctx, d.Name) {
-		err := r.contend(ctx, d)
+// contendRepeatedly contends for the duty whenever this instance is a candidate; it backs off after
+// failures and ends with the context.
+func (r *Runner) contendRepeatedly(ctx context.Context, duty Duty) {
+	backoff := policy.Backoff{First: initialBackoff, Limit: maxBackoff}
+	for r.awaitCandidacy(ctx, duty.Name) {
+		err := r.contend(ctx, duty)
 		backoff = backoff.WithFailure()
 		if err == nil {
 			backoff = backoff.WithSuccess()
@@ -97,7 +100,8 @@
 	}
 }
 
-// awaitCandidacy returns false once the context has ended.
+// awaitCandidacy waits until this instance is a candidate for the duty; it returns false if the
+// context ends first.
 func (r *Runner) awaitCandidacy(ctx context.Context, duty string) bool {
 	for ctx.Err() == nil {
 		s, changed := r.Observer.Watch()
@@ -113,20 +117,21 @@
 	return false
 }
 
-// contend takes the duty and serves it, or waits until its holder is gone.
+// contend acquires and runs the duty, or waits until the present holder has released it.
 func (r *Runner) contend(ctx context.Context, d Duty) error {
-	h, err := r.take(ctx, d.Name)
-	var taken plat.Conflict
-	if errors.As(err, &taken) {
-		return r.awaitVacancy(ctx, taken.Present)
+	acquired, err := r.acquire(ctx, d.Name)
+	var conflict plat.Conflict
+	if errors.As(err, &conflict) {
+		return r.awaitVacancy(ctx, conflict.Present)
 	}
 	if err != nil {
 		return err
 	}
-	return r.hold(ctx, d, h)
+	return r.serveTerm(ctx, d, acquired)
 }
 
-// awaitVacancy ends when the key is deleted, when the watch breaks off, or with the candidacy.
+// awaitVacancy returns when the duty's key is deleted, when the watch ends, or after
+// query.DutyRotation, when other instances have become candidates.
 func (r *Runner) awaitVacancy(ctx context.Context, held plat.Entry) error {
 	ctx, cancel := context.WithTimeout(ctx, query.DutyRotation)
 	defer cancel()
@@ -142,6 +147,7 @@
 	return nil
 }
 
+// delay returns the backoff's next delay with jitter.
 func (r *Runner) delay(b policy.Backoff) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/io/lease/term.go
+++ b/io/lease/term.go
@@ -8,31 +8,32 @@
 	"endivehitch/core/policy"
 )
 
-// ErrTermEnded marks an action that was not taken because the lease may have lapsed.
+// ErrTermEnded marks an action that was not taken because the lease may have expired.
 var ErrTermEnded = errors.New("term ended")
 
-// Term is one instance's time in a duty.
+// Term is the time for which one instance holds a duty; it is safe for concurrent use.
 type Term struct {
-	rule   fleet.LeaseRule
-	tenure *policy.Cell[fleet.Tenure]
+	rule     fleet.LeaseRule
+	validity *policy.Cell[fleet.Tenure]
 }
 
 // Fence returns the fencing token, which grows with each holder of the duty.
 func (t Term) Fence() int64 {
-	return t.tenure.Get().Fence
+	return t.validity.Get().Fence
 }
 
-// Valid reports whether the holder may still act; it is asked before each action.
+// Valid reports whether the holder may still act; the duty has to check it before each action.
 func (t Term) Valid(now time.Time) bool {
-	return t.tenure.Get().Valid(now)
+	return t.validity.Get().Valid(now)
 }
 
-// MayOrder reports whether an order to a backend server, begun now, ends well inside the term.
-func (t Term) MayOrder(now time.Time) bool {
-	return t.tenure.Get().MayOrder(t.rule, now)
+// CanSendOrder reports whether an order to a backend server that is sent now ends within the term.
+func (t Term) CanSendOrder(now time.Time) bool {
+	return t.validity.Get().MayOrder(t.rule, now)
 }
 
-// QuietLeft returns how long to wait before ordering servers that ignore fencing tokens.
-func (t Term) QuietLeft(now time.Time) time.Duration {
-	return t.tenure.Get().QuietLeft(t.rule, now)
+// TakeoverDelayLeft returns how long the holder has to wait before it sends orders to servers that
+// ignore fencing tokens.
+func (t Term) TakeoverDelayLeft(now time.Time) time.Duration {
+	return t.validity.Get().QuietLeft(t.rule, now)
 }
