--- a/io/stage/feeder.go
+++ b/io/stage/feeder.go
@@ -16,70 +16,73 @@
 	"endivehitch/io/plat"
 )
 
-// FeederConfig sets up a Feeder.
+// FeederConfig configures a Feeder.
 type FeederConfig struct {
-	// Drain returns the runs counted since its last call.
+	// Drain returns the attempts counted since its last call.
 	Drain func() []value.Runs
-	// Ratings may be nil where there is no rating service.
+	// Ratings is the rating service; nil means that there is none.
 	Ratings plat.RatingService
-	// Caller reaches the other instances; without one the instance watches its own runs only.
-	Caller   peer.Caller
+	// Caller calls other instances; if it is nil, the instance evaluates only its own attempts.
+	Caller peer.Caller
+	// Snapshot returns the latest control state.
 	Snapshot func() state.State
-	// Do applies a command to the control state.
+	// Do runs a command in the control loop.
 	Do func(context.Context, Command) error
-	// Failed takes the errors after which the feeder goes on.
+	// Failed is called with each error after which the feeder continues.
 	Failed func(error)
 	Now    func() time.Time
-	// Every is the time between two looks at runs and ratings.
+	// Every is the time between reads of the ratings, and the shortest time between reports of
+	// attempts.
 	Every time.Duration
 }
 
-// Feeder brings runs and ratings to the control state and takes the due steps of roll-outs.
+// Feeder reports attempts to the instances that evaluate them, passes ratings to the control state
+// and takes the due steps of roll-outs.
 type Feeder struct {
 	config FeederConfig
-	// unsent holds the runs that have not reached their watcher; Run's goroutine owns it.
+	// unsent holds the counts that have not been reported yet; only Run's goroutine accesses it.
 	unsent map[value.VersionKey]value.Runs
 }
 
-// NewFeeder returns a feeder, or an error that names what the configuration lacks.
-func NewFeeder(c FeederConfig) (*Feeder, error) {
+// NewFeeder returns a feeder, or an error that names the missing setting.
+func NewFeeder(config FeederConfig) (*Feeder, error) {
 	switch {
-	case c.Drain == nil:
-		return nil, errors.New("feeder: no runs")
-	case c.Snapshot == nil:
-		return nil, errors.New("feeder: no snapshot")
-	case c.Do == nil:
-		return nil, errors.New("feeder: no control loop")
-	case c.Failed == nil:
-		return nil, errors.New("feeder: no one to tell of failures")
-	case c.Now == nil:
-		return nil, errors.New("feeder: no clock")
-	case c.Every <= 0:
-		return nil, errors.New("feeder: no time between looks")
+	case config.Drain == nil:
+		return nil, errors.New("feeder: Drain is not set")
+	case config.Snapshot == nil:
+		return nil, errors.New("feeder: Snapshot is not set")
+	case config.Do == nil:
+		return nil, errors.New("feeder: Do is not set")
+	case config.Failed == nil:
+		return nil, errors.New("feeder: Failed is not set")
+	case config.Now == nil:
+		return nil, errors.New("feeder: Now is not set")
+	case config.Every <= 0:
+		return nil, errors.New("feeder: Every must be positive")
 	}
-	return &Feeder{config: c, unsent: make(map[value.VersionKey]value.Runs)}, nil
+	return &Feeder{config: config, unsent: make(map[value.VersionKey]value.Runs)}, nil
 }
 
-// ratingsAtOnce bounds how long one batch keeps the control loop, also when an instance that starts
-// reads the ratings of a whole week.
-const ratingsAtOnce = 256
+// ratingsPerCommand bounds the ratings of one command, and with them the time for which it occupies
+// the control loop. An instance that starts may read the ratings of a whole week at once.
+const ratingsPerCommand = 256
 
-// Run feeds until the context ends.
+// Run reads ratings and reports attempts until the context ends.
 func (f *Feeder) Run(ctx context.Context) error {
 	cursor := ""
 	reported := f.config.Now()
 	for clock.Passed(ctx, f.config.Every) {
-		cursor = f.feedRatings(ctx, cursor)
-		if now := f.config.Now(); now.Sub(reported) >= f.pace() {
+		cursor = f.readRatings(ctx, cursor)
+		if now := f.config.Now(); now.Sub(reported) >= f.reportInterval() {
 			reported = now
-			f.gather(ctx)
+			f.reportAttempts(ctx)
 		}
 	}
 	return nil
 }
 
-// Step takes the steps that are due; one instance does it at a time, and a second one does no harm,
-// because a repeated step changes nothing.
+// Step takes the roll-out steps that are due. One instance of the fleet does this at a time; a
+// second one does no harm, because steps are idempotent.
 func (f *Feeder) Step(ctx context.Context) error {
 	for _, d := range query.Due(f.config.Snapshot(), f.config.Now()) {
 		var c Command = cmds.AdvanceRollOut{Name: d.RollOut, Stage: d.Stage}
@@ -93,34 +96,36 @@
 	return nil
 }
 
-// feedRatings returns the cursor after what was read, or the same one while the service is away.
-func (f *Feeder) feedRatings(ctx context.Context, cursor string) string {
+// readRatings passes new ratings to the control state and returns the cursor after them, or the
+// same cursor if they could not be read or passed on.
+func (f *Feeder) readRatings(ctx context.Context, cursor string) string {
 	if f.config.Ratings == nil {
 		return cursor
 	}
-	list, next, err := f.config.Ratings.Ratings(ctx, cursor)
+	entries, next, err := f.config.Ratings.Ratings(ctx, cursor)
 	if err != nil {
-		f.report(ctx, fmt.Errorf("read ratings: %w", err))
+		f.reportError(ctx, fmt.Errorf("read ratings: %w", err))
 		return cursor
 	}
-	if len(list) == 0 {
+	if len(entries) == 0 {
 		return next
 	}
-	ratings := make([]value.Rating, len(list))
-	for i, r := range list {
+	ratings := make([]value.Rating, len(entries))
+	for i, r := range entries {
 		ratings[i] = value.Rating{Kind: r.Kind, Version: r.Version, Accepted: r.Accepted, Rate: r.Rate, At: r.At}
 	}
-	for part := range slices.Chunk(ratings, ratingsAtOnce) {
-		if err := f.config.Do(ctx, cmds.ObserveRatings{Ratings: part}); err != nil {
-			// The control loop has ended: there is no one left to tell of the rest.
-			f.report(ctx, err)
+	for batch := range slices.Chunk(ratings, ratingsPerCommand) {
+		if err := f.config.Do(ctx, cmds.ObserveRatings{Ratings: batch}); err != nil {
+			// The control loop has ended, so the remaining batches would fail too.
+			f.reportError(ctx, err)
 			return cursor
 		}
 	}
 	return next
 }
 
-func (f *Feeder) report(ctx context.Context, err error) {
+// reportError passes on an error, unless the context has ended.
+func (f *Feeder) reportError(ctx context.Context, err error) {
 	if err != nil && ctx.Err() == nil {
 		f.config.Failed(err)
 	}
--- a/io/stage/gather.go
+++ b/io/stage/gather.go
@@ -12,10 +12,11 @@
 	"endivehitch/io/peer"
 )
 
-// runsMethod is the method by which a version's watcher takes the runs that other instances counted.
-var runsMethod = peer.Method[wireRuns, wireTaken]{Name: "Stage.Runs"}
+// methodRuns reports the attempts that an instance counted to the instance that evaluates the
+// version.
+var methodRuns = peer.Method[wireRuns, wireTaken]{Name: "Stage.Runs"}
 
-// wireRuns is a count of runs on its way to the version's watcher.
+// wireRuns holds the attempts of one version that an instance counted.
 type wireRuns struct {
 	Version value.VersionKey
 	Total   int
@@ -24,26 +25,29 @@
 	Costly  int
 }
 
-// wireTaken is the watcher's reply.
+// wireTaken confirms a report.
 type wireTaken struct {
+	// Total is the number of attempts that were counted.
 	Total int
 }
 
 const (
-	// reportsPerSecond bounds the reports that one watcher receives from the whole fleet.
-	reportsPerSecond = 100
-	reportTimeout    = 2 * time.Second
+	// maxReportsPerSecond bounds the reports per version that its evaluating instance receives from
+	// the whole fleet.
+	maxReportsPerSecond = 100
+	reportTimeout       = 2 * time.Second
 )
 
-// Register takes in the runs that other instances report.
+// Register registers the method by which other instances report attempts.
 func (f *Feeder) Register(r peer.Registrar) error {
-	if err := runsMethod.Serve(r, f.take); err != nil {
-		return fmt.Errorf("offer watch: %w", err)
+	if err := methodRuns.Serve(r, f.handleReport); err != nil {
+		return fmt.Errorf("register method for attempt reports: %w", err)
 	}
 	return nil
 }
 
-func (f *Feeder) take(w wireRuns) (wireTaken, error) {
+// handleReport passes another instance's attempts to the control state.
+func (f *Feeder) handleReport(w wireRuns) (wireTaken, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 	defer cancel()
 	if err := f.config.Do(ctx, cmds.ObserveRuns{Runs: []value.Runs{value.Runs(w)}}); err != nil {
@@ -52,43 +56,49 @@
 	return wireTaken{Total: w.Total}, nil
 }
 
-// gather brings each version's runs to its watcher, so that one test sees the runs of the whole
-// fleet: tests at each instance would each need as many runs, and their false alarms would add up.
-func (f *Feeder) gather(ctx context.Context) {
-	for _, runs := range f.config.Drain() {
-		f.unsent[runs.Version] = f.unsent[runs.Version].WithRuns(runs)
+// reportAttempts reports each version's attempts to the instance that evaluates it, which is the
+// owner of the version's hash slot. One test thus counts the attempts of the whole fleet; separate
+// tests at each instance would each need as many attempts, and their false alarms would add up.
+func (f *Feeder) reportAttempts(ctx context.Context) {
+	for _, counts := range f.config.Drain() {
+		f.unsent[counts.Version] = f.unsent[counts.Version].WithRuns(counts)
 	}
-	for k, runs := range f.unsent {
-		err := f.send(ctx, runs)
+	for key, counts := range f.unsent {
+		err := f.send(ctx, counts)
 		if errors.Is(err, peer.ErrUnreachable) {
-			// Another instance will own the version's slot soon.
-			f.report(ctx, err)
+			// The counts stay in unsent for the next report. By then another instance may own the version's
+			// hash slot.
+			f.reportError(ctx, err)
 			continue
 		}
-		// Runs that may have been counted are not sent again: a run counted twice could raise a false alarm.
-		f.report(ctx, err)
-		delete(f.unsent, k)
+		// After any other error the report may have arrived. It is not sent again, because attempts that
+		// are counted twice could cause a false alarm.
+		f.reportError(ctx, err)
+		delete(f.unsent, key)
 	}
 }
 
-func (f *Feeder) send(ctx context.Context, runs value.Runs) error {
+// send passes the attempts to the evaluating instance, which may be this one.
+func (f *Feeder) send(ctx context.Context, counts value.Runs) error {
 	s := f.config.Snapshot()
-	owner, ok := query.Owner(s, query.Slot(string(runs.Version)))
+	owner, ok := query.Owner(s, query.Slot(string(counts.Version)))
 	if !ok || owner.ID == s.Self.ID || f.config.Caller == nil {
-		return f.config.Do(ctx, cmds.ObserveRuns{Runs: []value.Runs{runs}})
+		return f.config.Do(ctx, cmds.ObserveRuns{Runs: []value.Runs{counts}})
 	}
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	if _, err := runsMethod.Call(ctx, f.config.Caller, owner, wireRuns(runs)); err != nil {
-		return fmt.Errorf("report runs of %s: %w", runs.Version, err)
+	if _, err := methodRuns.Call(ctx, f.config.Caller, owner, wireRuns(counts)); err != nil {
+		return fmt.Errorf("report attempts of %s: %w", counts.Version, err)
 	}
 	return nil
 }
 
-// pace returns the time between two reports, which grows with the fleet.
+// reportInterval returns the time between two reports, which grows with the number of live
+// instances.
 //
-// It doesn't depend on what is reported: if failures came first, the test would see them too often.
-func (f *Feeder) pace() time.Duration {
-	fleet := time.Duration(f.config.Snapshot().LiveInstances())
-	return max(f.config.Every, fleet*time.Second/reportsPerSecond)
+// It does not depend on the counts: if failures were reported earlier than successes, the test
+// would overestimate the error rate.
+func (f *Feeder) reportInterval() time.Duration {
+	instances := time.Duration(f.config.Snapshot().LiveInstances())
+	return max(f.config.Every, instances*time.Second/maxReportsPerSecond)
 }
--- a/io/stage/keeper.go
+++ b/io/stage/keeper.go
@@ -19,42 +19,46 @@
 // Command is a command of the control loop.
 type Command = loop.Command[state.State, state.Effect]
 
-// KeeperConfig sets up a Keeper.
+// KeeperConfig configures a Keeper.
 type KeeperConfig struct {
-	Store       plat.Store
+	Store plat.Store
+	// Environment selects the keys in the key-value service.
 	Environment value.Environment
-	// Do applies a command to the control state.
+	// Do runs a command in the control loop.
 	Do func(context.Context, Command) error
-	// Failed takes the errors after which the keeper goes on.
+	// Failed is called with each error after which the keeper continues.
 	Failed func(error)
-	// Delay returns how long to wait before another attempt after so many failures in a row.
+	// Delay returns how long to wait before the next retry after that many consecutive failures.
 	Delay func(failures int) time.Duration
 }
 
-// Keeper keeps positions and withdrawals in the key-value service, from which they spread.
+// Keeper stores roll-out positions and withdrawals in the key-value service, from which they reach
+// the other instances.
 type Keeper struct {
 	config KeeperConfig
-	// wanted holds what is still to be kept, the latest of each.
-	wanted policy.Cell[policy.Table[string, state.Effect]]
-	wake   chan struct{}
+	// pending holds the records that are not stored yet by key, the latest for each key.
+	pending policy.Cell[policy.Table[string, state.Effect]]
+	// wake holds at most one signal, by which Take tells Run of new records.
+	wake chan struct{}
 }
 
-// NewKeeper returns a keeper, or an error that names what the configuration lacks.
-func NewKeeper(c KeeperConfig) (*Keeper, error) {
+// NewKeeper returns a keeper, or an error that names the missing setting.
+func NewKeeper(config KeeperConfig) (*Keeper, error) {
 	switch {
-	case c.Store == nil:
-		return nil, errors.New("keeper: no key-value service")
-	case c.Do == nil:
-		return nil, errors.New("keeper: no control loop")
-	case c.Failed == nil:
-		return nil, errors.New("keeper: no one to tell of failures")
-	case c.Delay == nil:
-		return nil, errors.New("keeper: no delay between attempts")
+	case config.Store == nil:
+		return nil, errors.New("keeper: Store is not set")
+	case config.Do == nil:
+		return nil, errors.New("keeper: Do is not set")
+	case config.Failed == nil:
+		return nil, errors.New("keeper: Failed is not set")
+	case config.Delay == nil:
+		return nil, errors.New("keeper: Delay is not set")
 	}
-	return &Keeper{config: c, wake: make(chan struct{}, 1)}, nil
+	return &Keeper{config: config, wake: make(chan struct{}, 1)}, nil
 }
 
-// Take notes an effect to be carried out by Run and returns at once; it reports whether it is one of the keeper's.
+// Take queues the position or withdrawal of an effect for Run and reports whether the effect has
+// one; it never blocks.
 func (k *Keeper) Take(e state.Effect) bool {
 	var key string
 	switch e := e.(type) {
@@ -65,7 +69,7 @@
 	default:
 		return false
 	}
-	k.wanted.Update(func(t policy.Table[string, state.Effect]) policy.Table[string, state.Effect] { return t.With(key, e) })
+	k.pending.Update(func(t policy.Table[string, state.Effect]) policy.Table[string, state.Effect] { return t.With(key, e) })
 	select {
 	case k.wake <- struct{}{}:
 	default:
@@ -73,11 +77,11 @@
 	return true
 }
 
-// Run keeps what was taken until the context ends; what can't be kept is tried again.
+// Run stores queued records until the context ends; it retries after failures.
 func (k *Keeper) Run(ctx context.Context) error {
 	failures := 0
 	for {
-		if !k.flush(ctx) {
+		if !k.storePending(ctx) {
 			failures++
 			if !clock.Passed(ctx, k.config.Delay(failures)) {
 				return nil
@@ -93,41 +97,42 @@
 	}
 }
 
-// flush tries to keep each wanted value once and reports whether none is left.
-func (k *Keeper) flush(ctx context.Context) bool {
-	whole := true
-	for key, e := range k.wanted.Get().All() {
-		if err := k.keep(ctx, e); err != nil {
+// storePending tries to store each pending record once and reports whether all attempts succeeded.
+func (k *Keeper) storePending(ctx context.Context) bool {
+	allStored := true
+	for key, e := range k.pending.Get().All() {
+		if err := k.store(ctx, e); err != nil {
 			k.config.Failed(err)
-			whole = false
+			allStored = false
 			continue
 		}
-		k.wanted.Update(func(t policy.Table[string, state.Effect]) policy.Table[string, state.Effect] {
-			if now, _ := t.Get(key); now != e {
-				// A later value came meanwhile.
+		k.pending.Update(func(t policy.Table[string, state.Effect]) policy.Table[string, state.Effect] {
+			if latest, _ := t.Get(key); latest != e {
+				// A later record was queued meanwhile.
 				return t
 			}
 			return t.Without(key)
 		})
 	}
-	return whole
+	return allStored
 }
 
-// keep also installs what stands then, which is another value where another instance was faster.
-func (k *Keeper) keep(ctx context.Context, e state.Effect) error {
+// store stores the record and installs the one that is then in force, which differs if another
+// instance stored a record with precedence first.
+func (k *Keeper) store(ctx context.Context, e state.Effect) error {
 	switch e := e.(type) {
 	case state.KeepProgress:
-		stands, err := conf.KeepProgress(ctx, k.config.Store, k.config.Environment, e.Progress)
+		inForce, err := conf.KeepProgress(ctx, k.config.Store, k.config.Environment, e.Progress)
 		if err != nil {
-			return fmt.Errorf("keep roll-out %s: %w", e.Progress.Name, err)
+			return fmt.Errorf("store position of roll-out %s: %w", e.Progress.Name, err)
 		}
-		return k.config.Do(ctx, cmds.InstallProgress{Progress: stands})
+		return k.config.Do(ctx, cmds.InstallProgress{Progress: inForce})
 	case state.KeepWithdrawal:
-		stands, err := conf.KeepWithdrawal(ctx, k.config.Store, k.config.Environment, e.Withdrawal)
+		inForce, err := conf.KeepWithdrawal(ctx, k.config.Store, k.config.Environment, e.Withdrawal)
 		if err != nil {
-			return fmt.Errorf("keep withdrawal of %s: %w", e.Withdrawal.Version, err)
+			return fmt.Errorf("store withdrawal of %s: %w", e.Withdrawal.Version, err)
 		}
-		return k.config.Do(ctx, cmds.InstallWithdrawal{Withdrawal: stands})
+		return k.config.Do(ctx, cmds.InstallWithdrawal{Withdrawal: inForce})
 	}
 	return nil
 }
--- a/io/stage/stage_test.go
+++ b/io/stage/stage_test.go
@@ -38,47 +38,47 @@
 	}
 }
 
-// fleet is what the instances share.
-type fleet struct {
+// fixture holds the services that all instances of a test share.
+type fixture struct {
 	store   *fakes.Store
 	ratings *fakes.Ratings
 	mesh    *fakes.Mesh
 }
 
-// instance is a control state with its keeper and feeder.
+// instance is a control state with a keeper and a feeder.
 type instance struct {
 	mu     sync.Mutex
 	state  state.State
 	keeper *stage.Keeper
 	feeder *stage.Feeder
-	runs   []value.Runs
+	counts []value.Runs
 }
 
-func start(ctx context.Context, t *testing.T, f fleet, id value.InstanceID) *instance {
+func start(ctx context.Context, t *testing.T, f fixture, id value.InstanceID) *instance {
 	t.Helper()
 	self := value.Instance{ID: id, PeerAddress: string(id), State: value.InstanceLive}
-	i := &instance{state: state.New(self)}
+	inst := &instance{state: state.New(self)}
 	for _, member := range []value.InstanceID{"a", "b"} {
-		i.state = i.state.WithInstance(value.Instance{ID: member, PeerAddress: string(member), State: value.InstanceLive})
+		inst.state = inst.state.WithInstance(value.Instance{ID: member, PeerAddress: string(member), State: value.InstanceLive})
 	}
 	port := f.mesh.Join(self)
-	assert.NilError(t, i.do(ctx, cmds.InstallConfig{Accepted: value.Accepted{Document: document(), Revision: 1}}))
+	assert.NilError(t, inst.do(ctx, cmds.InstallConfig{Accepted: value.Accepted{Document: document(), Revision: 1}}))
 	var err error
-	i.keeper, err = stage.NewKeeper(stage.KeeperConfig{
-		Store: f.store, Environment: "trial", Do: i.do, Failed: func(error) {},
+	inst.keeper, err = stage.NewKeeper(stage.KeeperConfig{
+		Store: f.store, Environment: "trial", Do: inst.do, Failed: func(error) {},
 		Delay: func(int) time.Duration { return time.Second },
 	})
 	assert.NilError(t, err)
-	i.feeder, err = stage.NewFeeder(stage.FeederConfig{
-		Drain: i.drain, Ratings: f.ratings, Caller: port, Snapshot: i.snapshot, Do: i.do,
+	inst.feeder, err = stage.NewFeeder(stage.FeederConfig{
+		Drain: inst.drain, Ratings: f.ratings, Caller: port, Snapshot: inst.snapshot, Do: inst.do,
 		Failed: func(error) {}, Now: time.Now, Every: time.Second,
 	})
 	assert.NilError(t, err)
-	assert.NilError(t, i.feeder.Register(port))
-	for _, run := range []func(context.Context) error{i.keeper.Run, i.follow(f.store), i.feeder.Run} {
+	assert.NilError(t, inst.feeder.Register(port))
+	for _, run := range []func(context.Context) error{inst.keeper.Run, inst.followStore(f.store), inst.feeder.Run} {
 		go func() { assert.Check(t, run(ctx)) }()
 	}
-	return i
+	return inst
 }
 
 func (i *instance) do(_ context.Context, c stage.Command) error {
@@ -94,9 +94,10 @@
 	return nil
 }
 
-// follow puts in force what the store keeps, as the spread of the configuration does.
-func (i *instance) follow(store plat.Store) func(context.Context) error {
-	spread := func(ctx context.Context, entries ...plat.Entry) error {
+// followStore installs the roll-out records in the store, as the dissemination of the configuration
+// does.
+func (i *instance) followStore(store plat.Store) func(context.Context) error {
+	install := func(ctx context.Context, entries ...plat.Entry) error {
 		c, err := conf.Decode("trial", entries...)
 		if err != nil {
 			return err
@@ -106,18 +107,18 @@
 	}
 	return func(ctx context.Context) error {
 		for ctx.Err() == nil {
-			now, err := store.List(ctx, conf.Prefix("trial"))
-			if err == nil && len(now.Entries) > 0 {
-				slices.SortFunc(now.Entries, func(a, b plat.Entry) int { return cmp.Compare(a.Revision, b.Revision) })
-				err = spread(ctx, now.Entries...)
+			listing, err := store.List(ctx, conf.Prefix("trial"))
+			if err == nil && len(listing.Entries) > 0 {
+				slices.SortFunc(listing.Entries, func(a, b plat.Entry) int { return cmp.Compare(a.Revision, b.Revision) })
+				err = install(ctx, listing.Entries...)
 			}
-			events, watchErr := store.Watch(ctx, conf.Prefix("trial"), now.Revision+1)
+			events, watchErr := store.Watch(ctx, conf.Prefix("trial"), listing.Revision+1)
 			if errors.Join(err, watchErr) != nil {
 				time.Sleep(time.Second)
 				continue
 			}
 			for e := range events {
-				if err := spread(ctx, e.Entry); err != nil {
+				if err := install(ctx, e.Entry); err != nil {
 					return err
 				}
 			}
@@ -135,16 +136,16 @@
 func (i *instance) drain() []value.Runs {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	runs := i.runs
-	i.runs = nil
-	return runs
+	counts := i.counts
+	i.counts = nil
+	return counts
 }
 
-// served counts runs of the new version at the instance.
-func (i *instance) served(total, failed int) {
+// countAttempts adds attempts of the new version to the instance's counts.
+func (i *instance) countAttempts(total, failed int) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.runs = append(i.runs, value.Runs{Version: newKey, Total: total, Failed: failed})
+	i.counts = append(i.counts, value.Runs{Version: newKey, Total: total, Failed: failed})
 }
 
 func (i *instance) progress() value.Progress {
@@ -152,30 +153,30 @@
 	return p
 }
 
-// settle lets a few seconds pass, in which everything that can happen does.
+// settle lets 5 s pass, long enough for a report, a write to the store and its propagation.
 func settle() {
 	time.Sleep(5 * time.Second)
 	synctest.Wait()
 }
 
-// run gives the test a store with faults and the two instances of a fleet.
-func run(t *testing.T, test func(ctx context.Context, f fleet, a, b *instance)) {
+// runTest runs the test with a store that can inject faults and a fleet of two instances.
+func runTest(t *testing.T, test func(ctx context.Context, f fixture, a, b *instance)) {
 	synctest.Test(t, func(t *testing.T) {
 		inner, err := plat.NewEmbedded(plat.EmbeddedConfig{Now: time.Now, History: 64})
 		assert.NilError(t, err)
-		// The document of revision 1 is in force already.
+		// Revision 1 belongs to the document, which each instance installs when it starts.
 		_, err = inner.Swap(t.Context(), plat.Swap{Key: "document"})
 		assert.NilError(t, err)
-		f := fleet{store: fakes.NewStore(inner), ratings: new(fakes.Ratings), mesh: new(fakes.Mesh)}
+		fx := fixture{store: fakes.NewStore(inner), ratings: new(fakes.Ratings), mesh: new(fakes.Mesh)}
 		ctx, cancel := context.WithCancel(t.Context())
-		test(ctx, f, start(ctx, t, f, "a"), start(ctx, t, f, "b"))
+		test(ctx, fx, start(ctx, t, fx, "a"), start(ctx, t, fx, "b"))
 		cancel()
 		synctest.Wait()
 	})
 }
 
-func TestPositionReachesTheOtherInstanceAndOneThatStartsLater(t *testing.T) {
-	run(t, func(ctx context.Context, f fleet, a, b *instance) {
+func TestRollOutPositionReachesRunningAndLaterInstances(t *testing.T) {
+	runTest(t, func(ctx context.Context, f fixture, a, b *instance) {
 		assert.NilError(t, a.do(ctx, cmds.StartRollOut{Name: rollOut}))
 		settle()
 		assert.DeepEqual(t, b.progress(), a.progress())
@@ -183,7 +184,7 @@
 			f.ratings.Add(plat.Rating{Kind: "quote", Version: newKey, Accepted: true, At: time.Now()})
 		}
 		settle()
-		// Both take the step; the second one finds it taken.
+		// Both instances take the step; the second one finds it taken.
 		assert.NilError(t, a.feeder.Step(ctx))
 		settle()
 		assert.NilError(t, b.feeder.Step(ctx))
@@ -195,19 +196,19 @@
 	})
 }
 
-func TestWithdrawalReachesTheOtherInstanceInSeconds(t *testing.T) {
-	run(t, func(ctx context.Context, _ fleet, a, b *instance) {
+func TestWithdrawalReachesOtherInstanceWithinSeconds(t *testing.T) {
+	runTest(t, func(ctx context.Context, _ fixture, a, b *instance) {
 		assert.NilError(t, a.do(ctx, cmds.StartRollOut{Name: rollOut}))
 		settle()
-		a.served(40, 20)
+		a.countAttempts(40, 20)
 		settle()
 		assert.Assert(t, b.snapshot().Withdrawn(newKey))
 		assert.Equal(t, b.progress().Phase, value.PhaseWithdrawn)
 	})
 }
 
-func TestKeepingOutlastsAnOutageAndALostAnswer(t *testing.T) {
-	run(t, func(ctx context.Context, f fleet, a, b *instance) {
+func TestPositionIsStoredAfterOutageAndLostAnswer(t *testing.T) {
+	runTest(t, func(ctx context.Context, f fixture, a, b *instance) {
 		assert.NilError(t, f.store.Set(fakes.Faults{Down: true}))
 		assert.NilError(t, a.do(ctx, cmds.StartRollOut{Name: rollOut}))
 		settle()
@@ -218,8 +219,8 @@
 	})
 }
 
-func TestWithdrawalWinsOverAStepTakenElsewhere(t *testing.T) {
-	run(t, func(ctx context.Context, f fleet, a, b *instance) {
+func TestWithdrawalOverridesConcurrentAdvance(t *testing.T) {
+	runTest(t, func(ctx context.Context, f fixture, a, b *instance) {
 		assert.NilError(t, a.do(ctx, cmds.StartRollOut{Name: rollOut}))
 		settle()
 		assert.NilError(t, f.store.Set(fakes.Faults{Down: true}))
@@ -236,45 +237,45 @@
 	})
 }
 
-func TestOneTestSeesTheRunsOfAllInstances(t *testing.T) {
-	run(t, func(ctx context.Context, _ fleet, a, b *instance) {
+func TestRollOutTestCountsAttemptsOfAllInstances(t *testing.T) {
+	runTest(t, func(ctx context.Context, _ fixture, a, b *instance) {
 		assert.NilError(t, a.do(ctx, cmds.StartRollOut{Name: rollOut}))
 		settle()
-		a.served(20, 4)
+		a.countAttempts(20, 4)
 		settle()
-		assert.Equal(t, a.progress().Phase, value.PhaseStaged, "too few runs to tell")
-		b.served(20, 4)
+		assert.Equal(t, a.progress().Phase, value.PhaseStaged, "too few attempts for a decision")
+		b.countAttempts(20, 4)
 		settle()
 		assert.Equal(t, a.progress().Phase, value.PhaseWithdrawn)
 		assert.Equal(t, b.progress().Phase, value.PhaseWithdrawn)
 	})
 }
 
-func TestRunsWaitForAWatcherThatIsNotReachedAndAreNeverCountedTwice(t *testing.T) {
-	run(t, func(ctx context.Context, f fleet, a, b *instance) {
+func TestAttemptsAreResentWhileEvaluatorIsUnreachableAndNeverCountedTwice(t *testing.T) {
+	runTest(t, func(ctx context.Context, f fixture, a, b *instance) {
 		assert.NilError(t, a.do(ctx, cmds.StartRollOut{Name: rollOut}))
 		settle()
-		watcher, other := a, b
+		evaluator, other := a, b
 		if owner, _ := query.Owner(a.snapshot(), query.Slot(string(newKey))); owner.ID == "b" {
-			watcher, other = b, a
+			evaluator, other = b, a
 		}
 		f.mesh.Set(func(_, _ value.Instance) fakes.Fate { return fakes.Fate{Unsent: true} })
-		other.served(10, 0)
+		other.countAttempts(10, 0)
 		settle()
-		assert.Equal(t, seen(watcher), 0)
+		assert.Equal(t, observedAttempts(evaluator), 0)
 		f.mesh.Set(func(_, _ value.Instance) fakes.Fate { return fakes.Fate{} })
 		settle()
-		assert.Equal(t, seen(watcher), 10)
+		assert.Equal(t, observedAttempts(evaluator), 10)
 		f.mesh.Set(func(_, _ value.Instance) fakes.Fate { return fakes.Fate{LoseReply: true} })
-		other.served(10, 0)
+		other.countAttempts(10, 0)
 		settle()
 		f.mesh.Set(func(_, _ value.Instance) fakes.Fate { return fakes.Fate{} })
 		settle()
-		assert.Equal(t, seen(watcher), 20)
+		assert.Equal(t, observedAttempts(evaluator), 20)
 	})
 }
 
-func seen(i *instance) int {
+func observedAttempts(i *instance) int {
 	s := i.snapshot()
 	r, _ := s.RollOut(rollOut)
 	return s.Watch(r).Tests.Trials(value.ReasonErrorRate)
