--- a/io/gossip/gossip.go
+++ b/io/gossip/gossip.go
@@ -110,8 +110,8 @@
 	}
 }
 
-// Install puts entries of the key-value service in force that this process has read or written
-// outside of its own watch.
+// Install puts in force entries of the key-value service that this process has read or written by
+// other means than the watch of this Gossip.
 func (g *Gossip) Install(ctx context.Context, entries ...plat.Entry) error {
 	return g.disseminator.installEntries(ctx, entries)
 }
