--- a/io/peer/link.go
+++ b/io/peer/link.go
@@ -48,8 +48,8 @@
 func (l *link) call(ctx context.Context, method string, args, reply any) error {
 	err := l.attempt(ctx, method, args, reply)
 	if errors.Is(err, errStale) {
-		// The connection had been closed by the other side before the call was sent. A second attempt
-		// dials again, so that the first call after an instance's restart succeeds.
+		// The connection failed before the request was sent completely, as it does after the instance
+		// has restarted. A second attempt dials again, so that the first call after a restart succeeds.
 		return l.attempt(ctx, method, args, reply)
 	}
 	return err
@@ -96,8 +96,9 @@
 	}
 }
 
-// handleResult returns the call's error: an error of the remote handler as it is, errStale if the
-// request was not sent completely, and otherwise an error that leaves open whether the method ran.
+// handleResult returns nil, the remote handler's error, errStale if the request was not sent
+// completely, or an error that leaves open whether the method ran. After the last two the session
+// is closed.
 func (l *link) handleResult(s *session, req *request, err error) error {
 	if err == nil {
 		s.recordReply(time.Now())
