--- a/io/lease/hold.go
+++ b/io/lease/hold.go
@@ -34,7 +34,8 @@
 }
 
 // acquire obtains a lease and binds the duty's key to it by compare-and-swap; the key's revision is
-// the fencing token. If the duty has a holder, the error is a plat.Conflict.
+// the fencing token. If the duty has a holder, the error is a conflict with the
+// present entry.
 func (r *Runner) acquire(ctx context.Context, duty string) (acquiredLease, error) {
 	ctx, cancel := context.WithTimeout(ctx, r.Rule.Length-r.Rule.Margin)
 	defer cancel()
--- a/io/lease/lease_test.go
+++ b/io/lease/lease_test.go
@@ -56,7 +56,7 @@
 type contender struct {
 	id    string
 	store *fakes.Store
-	// loseSwap makes the next successful swap return ErrUnknown.
+	// loseSwap makes the next successful swap report an unknown outcome.
 	loseSwap atomic.Bool
 	swaps    atomic.Int64
 	loop     *loop.Loop[state.State, state.Effect]
--- a/io/lease/order.go
+++ b/io/lease/order.go
@@ -82,8 +82,8 @@
 	return slices.Contains(loaded, desired.Version) == desired.Loaded, nil
 }
 
-// sendOrder sends a load or unload order. It checks the term right before and bounds the order's
-// time, so that the order ends within the term.
+// sendOrder sends a load or unload order. It checks the term right before sending and bounds the
+// order's time, so that the order ends within the term.
 func (r Reconciler) sendOrder(ctx context.Context, term Term, desired DesiredState) error {
 	ctx, cancel := context.WithTimeout(ctx, term.rule.Order)
 	defer cancel()
--- a/io/lease/runner.go
+++ b/io/lease/runner.go
@@ -130,8 +130,8 @@
 	return r.serveTerm(ctx, d, acquired)
 }
 
-// awaitVacancy returns when the duty's key is deleted, when the watch ends, or after
-// query.DutyRotation, when other instances have become candidates.
+// awaitVacancy returns when the duty's key is deleted, when the watch ends, or after the time for
+// which the candidates stay the same.
 func (r *Runner) awaitVacancy(ctx context.Context, held plat.Entry) error {
 	ctx, cancel := context.WithTimeout(ctx, query.DutyRotation)
 	defer cancel()
