--- a/io/conf/changes.go
+++ b/io/conf/changes.go
@@ -14,7 +14,7 @@
 // Changes is what entries of an environment's configuration say.
 type Changes struct {
 	// Accepted is the document; its revision is zero where the entries hold none.
-	Accepted    value.Accepted
+	Accepted    value.AcceptedDocument
 	RollOuts    []value.Progress
 	Withdrawals []value.Withdrawal
 }
--- a/io/conf/check.go
+++ b/io/conf/check.go
@@ -104,7 +104,7 @@
 	case k.Service != "" && k.QualityTarget > 0:
 		c.fault(at+".QualityTarget", "can't be stated where a service answers")
 	}
-	if _, stated := c.lines[at+".Judge"]; stated && !value.Judge(k.Judge).Present() {
+	if _, stated := c.lines[at+".Judge"]; stated && !value.Judge(k.Judge).IsUsable() {
 		c.fault(at+".Judge", "can't tell answers apart: AcceptGood must be above AcceptBad")
 	}
 	if k.Share && !k.Idempotent {
--- a/io/conf/record.go
+++ b/io/conf/record.go
@@ -16,7 +16,7 @@
 // Record is a document's bytes with where they come from, as kept in the key-value service.
 type Record struct {
 	Bytes    []byte
-	Standing value.Standing
+	Standing value.CurrentRecord
 }
 
 // wireRecord is the record's format; the bytes are kept as they are, so that the digest stays.
@@ -36,19 +36,19 @@
 
 // WithChange returns the record that follows when the change puts the bytes in its place.
 func (r Record) WithChange(data []byte, c value.Change) Record {
-	trail := r.Standing.Trail
+	trail := r.Standing.History
 	if r.Standing.Revision > 0 {
 		trail = append([]value.Change{r.Standing.Change}, trail...)
 	}
 	trail = trail[:min(len(trail), trailLength)]
-	return Record{Bytes: data, Standing: value.Standing{Change: c, Trail: trail}}
+	return Record{Bytes: data, Standing: value.CurrentRecord{Change: c, History: trail}}
 }
 
 // Encode returns the record as it is kept.
 func (r Record) Encode() ([]byte, error) {
 	w := wireRecord{
 		Change:   toWire(r.Standing.Change),
-		Trail:    convert(r.Standing.Trail, toWire),
+		Trail:    convert(r.Standing.History, toWire),
 		Document: r.Bytes,
 	}
 	data, err := json.Marshal(w)
@@ -70,25 +70,25 @@
 		return Record{}, fmt.Errorf("decode record at %s: %w", e.Key, err)
 	}
 	if Digest(w.Document) != w.Change.Digest {
-		return Record{}, value.ChangeRefused{Reason: value.ReasonDamaged, Detail: "kept bytes at " + e.Key}
+		return Record{}, value.ChangeRefused{Reason: value.ReasonDigestMismatch, Detail: "kept bytes at " + e.Key}
 	}
 	return Record{
 		Bytes: w.Document,
-		Standing: value.Standing{
+		Standing: value.CurrentRecord{
 			Revision: e.Revision,
 			Change:   fromWire(w.Change),
-			Trail:    convert(w.Trail, fromWire),
+			History:  convert(w.Trail, fromWire),
 		},
 	}, nil
 }
 
 // Accepted returns the record's document at its revision.
-func (r Record) Accepted() (value.Accepted, error) {
+func (r Record) Accepted() (value.AcceptedDocument, error) {
 	d, err := Parse(r.Bytes)
 	if err != nil {
-		return value.Accepted{}, fmt.Errorf("parse kept document: %w", err)
+		return value.AcceptedDocument{}, fmt.Errorf("parse kept document: %w", err)
 	}
-	return value.Accepted{Document: d, Digest: r.Standing.Change.Digest, Revision: r.Standing.Revision}, nil
+	return value.AcceptedDocument{Document: d, Digest: r.Standing.Change.Digest, Revision: r.Standing.Revision}, nil
 }
 
 // Load reads the environment's record from the key-value service.
--- a/io/conf/target.go
+++ b/io/conf/target.go
@@ -50,7 +50,7 @@
 // reach is the best quality of the versions and of their cascades of two, as the document states them.
 func reach(j value.Judge, qualities []float64) float64 {
 	best := slices.Max(qualities)
-	if !j.Present() {
+	if !j.IsUsable() {
 		return best
 	}
 	for _, first := range qualities {
--- a/io/gossip/gossip.go
+++ b/io/gossip/gossip.go
@@ -42,7 +42,7 @@
 	// Decode turns the changed entries, ordered by revision, into the command that puts them in force.
 	// If it returns an error, the command holds the entries that could be decoded. The caller sets the
 	// command's Revision and Rejected fields.
-	Decode func(changed []plat.Entry) (cmds.Spread, error)
+	Decode func(changed []plat.Entry) (cmds.InstallRevision, error)
 	Timing fleet.Timing
 	// ListEvery is the time between reads of the instance list; zero means 30 s.
 	ListEvery time.Duration
@@ -91,7 +91,7 @@
 		return errors.New("gossip: List is not set")
 	case c.Store == nil || c.Decode == nil:
 		return errors.New("gossip: Store or Decode is not set")
-	case c.Timing.Period <= 0 || c.Timing.Rotation <= 0 || c.Timing.Reconnect < 1:
+	case c.Timing.Period <= 0 || c.Timing.Rotation <= 0 || c.Timing.ProbesPerReconnect < 1:
 		return errors.New("gossip: Timing needs positive Period, Rotation and Reconnect")
 	}
 	return nil
@@ -101,11 +101,11 @@
 // it never blocks.
 func (g *Gossip) Handle(e state.Effect) {
 	switch e := e.(type) {
-	case state.Announce:
+	case state.AnnounceConfig:
 		signal(g.configChanged)
-	case state.Farewell:
+	case state.SendDepartureNotice:
 		signal(g.leaving)
-	case state.Behind:
+	case state.FetchConfig:
 		g.disseminator.requestPull(e)
 	}
 }
--- a/io/gossip/member.go
+++ b/io/gossip/member.go
@@ -114,7 +114,7 @@
 	if err != nil {
 		return
 	}
-	_ = m.Control.Do(ctx, cmds.Heard{From: reply.From.value(), News: decodeUpdates(reply.News), Roll: true})
+	_ = m.Control.Do(ctx, cmds.ReceiveMessage{From: reply.From.value(), Updates: decodeUpdates(reply.News), IsMembershipList: true})
 }
 
 // sendDepartureNotice pings all instances of the view at once; the ping carries this instance's
@@ -140,7 +140,7 @@
 
 // receive applies another instance's gossip message to the control state.
 func (m *membership) receive(ctx context.Context, p wirePing) error {
-	if err := m.Control.Do(ctx, cmds.Heard{From: p.From.value(), News: decodeUpdates(p.News)}); err != nil {
+	if err := m.Control.Do(ctx, cmds.ReceiveMessage{From: p.From.value(), Updates: decodeUpdates(p.News)}); err != nil {
 		return fmt.Errorf("apply gossip message: %w", err)
 	}
 	return nil
--- a/io/gossip/probe.go
+++ b/io/gossip/probe.go
@@ -24,7 +24,7 @@
 	if !ok || m.probe(ctx, target) {
 		return nil
 	}
-	if ctx.Err() != nil || m.Timing.Overslept(start, time.Now()) {
+	if ctx.Err() != nil || m.Timing.WasPausedDuringProbe(start, time.Now()) {
 		return nil
 	}
 	if err := m.Control.Do(ctx, cmds.Suspect{ID: target.ID, Incarnation: target.Incarnation}); err != nil {
@@ -42,10 +42,10 @@
 		return true
 	}
 	if errors.Is(err, errReplaced) {
-		_ = m.Control.Do(ctx, cmds.Replaced{ID: target.ID})
+		_ = m.Control.Do(ctx, cmds.MarkReplaced{ID: target.ID})
 		return true
 	}
-	helpers := query.Helpers(m.Control.Snapshot(), m.Timing, target.ID, m.rnd, time.Now())
+	helpers := query.IndirectProbers(m.Control.Snapshot(), m.Timing, target.ID, m.rnd, time.Now())
 	// An indirect probe takes the helper's own probe and the round trip to the helper.
 	ctx, cancel := context.WithTimeout(ctx, 2*m.Timing.Timeout)
 	defer cancel()
@@ -90,14 +90,14 @@
 
 // buildMessage returns the gossip message for another instance and the command that counts the
 // updates in it as sent.
-func (m *membership) buildMessage(to value.InstanceID) (wirePing, cmds.Passed) {
+func (m *membership) buildMessage(to value.InstanceID) (wirePing, cmds.CountSentUpdates) {
 	snapshot := m.Control.Snapshot()
-	updates := query.News(snapshot, m.Timing, to)
+	updates := query.Updates(snapshot, m.Timing, to)
 	ids := make([]value.InstanceID, 0, len(updates))
 	for _, n := range updates {
 		ids = append(ids, n.ID)
 	}
-	return wirePing{From: encodeSelf(snapshot.Self), News: encodeUpdates(updates)}, cmds.Passed{IDs: ids}
+	return wirePing{From: encodeSelf(snapshot.Self), News: encodeUpdates(updates)}, cmds.CountSentUpdates{IDs: ids}
 }
 
 // handlePing applies the message before it builds the reply, so that the reply already refutes a
--- a/io/gossip/reader.go
+++ b/io/gossip/reader.go
@@ -30,7 +30,7 @@
 	defer func() { stop() }()
 	watching := false
 	for {
-		isReader := query.Reads(d.Control.Snapshot(), d.Timing)
+		isReader := query.IsConfigReader(d.Control.Snapshot(), d.Timing)
 		if isReader && !watching {
 			stop = d.startWatch(ctx)
 		}
@@ -102,7 +102,7 @@
 	if installed := d.current.Get().revision; listing.Revision < installed {
 		// The service answers from an older state than the one installed here. The command changes
 		// nothing; it only records the decision to ignore the revision.
-		if err := d.Control.Do(ctx, cmds.Spread{Revision: listing.Revision}); err != nil {
+		if err := d.Control.Do(ctx, cmds.InstallRevision{Revision: listing.Revision}); err != nil {
 			return 0, fmt.Errorf("record outdated read of the configuration: %w", err)
 		}
 		// The watch starts at the service's older revision; each entry that is not newer than the
--- a/io/gossip/rig_test.go
+++ b/io/gossip/rig_test.go
@@ -131,8 +131,8 @@
 	return out, nil
 }
 
-func decode(changed []plat.Entry) (cmds.Spread, error) {
-	var command cmds.Spread
+func decode(changed []plat.Entry) (cmds.InstallRevision, error) {
+	var command cmds.InstallRevision
 	var decodeErr error
 	for _, e := range changed {
 		text := string(e.Value)
@@ -141,7 +141,7 @@
 			continue
 		}
 		if strings.HasSuffix(e.Key, "document") {
-			command.Accepted = value.Accepted{Document: value.Document{Name: text}, Digest: digest(text), Revision: e.Revision}
+			command.Accepted = value.AcceptedDocument{Document: value.Document{Name: text}, Digest: digest(text), Revision: e.Revision}
 			continue
 		}
 		command.RollOuts = append(command.RollOuts, value.Progress{Name: value.RollOutName(e.Key), Reason: text})
@@ -163,7 +163,7 @@
 	stop   func()
 
 	mu        sync.Mutex
-	decisions []state.Decided
+	decisions []state.RecordDecision
 }
 
 // fixture is a fleet whose instances run in the test's process and call each other in memory.
@@ -251,7 +251,7 @@
 func (p *process) handleEffects() {
 	for e := range p.loop.Effects() {
 		p.gossip.Handle(e)
-		if d, ok := e.(state.Decided); ok {
+		if d, ok := e.(state.RecordDecision); ok {
 			p.mu.Lock()
 			p.decisions = append(p.decisions, d)
 			p.mu.Unlock()
@@ -264,7 +264,7 @@
 	defer p.mu.Unlock()
 	n := 0
 	for _, d := range p.decisions {
-		if d.What == event {
+		if d.Event == event {
 			n++
 		}
 	}
--- a/io/gossip/spread.go
+++ b/io/gossip/spread.go
@@ -53,7 +53,7 @@
 	rnd      *lockedRand
 	listRead <-chan struct{}
 	current  policy.Cell[entrySet]
-	wanted   chan state.Behind
+	wanted   chan state.FetchConfig
 	// installLock is a lock of capacity one; its holder puts entries in force.
 	installLock chan struct{}
 	pullSlots   chan struct{}
@@ -64,7 +64,7 @@
 		Config:      c,
 		rnd:         rnd,
 		listRead:    listRead,
-		wanted:      make(chan state.Behind, 1),
+		wanted:      make(chan state.FetchConfig, 1),
 		installLock: make(chan struct{}, 1),
 		pullSlots:   make(chan struct{}, maxServedPulls),
 	}
@@ -83,7 +83,7 @@
 
 // requestPull asks for a pull unless one is already requested; a request that is dropped comes
 // again with the next probe for as long as the instance lags.
-func (d *disseminator) requestPull(b state.Behind) {
+func (d *disseminator) requestPull(b state.FetchConfig) {
 	select {
 	case d.wanted <- b:
 	default:
@@ -103,7 +103,7 @@
 
 // catchUp pulls from the instance that announced the revision, then from other instances. It reads
 // the key-value service only after a long lag, so that the whole fleet never reads it at once.
-func (d *disseminator) catchUp(ctx context.Context, b state.Behind) {
+func (d *disseminator) catchUp(ctx context.Context, b state.FetchConfig) {
 	if b.Revision <= d.current.Get().revision {
 		return
 	}
@@ -115,7 +115,7 @@
 			return
 		}
 	}
-	lagging := snapshot.Self.Lagging
+	lagging := snapshot.Self.LaggingSince
 	if !lagging.IsZero() && time.Since(lagging) > directReadDelay {
 		_, _ = d.readStore(ctx)
 	}
--- a/io/gossip/survey.go
+++ b/io/gossip/survey.go
@@ -53,7 +53,7 @@
 		return i
 	}
 	reported := reply.value()
-	return i.WithRevision(reported.Revision).WithDigest(reported.Digest).WithLagging(reported.Lagging)
+	return i.WithRevision(reported.Revision).WithDigest(reported.Digest).WithLaggingSince(reported.LaggingSince)
 }
 
 func (m *membership) handleStatus(wireWhere) (wireSelf, error) {
--- a/io/lease/hold.go
+++ b/io/lease/hold.go
@@ -30,7 +30,7 @@
 // acquiredLease is a lease that this instance holds and that the duty's key is bound to.
 type acquiredLease struct {
 	id       plat.LeaseID
-	validity *policy.Cell[fleet.Tenure]
+	validity *policy.Cell[fleet.HeldLease]
 }
 
 // acquire obtains a lease and binds the duty's key to it by compare-and-swap; the key's revision is
@@ -54,7 +54,7 @@
 		r.revoke(ctx, id)
 		return acquiredLease{}, fmt.Errorf("acquire duty %s: %w", duty, err)
 	}
-	return acquiredLease{id: id, validity: policy.NewCell(fleet.NewTenure(r.Rule, token, requested))}, nil
+	return acquiredLease{id: id, validity: policy.NewCell(fleet.NewHeldLease(r.Rule, token, requested))}, nil
 }
 
 // readBack finds out whether a swap whose answer was lost took effect, and returns the key's
@@ -88,7 +88,7 @@
 	stop()
 	helpers.Wait()
 	// Code that still has the term must not act on it any longer, because the next holder may start.
-	acquired.validity.Update(fleet.Tenure.WithEnd)
+	acquired.validity.Update(fleet.HeldLease.WithEnd)
 	r.recordEvent("DutyLeft", duty.Name, endReason.Get())
 	r.revoke(context.WithoutCancel(ctx), acquired.id)
 	if err != nil && !errors.Is(err, context.Canceled) {
@@ -101,7 +101,7 @@
 // expire in the key-value service.
 func (r *Runner) renewUntilEnd(ctx context.Context, acquired acquiredLease, end func(value.Reason)) {
 	for {
-		remaining := acquired.validity.Get().Left(time.Now())
+		remaining := acquired.validity.Get().Remaining(time.Now())
 		if remaining <= 0 {
 			end(ReasonEnded)
 			return
@@ -120,7 +120,7 @@
 // renewOnce renews the lease. The call must end within the renewal interval, so that a failed one
 // can be retried, and within the term.
 func (r *Runner) renewOnce(ctx context.Context, acquired acquiredLease) error {
-	remaining := acquired.validity.Get().Left(time.Now())
+	remaining := acquired.validity.Get().Remaining(time.Now())
 	ctx, cancel := context.WithTimeout(ctx, min(r.Rule.Renew, max(remaining, 0)))
 	defer cancel()
 	sent := time.Now()
@@ -128,7 +128,7 @@
 	if err != nil {
 		return fmt.Errorf("renew lease: %w", err)
 	}
-	acquired.validity.Update(func(t fleet.Tenure) fleet.Tenure {
+	acquired.validity.Update(func(t fleet.HeldLease) fleet.HeldLease {
 		return t.WithRenewal(r.Rule, sent, ttl, time.Now())
 	})
 	return nil
@@ -159,5 +159,5 @@
 }
 
 func (r *Runner) recordEvent(event, duty string, reason value.Reason) {
-	r.Record(state.Decided{What: event, Subject: duty, Reason: reason})
+	r.Record(state.RecordDecision{Event: event, Subject: duty, Reason: reason})
 }
--- a/io/lease/lease_test.go
+++ b/io/lease/lease_test.go
@@ -234,8 +234,8 @@
 func TestUnsafeLeaseRulesAreRejected(t *testing.T) {
 	slowRenewal, longOrder, noTakeoverDelay := rule, rule, rule
 	slowRenewal.Renew = slowRenewal.Length
-	longOrder.Order = longOrder.Length
-	noTakeoverDelay.Quiet = 0
+	longOrder.MaxOrderTime = longOrder.Length
+	noTakeoverDelay.TakeoverDelay = 0
 	for _, bad := range []fleet.LeaseRule{{}, slowRenewal, longOrder, noTakeoverDelay} {
 		assert.Assert(t, bad.Check() != nil)
 	}
--- a/io/lease/order.go
+++ b/io/lease/order.go
@@ -73,7 +73,7 @@
 
 // matches reads back whether the server is in the desired state.
 func (r Reconciler) matches(ctx context.Context, term Term, desired DesiredState) (bool, error) {
-	ctx, cancel := context.WithTimeout(ctx, term.rule.Order)
+	ctx, cancel := context.WithTimeout(ctx, term.rule.MaxOrderTime)
 	defer cancel()
 	loaded, err := r.Commander.Carried(ctx, desired.Server)
 	if err != nil {
@@ -85,7 +85,7 @@
 // sendOrder sends a load or unload order. It checks the term right before sending and bounds the
 // order's time, so that the order ends within the term.
 func (r Reconciler) sendOrder(ctx context.Context, term Term, desired DesiredState) error {
-	ctx, cancel := context.WithTimeout(ctx, term.rule.Order)
+	ctx, cancel := context.WithTimeout(ctx, term.rule.MaxOrderTime)
 	defer cancel()
 	if !term.CanSendOrder(time.Now()) {
 		return fmt.Errorf("send order to %s: %w", desired.Server.ID, ErrTermEnded)
--- a/io/lease/order_test.go
+++ b/io/lease/order_test.go
@@ -70,7 +70,7 @@
 		assert.NilError(t, err)
 		assert.Equal(t, len(backend.orders), 1)
 		assert.Assert(t, backend.orders[0].Fence > 0)
-		assert.Assert(t, backend.times[0].Sub(start) >= rule.Quiet)
+		assert.Assert(t, backend.times[0].Sub(start) >= rule.TakeoverDelay)
 	})
 }
 
--- a/io/lease/placer.go
+++ b/io/lease/placer.go
@@ -16,14 +16,14 @@
 type PlacerConfig struct {
 	Snapshot func() state.State
 	// Demand returns the present demand and sessions; the placer sets Loads from the weight store.
-	Demand     func() query.Wants
+	Demand     func() query.PlacementDemand
 	Weights    plat.WeightStore
 	Reconciler Reconciler
-	Rule       query.PlaceRule
+	Rule       query.PlacementRule
 	// Interval is the time between placement passes.
 	Interval time.Duration
 	// Record is called with each placement decision.
-	Record func(state.Decided)
+	Record func(state.RecordDecision)
 }
 
 // NewPlacement returns the duty that loads and unloads versions at backend servers as demand
@@ -63,12 +63,12 @@
 		// While the weight store is unreachable, versions can only be unloaded.
 		loads = 0
 	}
-	demand.Loads = loads
+	demand.MaxLoads = loads
 	snapshot := p.Snapshot()
-	for _, order := range query.Place(snapshot, p.Rule, demand) {
+	for _, order := range query.PlanPlacement(snapshot, p.Rule, demand) {
 		pool, _ := snapshot.Pool(order.Server.Pool)
-		p.Record(state.Decided{What: eventName(order), Subject: string(order.Version) + " at " + string(order.Server.ID), Reason: order.Reason})
-		desired := DesiredState{Server: order.Server, Version: order.Version, Loaded: order.Carry, Fencing: pool.Fencing}
+		p.Record(state.RecordDecision{Event: eventName(order), Subject: string(order.Version) + " at " + string(order.Server.ID), Reason: order.Reason})
+		desired := DesiredState{Server: order.Server, Version: order.Version, Loaded: order.Load, Fencing: pool.Fencing}
 		if err := p.Reconciler.Reconcile(ctx, term, desired); err != nil {
 			return err
 		}
@@ -77,7 +77,7 @@
 }
 
 func eventName(o query.Placement) string {
-	if o.Carry {
+	if o.Load {
 		return "PlacementLoad"
 	}
 	return "PlacementUnload"
--- a/io/lease/placer_test.go
+++ b/io/lease/placer_test.go
@@ -21,22 +21,22 @@
 	return 1, w.err
 }
 
-func newPlacement(t *testing.T, weights plat.WeightStore, backend *fakeServer, decisions *[]state.Decided) lease.Duty {
+func newPlacement(t *testing.T, weights plat.WeightStore, backend *fakeServer, decisions *[]state.RecordDecision) lease.Duty {
 	t.Helper()
 	document := value.Document{
 		Models: []value.Model{{Name: "m", Versions: []value.Version{{Name: "v1", Pool: "p"}}}},
 		Pools:  []value.Pool{{Name: "p"}},
 	}
-	snapshot := state.New(member(0)).WithConfig(value.Accepted{Document: document, Revision: 1}).
+	snapshot := state.New(member(0)).WithConfig(value.AcceptedDocument{Document: document, Revision: 1}).
 		WithServer(value.BackendServer{ID: "s1", Pool: "p", State: value.ServerLive})
 	d, err := lease.NewPlacement(lease.PlacerConfig{
 		Snapshot:   func() state.State { return snapshot },
-		Demand:     func() query.Wants { return query.Wants{} },
+		Demand:     func() query.PlacementDemand { return query.PlacementDemand{} },
 		Weights:    weights,
 		Reconciler: lease.Reconciler{Commander: backend},
-		Rule:       query.PlaceRule{VersionsPerServer: 2, Domains: 2},
+		Rule:       query.PlacementRule{VersionsPerServer: 2, Domains: 2},
 		Interval:   10 * time.Second,
-		Record:     func(d state.Decided) { *decisions = append(*decisions, d) },
+		Record:     func(d state.RecordDecision) { *decisions = append(*decisions, d) },
 	})
 	assert.NilError(t, err)
 	return d
@@ -45,7 +45,7 @@
 func TestPlacementSendsEachOrderOnceAndRecordsIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		backend := new(fakeServer)
-		var decisions []state.Decided
+		var decisions []state.RecordDecision
 		err := inTerm(t, func(ctx context.Context, term lease.Term) error {
 			ctx, cancel := context.WithTimeout(ctx, time.Minute)
 			defer cancel()
@@ -53,7 +53,7 @@
 		})
 		assert.ErrorIs(t, err, context.DeadlineExceeded)
 		assert.Equal(t, len(backend.orders), 1)
-		assert.Equal(t, decisions[0].What, "PlacementLoad")
+		assert.Equal(t, decisions[0].Event, "PlacementLoad")
 		assert.Equal(t, decisions[0].Reason, query.ReasonNoCarrier)
 	})
 }
@@ -61,7 +61,7 @@
 func TestPlacementLoadsNothingWhileWeightStoreIsUnreachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		backend := new(fakeServer)
-		var decisions []state.Decided
+		var decisions []state.RecordDecision
 		err := inTerm(t, func(ctx context.Context, term lease.Term) error {
 			ctx, cancel := context.WithTimeout(ctx, time.Minute)
 			defer cancel()
--- a/io/lease/runner.go
+++ b/io/lease/runner.go
@@ -45,7 +45,7 @@
 	Rule   fleet.LeaseRule
 	Duties []Duty
 	// Record is called when this instance takes or leaves a duty; it may be nil.
-	Record func(state.Decided)
+	Record func(state.RecordDecision)
 	// Seed makes the jitter of the backoff reproducible.
 	Seed uint64
 }
@@ -66,7 +66,7 @@
 		return nil, err
 	}
 	if c.Record == nil {
-		c.Record = func(state.Decided) {}
+		c.Record = func(state.RecordDecision) {}
 	}
 	return &Runner{Config: c, rnd: rand.New(rand.NewPCG(c.Seed, 2))}, nil
 }
@@ -105,7 +105,7 @@
 func (r *Runner) awaitCandidacy(ctx context.Context, duty string) bool {
 	for ctx.Err() == nil {
 		s, changed := r.Observer.Watch()
-		if query.MayServe(s, duty, time.Now()) {
+		if query.IsDutyCandidate(s, duty, time.Now()) {
 			return true
 		}
 		select {
--- a/io/lease/term.go
+++ b/io/lease/term.go
@@ -14,7 +14,7 @@
 // Term is the time for which one instance holds a duty; it is safe for concurrent use.
 type Term struct {
 	rule     fleet.LeaseRule
-	validity *policy.Cell[fleet.Tenure]
+	validity *policy.Cell[fleet.HeldLease]
 }
 
 // Fence returns the fencing token, which grows with each holder of the duty.
@@ -29,11 +29,11 @@
 
 // CanSendOrder reports whether an order to a backend server that is sent now ends within the term.
 func (t Term) CanSendOrder(now time.Time) bool {
-	return t.validity.Get().MayOrder(t.rule, now)
+	return t.validity.Get().CanSendOrder(t.rule, now)
 }
 
 // TakeoverDelayLeft returns how long the holder has to wait before it sends orders to servers that
 // ignore fencing tokens.
 func (t Term) TakeoverDelayLeft(now time.Time) time.Duration {
-	return t.validity.Get().QuietLeft(t.rule, now)
+	return t.validity.Get().TakeoverDelayLeft(t.rule, now)
 }
--- a/io/stage/feeder.go
+++ b/io/stage/feeder.go
@@ -19,7 +19,7 @@
 // FeederConfig configures a Feeder.
 type FeederConfig struct {
 	// Drain returns the attempts counted since its last call.
-	Drain func() []value.Runs
+	Drain func() []value.AttemptCounts
 	// Ratings is the rating service; nil means that there is none.
 	Ratings plat.RatingService
 	// Caller calls other instances; if it is nil, the instance evaluates only its own attempts.
@@ -41,7 +41,7 @@
 type Feeder struct {
 	config FeederConfig
 	// unsent holds the counts that have not been reported yet; only Run's goroutine accesses it.
-	unsent map[value.VersionKey]value.Runs
+	unsent map[value.VersionKey]value.AttemptCounts
 }
 
 // NewFeeder returns a feeder, or an error that names the missing setting.
@@ -60,7 +60,7 @@
 	case config.Every <= 0:
 		return nil, errors.New("feeder: Every must be positive")
 	}
-	return &Feeder{config: config, unsent: make(map[value.VersionKey]value.Runs)}, nil
+	return &Feeder{config: config, unsent: make(map[value.VersionKey]value.AttemptCounts)}, nil
 }
 
 // ratingsPerCommand bounds the ratings of one command, and with them the time for which it occupies
--- a/io/stage/gather.go
+++ b/io/stage/gather.go
@@ -50,7 +50,7 @@
 func (f *Feeder) handleReport(w wireRuns) (wireTaken, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 	defer cancel()
-	if err := f.config.Do(ctx, cmds.ObserveRuns{Runs: []value.Runs{value.Runs(w)}}); err != nil {
+	if err := f.config.Do(ctx, cmds.ObserveAttempts{Counts: []value.AttemptCounts{value.AttemptCounts(w)}}); err != nil {
 		return wireTaken{}, err
 	}
 	return wireTaken{Total: w.Total}, nil
@@ -61,7 +61,7 @@
 // tests at each instance would each need as many attempts, and their false alarms would add up.
 func (f *Feeder) reportAttempts(ctx context.Context) {
 	for _, counts := range f.config.Drain() {
-		f.unsent[counts.Version] = f.unsent[counts.Version].WithRuns(counts)
+		f.unsent[counts.Version] = f.unsent[counts.Version].WithCounts(counts)
 	}
 	for key, counts := range f.unsent {
 		err := f.send(ctx, counts)
@@ -79,11 +79,11 @@
 }
 
 // send passes the attempts to the evaluating instance, which may be this one.
-func (f *Feeder) send(ctx context.Context, counts value.Runs) error {
+func (f *Feeder) send(ctx context.Context, counts value.AttemptCounts) error {
 	s := f.config.Snapshot()
 	owner, ok := query.Owner(s, query.Slot(string(counts.Version)))
 	if !ok || owner.ID == s.Self.ID || f.config.Caller == nil {
-		return f.config.Do(ctx, cmds.ObserveRuns{Runs: []value.Runs{counts}})
+		return f.config.Do(ctx, cmds.ObserveAttempts{Counts: []value.AttemptCounts{counts}})
 	}
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
--- a/io/stage/keeper.go
+++ b/io/stage/keeper.go
@@ -62,9 +62,9 @@
 func (k *Keeper) Take(e state.Effect) bool {
 	var key string
 	switch e := e.(type) {
-	case state.KeepProgress:
+	case state.StoreProgress:
 		key = conf.RollOutKey(k.config.Environment, e.Progress.Name)
-	case state.KeepWithdrawal:
+	case state.StoreWithdrawal:
 		key = conf.WithdrawalKey(k.config.Environment, e.Withdrawal.Version)
 	default:
 		return false
@@ -121,13 +121,13 @@
 // instance stored a record with precedence first.
 func (k *Keeper) store(ctx context.Context, e state.Effect) error {
 	switch e := e.(type) {
-	case state.KeepProgress:
+	case state.StoreProgress:
 		inForce, err := conf.KeepProgress(ctx, k.config.Store, k.config.Environment, e.Progress)
 		if err != nil {
 			return fmt.Errorf("store position of roll-out %s: %w", e.Progress.Name, err)
 		}
 		return k.config.Do(ctx, cmds.InstallProgress{Progress: inForce})
-	case state.KeepWithdrawal:
+	case state.StoreWithdrawal:
 		inForce, err := conf.KeepWithdrawal(ctx, k.config.Store, k.config.Environment, e.Withdrawal)
 		if err != nil {
 			return fmt.Errorf("store withdrawal of %s: %w", e.Withdrawal.Version, err)
--- a/io/stage/stage_test.go
+++ b/io/stage/stage_test.go
@@ -51,7 +51,7 @@
 	state  state.State
 	keeper *stage.Keeper
 	feeder *stage.Feeder
-	counts []value.Runs
+	counts []value.AttemptCounts
 }
 
 func start(ctx context.Context, t *testing.T, f fixture, id value.InstanceID) *instance {
@@ -62,7 +62,7 @@
 		inst.state = inst.state.WithInstance(value.Instance{ID: member, PeerAddress: string(member), State: value.InstanceLive})
 	}
 	port := f.mesh.Join(self)
-	assert.NilError(t, inst.do(ctx, cmds.InstallConfig{Accepted: value.Accepted{Document: document(), Revision: 1}}))
+	assert.NilError(t, inst.do(ctx, cmds.InstallConfig{Accepted: value.AcceptedDocument{Document: document(), Revision: 1}}))
 	var err error
 	inst.keeper, err = stage.NewKeeper(stage.KeeperConfig{
 		Store: f.store, Environment: "trial", Do: inst.do, Failed: func(error) {},
@@ -103,7 +103,7 @@
 			return err
 		}
 		last := entries[len(entries)-1].Revision
-		return i.do(ctx, cmds.Spread{Revision: last, RollOuts: c.RollOuts, Withdrawals: c.Withdrawals})
+		return i.do(ctx, cmds.InstallRevision{Revision: last, RollOuts: c.RollOuts, Withdrawals: c.Withdrawals})
 	}
 	return func(ctx context.Context) error {
 		for ctx.Err() == nil {
@@ -133,7 +133,7 @@
 	return i.state
 }
 
-func (i *instance) drain() []value.Runs {
+func (i *instance) drain() []value.AttemptCounts {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	counts := i.counts
@@ -145,7 +145,7 @@
 func (i *instance) countAttempts(total, failed int) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.counts = append(i.counts, value.Runs{Version: newKey, Total: total, Failed: failed})
+	i.counts = append(i.counts, value.AttemptCounts{Version: newKey, Total: total, Failed: failed})
 }
 
 func (i *instance) progress() value.Progress {
@@ -278,5 +278,5 @@
 func observedAttempts(i *instance) int {
 	s := i.snapshot()
 	r, _ := s.RollOut(rollOut)
-	return s.Watch(r).Tests.Trials(value.ReasonErrorRate)
+	return s.RollOutTests(r).Tests.Trials(value.ReasonErrorRate)
 }
