--- a/io/conf/changes.go
+++ b/io/conf/changes.go
@@ -11,32 +11,34 @@
 	"endivehitch/io/plat"
 )
 
-// Changes is what entries of an environment's configuration say.
+// Changes is the decoded content of entries of an environment's configuration.
 type Changes struct {
-	// Accepted is the document; its revision is zero where the entries hold none.
+	// Accepted is the document; its revision is zero if none of the entries holds one.
 	Accepted    value.Accepted
 	RollOuts    []value.Progress
 	Withdrawals []value.Withdrawal
 }
 
-// Decode reads entries under the environment's prefix, in the order of their revisions.
+// Decode decodes entries under the environment's prefix, which must be in the order of their
+// revisions.
 //
-// An entry that can't be read is left out and named in the error; the rest stands.
+// An entry that can't be decoded is skipped and listed in the error; the other entries are
+// returned.
 func Decode(e value.Environment, entries ...plat.Entry) (Changes, error) {
-	var c Changes
-	var failed []error
+	var changes Changes
+	var errs []error
 	for _, entry := range entries {
-		next, err := c.with(e, entry)
+		next, err := changes.withEntry(e, entry)
 		if err != nil {
-			failed = append(failed, fmt.Errorf("%s at revision %d: %w", entry.Key, entry.Revision, err))
+			errs = append(errs, fmt.Errorf("%s at revision %d: %w", entry.Key, entry.Revision, err))
 			continue
 		}
-		c = next
+		changes = next
 	}
-	return c, errors.Join(failed...)
+	return changes, errors.Join(errs...)
 }
 
-func (c Changes) with(e value.Environment, entry plat.Entry) (Changes, error) {
+func (c Changes) withEntry(e value.Environment, entry plat.Entry) (Changes, error) {
 	switch {
 	case entry.Key == DocumentKey(e):
 		record, err := DecodeRecord(entry)
@@ -57,7 +59,7 @@
 	return c, nil
 }
 
-// wireProgress is a roll-out's position as kept in the key-value service.
+// wireProgress is the format of a roll-out's progress in the key-value service.
 type wireProgress struct {
 	Name    value.RollOutName
 	Version value.VersionKey
@@ -68,19 +70,19 @@
 	Reason  string
 }
 
-// wireWithdrawal is a version's withdrawal as kept in the key-value service.
+// wireWithdrawal is the format of a version's withdrawal in the key-value service.
 type wireWithdrawal struct {
 	Version value.VersionKey
 	Reason  value.Reason
 	At      time.Time
 }
 
-// EncodeProgress returns a roll-out's position as it is kept.
+// EncodeProgress encodes a roll-out's progress for the key-value service.
 func EncodeProgress(p value.Progress) ([]byte, error) {
 	return encode(wireProgress(p))
 }
 
-// DecodeProgress reads an entry that keeps a roll-out's position.
+// DecodeProgress decodes an entry that holds a roll-out's progress.
 func DecodeProgress(e plat.Entry) (value.Progress, error) {
 	w, err := decodeEntry[wireProgress](e)
 	return value.Progress(w), err
--- a/io/conf/fault.go
+++ b/io/conf/fault.go
@@ -5,13 +5,13 @@
 	"strings"
 )
 
-// Fault is one thing that is wrong with a document.
+// Fault is one error in a document or a settings file.
 type Fault struct {
-	// Path leads to the value, such as "Kinds[2].QualityTarget".
+	// Path is the path of the value, such as "Kinds[2].QualityTarget".
 	Path string
-	// Line is the line of the value, from 1.
+	// Line is the line number of the value, counted from 1.
 	Line int
-	// What says what is wrong.
+	// What describes the error.
 	What string
 }
 
@@ -23,14 +23,14 @@
 	return fmt.Sprintf("line %d: %s: %s", f.Line, f.Path, f.What)
 }
 
-// Faults is the error that lists everything that is wrong with a document, by line.
+// Faults is the error that lists all faults of a document or a settings file in the order of lines.
 type Faults []Fault
 
 // Error returns one line for each fault.
 func (f Faults) Error() string {
 	lines := make([]string, len(f))
-	for i, one := range f {
-		lines[i] = one.String()
+	for i, fault := range f {
+		lines[i] = fault.String()
 	}
 	return strings.Join(lines, "\n")
 }
--- a/io/conf/fields.go
+++ b/io/conf/fields.go
@@ -4,13 +4,14 @@
 
 // Field describes one field of the document.
 type Field struct {
-	// Path leads to the field, such as "Kinds[].Deadline".
+	// Path is the path of the field, such as "Kinds[].Deadline".
 	Path string
 	// Type is Text, Number, Integer, Duration, Flag, List or Group.
 	Type string
-	// Needed is set where the field must be stated.
+	// Needed is set if the field is required.
 	Needed bool
-	// Range is the least and greatest value or length, such as "0..1", or empty.
+	// Range is the minimum and maximum of the value or of a list's length, such as "0..1"; it is empty
+	// if there is no limit.
 	Range string
 }
 
@@ -21,19 +22,19 @@
 
 func fieldsOf(path string, t reflect.Type) []Field {
 	var all []Field
-	for f := range t.Fields() {
-		at := join(path, f.Name)
+	for field := range t.Fields() {
+		at := joinPath(path, field.Name)
 		all = append(all, Field{
 			Path:   at,
-			Type:   typeName(f.Type),
-			Needed: rulesOf(f).need,
-			Range:  f.Tag.Get("range"),
+			Type:   typeName(field.Type),
+			Needed: rulesOf(field).required,
+			Range:  field.Tag.Get("range"),
 		})
 		switch {
-		case f.Type.Kind() == reflect.Struct:
-			all = append(all, fieldsOf(at, f.Type)...)
-		case f.Type.Kind() == reflect.Slice && f.Type.Elem().Kind() == reflect.Struct:
-			all = append(all, fieldsOf(at+"[]", f.Type.Elem())...)
+		case field.Type.Kind() == reflect.Struct:
+			all = append(all, fieldsOf(at, field.Type)...)
+		case field.Type.Kind() == reflect.Slice && field.Type.Elem().Kind() == reflect.Struct:
+			all = append(all, fieldsOf(at+"[]", field.Type.Elem())...)
 		}
 	}
 	return all
--- a/io/conf/keep.go
+++ b/io/conf/keep.go
@@ -9,71 +9,78 @@
 	"endivehitch/io/plat"
 )
 
-// keepTries bounds how often a write is tried at once; a caller that fails comes back later.
-const keepTries = 4
+// maxStoreAttempts bounds the attempts of one call to store a value; the caller of a failed call
+// retries later.
+const maxStoreAttempts = 4
 
-// KeepProgress keeps a roll-out's position unless what stands is newer, and returns what stands then.
+// KeepProgress stores a roll-out's progress if it supersedes the current record, and returns the
+// record that is current afterwards.
 //
-// It may be repeated: a position that stands already is left alone.
+// It is idempotent: a record that is already current stays in place.
 func KeepProgress(ctx context.Context, store plat.Store, e value.Environment, p value.Progress) (value.Progress, error) {
-	return keep(ctx, store, keeping[wireProgress]{
-		key:  RollOutKey(e, p.Name),
-		mine: wireProgress(p),
-		newer: func(was wireProgress) bool {
-			return p.Supersedes(value.Progress(was))
+	return storeUnlessNewer(ctx, store, storeRequest[wireProgress]{
+		key:   RollOutKey(e, p.Name),
+		value: wireProgress(p),
+		replaces: func(stored wireProgress) bool {
+			return p.Supersedes(value.Progress(stored))
 		},
 	}, func(w wireProgress) value.Progress { return value.Progress(w) })
 }
 
-// KeepWithdrawal keeps a version's withdrawal, which is final, and returns the one that stands then.
+// KeepWithdrawal stores a version's withdrawal unless there is one, since a withdrawal is final,
+// and returns the one that is current afterwards.
 func KeepWithdrawal(ctx context.Context, store plat.Store, e value.Environment, w value.Withdrawal) (value.Withdrawal, error) {
-	return keep(ctx, store, keeping[wireWithdrawal]{
-		key:   WithdrawalKey(e, w.Version),
-		mine:  wireWithdrawal(w),
-		newer: func(wireWithdrawal) bool { return false },
+	return storeUnlessNewer(ctx, store, storeRequest[wireWithdrawal]{
+		key:      WithdrawalKey(e, w.Version),
+		value:    wireWithdrawal(w),
+		replaces: func(wireWithdrawal) bool { return false },
 	}, func(w wireWithdrawal) value.Withdrawal { return value.Withdrawal(w) })
 }
 
-// keeping is a value to be kept under a key, and whether it takes the place of another one.
-type keeping[W any] struct {
+// storeRequest is a value to be stored under a key.
+type storeRequest[W any] struct {
 	key   string
-	mine  W
-	newer func(was W) bool
+	value W
+	// replaces reports whether the value replaces the given current one.
+	replaces func(current W) bool
 }
 
-func keep[W, V any](ctx context.Context, store plat.Store, k keeping[W], from func(W) V) (V, error) {
+// storeUnlessNewer stores the request's value by compare-and-swap, unless it does not replace the
+// current one, and returns the value that is current afterwards.
+func storeUnlessNewer[W, V any](ctx context.Context, store plat.Store, request storeRequest[W], toValue func(W) V) (V, error) {
 	var none V
-	data, err := encode(k.mine)
+	data, err := encode(request.value)
 	if err != nil {
 		return none, err
 	}
-	for range keepTries {
-		entry, err := store.Get(ctx, k.key)
+	for range maxStoreAttempts {
+		entry, err := store.Get(ctx, request.key)
 		if err != nil {
-			return none, fmt.Errorf("read %s: %w", k.key, err)
+			return none, fmt.Errorf("read %s: %w", request.key, err)
 		}
 		if entry.Revision > 0 {
-			was, err := decodeEntry[W](entry)
+			stored, err := decodeEntry[W](entry)
 			if err != nil {
 				return none, err
 			}
-			if !k.newer(was) {
-				return from(was), nil
+			if !request.replaces(stored) {
+				return toValue(stored), nil
 			}
 		}
-		_, err = store.Swap(ctx, plat.Swap{Key: k.key, Expect: entry.Revision, Value: data})
+		_, err = store.Swap(ctx, plat.Swap{Key: request.key, Expect: entry.Revision, Value: data})
 		if err == nil {
-			return from(k.mine), nil
+			return toValue(request.value), nil
 		}
-		if !mayReadBack(err) {
-			return none, fmt.Errorf("keep %s: %w", k.key, err)
+		if !canReadBack(err) {
+			return none, fmt.Errorf("store %s: %w", request.key, err)
 		}
 	}
-	return none, fmt.Errorf("keep %s: no success in %d tries: %w", k.key, keepTries, plat.ErrUnavailable)
+	return none, fmt.Errorf("store %s: no attempt of %d succeeded: %w", request.key, maxStoreAttempts, plat.ErrUnavailable)
 }
 
-// mayReadBack reports whether reading what stands settles the write.
-func mayReadBack(err error) bool {
+// canReadBack reports whether the next attempt can learn the outcome of a failed write from the
+// current entry, which is so after a conflict or a lost answer.
+func canReadBack(err error) bool {
 	var conflict plat.Conflict
 	return errors.As(err, &conflict) || errors.Is(err, plat.ErrUnknown)
 }
--- a/io/conf/keep_test.go
+++ b/io/conf/keep_test.go
@@ -12,37 +12,37 @@
 	"endivehitch/io/plat"
 )
 
-func TestKeepProgressGivesWayToWhatIsNewer(t *testing.T) {
+func TestKeepProgressStoresOnlyNewerProgress(t *testing.T) {
 	inner, err := plat.NewEmbedded(plat.EmbeddedConfig{Now: time.Now, History: 16})
 	assert.NilError(t, err)
 	store := fakes.NewStore(inner)
 	keep := func(p value.Progress) value.Progress {
 		p.Name, p.Version = "r", "m/v"
-		stands, err := conf.KeepProgress(t.Context(), store, "trial", p)
+		stored, err := conf.KeepProgress(t.Context(), store, "trial", p)
 		assert.NilError(t, err)
-		return stands
+		return stored
 	}
 	staged := value.Progress{Phase: value.PhaseStaged, Epoch: 2}
 	assert.Equal(t, keep(staged).Epoch, int64(2))
-	assert.Equal(t, keep(value.Progress{Phase: value.PhaseStaged, Epoch: 1}).Epoch, int64(2), "an older position gives way")
+	assert.Equal(t, keep(value.Progress{Phase: value.PhaseStaged, Epoch: 1}).Epoch, int64(2), "older progress must not replace the current record")
 
 	assert.NilError(t, store.Set(fakes.Faults{LostAnswers: 1}))
 	before := store.Writes()
 	assert.Equal(t, keep(value.Progress{Phase: value.PhaseStaged, Epoch: 3}).Epoch, int64(3))
-	assert.Equal(t, store.Writes(), before+1, "a write whose answer was lost is read back")
+	assert.Equal(t, store.Writes(), before+1, "a write whose answer was lost must be read back, not repeated")
 
 	keep(value.Progress{Phase: value.PhaseWithdrawn, Epoch: 1})
 	got := keep(value.Progress{Phase: value.PhaseStaged, Epoch: 9})
-	assert.Equal(t, got.Phase, value.PhaseWithdrawn, "a withdrawal is final")
+	assert.Equal(t, got.Phase, value.PhaseWithdrawn, "nothing must replace a withdrawal")
 }
 
-func TestKeepWithdrawalKeepsTheFirst(t *testing.T) {
+func TestKeepWithdrawalLeavesTheFirstInPlace(t *testing.T) {
 	store, err := plat.NewEmbedded(plat.EmbeddedConfig{Now: time.Now, History: 16})
 	assert.NilError(t, err)
-	for _, why := range []value.Reason{value.ReasonQuality, value.ReasonOperator} {
-		w, err := conf.KeepWithdrawal(t.Context(), store, "trial", value.Withdrawal{Version: "m/v", Reason: why})
+	for _, reason := range []value.Reason{value.ReasonQuality, value.ReasonOperator} {
+		stored, err := conf.KeepWithdrawal(t.Context(), store, "trial", value.Withdrawal{Version: "m/v", Reason: reason})
 		assert.NilError(t, err)
-		assert.Equal(t, w.Reason, value.ReasonQuality)
+		assert.Equal(t, stored.Reason, value.ReasonQuality)
 	}
 	listing, err := store.List(t.Context(), conf.Prefix("trial"))
 	assert.NilError(t, err)
@@ -51,7 +51,7 @@
 	assert.Equal(t, changes.Withdrawals[0].Version, value.VersionKey("m/v"))
 }
 
-func TestDecodeLeavesOutWhatItCannotRead(t *testing.T) {
+func TestDecodeSkipsUnreadableEntries(t *testing.T) {
 	good, err := conf.EncodeProgress(value.Progress{Name: "r", Stage: 2})
 	assert.NilError(t, err)
 	changes, err := conf.Decode("trial",
--- a/io/conf/keys.go
+++ b/io/conf/keys.go
@@ -4,7 +4,7 @@
 
 const keyPrefix = "endivehitch/"
 
-// Prefix returns the prefix of the keys under which the environment's configuration is kept.
+// Prefix returns the prefix of the keys under which the environment's configuration is stored.
 func Prefix(e value.Environment) string {
 	return keyPrefix + string(e) + "/config/"
 }
--- a/io/conf/parse.go
+++ b/io/conf/parse.go
@@ -10,27 +10,29 @@
 	"endivehitch/core/value"
 )
 
-// DocumentLimit is the largest document that is read, in bytes; the key-value service holds little more.
+// DocumentLimit is the size of the largest document that Parse accepts, in bytes. A Record holds
+// the document in base64, in which this size comes to 1 MiB, plat.ValueLimit, the largest value
+// that the key-value service takes.
 const DocumentLimit = 768 << 10
 
-// Parse returns the document that the bytes state; the error is of type Faults and names every fault.
+// Parse parses and validates a document; the error is of type Faults and lists every fault.
 func Parse(data []byte) (value.Document, error) {
 	if len(data) > DocumentLimit {
 		return value.Document{}, Faults{{Line: 1, What: fmt.Sprintf("has %d bytes: at most %d are possible", len(data), DocumentLimit)}}
 	}
-	tree, err := parse(data)
+	tree, err := parseTree(data)
 	if err != nil {
 		return value.Document{}, err
 	}
 	r := &reader{lines: make(map[string]int)}
-	w := read[wireDocument](r, tree)
-	c := &checker{reader: r, document: w}
+	wire := readTree[wireDocument](r, tree)
+	c := &checker{reader: r, document: wire}
 	c.check()
 	if len(r.faults) > 0 {
 		slices.SortStableFunc(r.faults, func(a, b Fault) int { return cmp.Compare(a.Line, b.Line) })
 		return value.Document{}, r.faults
 	}
-	return w.value(), nil
+	return wire.value(), nil
 }
 
 // Digest returns the SHA-256 sum of the bytes in hexadecimal.
--- a/io/conf/parse_test.go
+++ b/io/conf/parse_test.go
@@ -11,7 +11,7 @@
 	"endivehitch/io/conf"
 )
 
-func example(t *testing.T, name string) string {
+func readExample(t *testing.T, name string) string {
 	t.Helper()
 	data, err := os.ReadFile("../../examples/" + name + ".yaml")
 	assert.NilError(t, err)
@@ -26,9 +26,9 @@
 	return strings.Split(faults.Error(), "\n")
 }
 
-func TestExamplesAreSound(t *testing.T) {
+func TestParseAcceptsTheExampleDocuments(t *testing.T) {
 	for _, name := range []string{"vadodara", "portvagt"} {
-		d, err := conf.Parse([]byte(example(t, name)))
+		d, err := conf.Parse([]byte(readExample(t, name)))
 		assert.NilError(t, err)
 		assert.Equal(t, d.Name, name)
 		assert.Equal(t, len(d.ClientAccounts), 10)
@@ -36,14 +36,14 @@
 	}
 }
 
-func TestJSONReadsAsYAML(t *testing.T) {
-	d, err := conf.Parse([]byte(small))
+func TestParseAcceptsJSON(t *testing.T) {
+	d, err := conf.Parse([]byte(smallDocument))
 	assert.NilError(t, err)
 	assert.Equal(t, d.Kinds[0].Deadline.String(), "1.5s")
 	assert.Equal(t, d.Limits.BodyBytes, int64(4096))
 }
 
-const small = `{
+const smallDocument = `{
 "Name": "one",
 "ClientAccounts": [{"Name": "a", "Share": 1, "Versions": ["m/v"], "Kinds": ["k"]}],
 "Models": [{"Name": "m", "Versions": [{"Name": "v", "InputMicros": 1, "OutputMicros": 1, "Quality": 0.9, "Pool": "p"}]}],
@@ -52,20 +52,21 @@
 "Limits": {"QueueLength": 1, "RetryPercent": 1, "HedgePercent": 1, "BodyBytes": 4096}
 }`
 
-// edit replaces each first text by the second in the small document, which has one line for each section.
-func edit(pairs ...string) string {
-	return strings.NewReplacer(pairs...).Replace(small)
+// editSmallDocument replaces, in smallDocument, the first text of each pair by the second. Each
+// section of smallDocument takes one line, by which the tests check the line numbers.
+func editSmallDocument(pairs ...string) string {
+	return strings.NewReplacer(pairs...).Replace(smallDocument)
 }
 
-func TestBrokenDocuments(t *testing.T) {
+func TestParseReportsEveryFault(t *testing.T) {
 	cases := []struct {
 		name     string
 		document string
 		want     []string
 	}{
 		{
-			name:     "unknown and doubled fields",
-			document: edit(`"MaxInFlight": 1`, `"MaxInflight": 1`, `"MaxTokens": 9`, `"MaxTokens": 9, "MaxTokens": 8`, `"Name": "one"`, `"name": "one"`),
+			name:     "unknown, missing and duplicate fields",
+			document: editSmallDocument(`"MaxInFlight": 1`, `"MaxInflight": 1`, `"MaxTokens": 9`, `"MaxTokens": 9, "MaxTokens": 8`, `"Name": "one"`, `"name": "one"`),
 			want: []string{
 				`line 1: Name: is missing`,
 				`line 2: name: is no field of the document`,
@@ -75,8 +76,8 @@
 			},
 		},
 		{
-			name:     "dangling references",
-			document: edit(`["m/v"]`, `["m/v", "m/w"]`, `["k"]`, `["k", "q"]`, `"Pool": "p"`, `"Pool": "x"`, `"Pools": [`, `"Services": [{"Name": "s", "Pool": "y"}], "Pools": [`),
+			name:     "references to unknown versions, kinds and pools",
+			document: editSmallDocument(`["m/v"]`, `["m/v", "m/w"]`, `["k"]`, `["k", "q"]`, `"Pool": "p"`, `"Pool": "x"`, `"Pools": [`, `"Services": [{"Name": "s", "Pool": "y"}], "Pools": [`),
 			want: []string{
 				`line 3: ClientAccounts[0].Versions[1]: there is no version "m/w"`,
 				`line 3: ClientAccounts[0].Kinds[1]: there is no kind "q"`,
@@ -85,8 +86,8 @@
 			},
 		},
 		{
-			name:     "impossible quality target and kinds that contradict themselves",
-			document: edit(`"Model": "m",`, `"Model": "m", "QualityTarget": 0.95, "Share": true, "MaxAttempts": 2,`),
+			name:     "unreachable quality target and contradictory fields of a kind",
+			document: editSmallDocument(`"Model": "m",`, `"Model": "m", "QualityTarget": 0.95, "Share": true, "MaxAttempts": 2,`),
 			want: []string{
 				`line 3: ClientAccounts[0].Kinds[0]: quality target 0.95 of kind "k" can't be reached: the best of the allowed versions and their cascades comes to 0.9`,
 				`line 5: Kinds[0].Share: can't be true for a kind that is not idempotent`,
@@ -95,7 +96,7 @@
 		},
 		{
 			name:     "values out of range, of the wrong type or empty",
-			document: edit(`"Share": 1`, `"Share": 0`, `"Quality": 0.9`, `"Quality": "good"`, `"1500ms"`, `"1500"`, `"RetryPercent": 1`, `"RetryPercent": 101`, `"Priority": "Draft"`, `"Priority": "Soon"`, `"Name": "p"`, `"Name": ""`, `"Pool": "p"`, `"Pool": ""`),
+			document: editSmallDocument(`"Share": 1`, `"Share": 0`, `"Quality": 0.9`, `"Quality": "good"`, `"1500ms"`, `"1500"`, `"RetryPercent": 1`, `"RetryPercent": 101`, `"Priority": "Draft"`, `"Priority": "Soon"`, `"Name": "p"`, `"Name": ""`, `"Pool": "p"`, `"Pool": ""`),
 			want: []string{
 				`line 3: ClientAccounts[0].Share: 0 is out of range: 1 to 1000000`,
 				`line 4: Models[0].Versions[0].Quality: must be a number, not text`,
@@ -107,8 +108,8 @@
 			},
 		},
 		{
-			name: "roll-outs that can't be passed",
-			document: edit(`"Limits"`, `"RollOuts": [{"Name": "r", "Model": "m", "From": "v", "To": "v",
+			name: "roll-outs with contradictory stages, versions or names",
+			document: editSmallDocument(`"Limits"`, `"RollOuts": [{"Name": "r", "Model": "m", "From": "v", "To": "v",
 				"Stages": [{"Percent": 20}, {"Percent": 10}],
 				"MaxErrorRate": 2, "MinQuality": 0.5}, {"Name": "r", "Model": "n", "From": "v", "To": "w", "Stages": [{"Percent": 100}],
 				"MaxErrorRate": 0, "MinQuality": 0}], "Limits"`),
@@ -129,20 +130,20 @@
 	}
 }
 
-func TestSyntaxFaultNamesItsLine(t *testing.T) {
+func TestParseReportsTheLineOfASyntaxFault(t *testing.T) {
 	assert.Assert(t, strings.HasPrefix(faultsOf(t, "Name: a\nKinds: [\n")[0], "line 2: "))
 	assert.DeepEqual(t, faultsOf(t, "Name: a\n---\nName: b\n"), []string{"line 1: must hold one document, neither none nor several"})
 }
 
-func TestAliasesAreRefused(t *testing.T) {
-	got := faultsOf(t, edit(`"Share": 1`, `"Share": &x 1`, `"RetryPercent": 1`, `"RetryPercent": *x`))
+func TestParseRejectsAnchorsAndAliases(t *testing.T) {
+	got := faultsOf(t, editSmallDocument(`"Share": 1`, `"Share": &x 1`, `"RetryPercent": 1`, `"RetryPercent": *x`))
 	assert.DeepEqual(t, got, []string{
 		"line 3: ClientAccounts[0].Share: must be a whole number, not an anchor, alias or tag",
 		"line 7: Limits.RetryPercent: must be a whole number, not an anchor, alias or tag",
 	})
 }
 
-func TestDeepNestingIsRefusedBeforeItIsParsed(t *testing.T) {
+func TestParseRejectsDeepNestingBeforeParsing(t *testing.T) {
 	for _, mark := range []string{"[", "{a: ", "- ", "? "} {
 		deep := "Name: a\nKinds: " + strings.Repeat(mark, 50000)
 		assert.DeepEqual(t, faultsOf(t, deep), []string{"line 2: is nested more than 16 deep"})
@@ -150,7 +151,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(small))
+	f.Add([]byte(smallDocument))
 	f.Add([]byte("a: &x [*x]\n"))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		_, err := conf.Parse(data)
--- a/io/conf/reader.go
+++ b/io/conf/reader.go
@@ -8,103 +8,107 @@
 	"github.com/goccy/go-yaml/ast"
 )
 
-// reader turns a syntax tree into wire types; it goes on after a fault, so that all are named.
+// reader decodes a syntax tree into wire types. It continues after a fault, so that all faults are
+// reported at once.
 type reader struct {
 	faults Faults
-	// lines holds the line of each path, for the checks that follow.
+	// lines maps the path of each value to its line, for the checks that follow.
 	lines map[string]int
 }
 
-func (r *reader) fault(path string, line int, what string) {
+// addFault records a fault; an empty text means that there is none.
+func (r *reader) addFault(path string, line int, what string) {
 	if what != "" {
 		r.faults = append(r.faults, Fault{Path: path, Line: line, What: what})
 	}
 }
 
-// read returns the tree as a T, as far as it is sound.
-func read[T any](r *reader, n ast.Node) T {
+// readTree decodes the tree into a T; a value with a fault may be left out.
+func readTree[T any](r *reader, n ast.Node) T {
 	var v T
-	r.value(n, "", reflect.ValueOf(&v).Elem(), rules{})
+	r.readValue(n, "", reflect.ValueOf(&v).Elem(), rules{})
 	return v
 }
 
-func (r *reader) value(n ast.Node, path string, into reflect.Value, rule rules) {
+func (r *reader) readValue(n ast.Node, path string, into reflect.Value, rule rules) {
 	r.lines[path] = lineOf(n)
 	switch into.Kind() {
 	case reflect.Struct:
-		r.object(n, path, into)
+		r.readObject(n, path, into)
 	case reflect.Slice:
-		r.list(n, path, into, rule)
+		r.readList(n, path, into, rule)
 	default:
-		r.scalar(n, path, into, rule)
+		r.readScalar(n, path, into, rule)
 	}
 }
 
-func (r *reader) object(n ast.Node, path string, into reflect.Value) {
+func (r *reader) readObject(n ast.Node, path string, into reflect.Value) {
 	pairs, ok := pairsOf(n)
 	if !ok {
-		r.fault(path, lineOf(n), "must be a group of fields, not "+kindOf(n))
+		r.addFault(path, lineOf(n), "must be a group of fields, not "+describeNode(n))
 		return
 	}
 	seen := make(map[string]int, len(pairs))
-	for _, p := range pairs {
-		name := p.Key.GetToken().Value
-		line := p.Key.GetToken().Position.Line
-		at := join(path, name)
-		if first, twice := seen[name]; twice {
-			r.fault(at, line, fmt.Sprintf("is stated twice, first in line %d", first))
+	for _, pair := range pairs {
+		name := pair.Key.GetToken().Value
+		line := pair.Key.GetToken().Position.Line
+		at := joinPath(path, name)
+		if first, duplicate := seen[name]; duplicate {
+			r.addFault(at, line, fmt.Sprintf("is stated twice, first in line %d", first))
 			continue
 		}
 		seen[name] = line
-		f, known := into.Type().FieldByName(name)
+		field, known := into.Type().FieldByName(name)
 		if !known {
-			r.fault(at, line, "is no field of the document")
+			r.addFault(at, line, "is no field of the document")
 			continue
 		}
-		r.value(p.Value, at, into.FieldByIndex(f.Index), rulesOf(f))
+		r.readValue(pair.Value, at, into.FieldByIndex(field.Index), rulesOf(field))
 	}
 	for f := range into.Type().Fields() {
-		if _, stated := seen[f.Name]; rulesOf(f).need && !stated {
-			r.fault(join(path, f.Name), lineOf(n), "is missing")
+		if _, stated := seen[f.Name]; rulesOf(f).required && !stated {
+			r.addFault(joinPath(path, f.Name), lineOf(n), "is missing")
 		}
 	}
 }
 
-func (r *reader) list(n ast.Node, path string, into reflect.Value, rule rules) {
-	seq, ok := n.(*ast.SequenceNode)
+func (r *reader) readList(n ast.Node, path string, into reflect.Value, rule rules) {
+	sequence, ok := n.(*ast.SequenceNode)
 	if !ok {
-		r.fault(path, lineOf(n), "must be a list, not "+kindOf(n))
+		r.addFault(path, lineOf(n), "must be a list, not "+describeNode(n))
 		return
 	}
-	r.fault(path, lineOf(n), rule.checkLength(len(seq.Values)))
-	list := reflect.MakeSlice(into.Type(), len(seq.Values), len(seq.Values))
-	for i, v := range seq.Values {
-		r.value(v, fmt.Sprintf("%s[%d]", path, i), list.Index(i), rules{form: rule.form})
+	r.addFault(path, lineOf(n), rule.checkLength(len(sequence.Values)))
+	items := reflect.MakeSlice(into.Type(), len(sequence.Values), len(sequence.Values))
+	for i, v := range sequence.Values {
+		r.readValue(v, fmt.Sprintf("%s[%d]", path, i), items.Index(i), rules{format: rule.format})
 	}
-	into.Set(list)
+	into.Set(items)
 }
 
-func (r *reader) scalar(n ast.Node, path string, into reflect.Value, rule rules) {
-	what := ""
+func (r *reader) readScalar(n ast.Node, path string, into reflect.Value, rule rules) {
+	problem := ""
 	switch {
 	case into.Type() == durationType:
-		what = setDuration(n, into, rule)
+		problem = setDuration(n, into, rule)
 	case into.Kind() == reflect.String:
-		what = setText(n, into, rule)
+		problem = setText(n, into, rule)
 	case into.Kind() == reflect.Bool:
-		what = setBool(n, into)
+		problem = setBool(n, into)
 	case into.Kind() == reflect.Float64:
-		what = setFloat(n, into, rule)
+		problem = setFloat(n, into, rule)
 	default:
-		what = setInt(n, into, rule)
+		problem = setInt(n, into, rule)
 	}
-	r.fault(path, lineOf(n), what)
+	r.addFault(path, lineOf(n), problem)
 }
 
+// The set functions decode a scalar into a field, and return what is wrong with it, or nothing.
+
 func setDuration(n ast.Node, into reflect.Value, rule rules) string {
 	s, ok := n.(*ast.StringNode)
 	if !ok {
-		return "must be a duration such as 500ms or 2m, not " + kindOf(n)
+		return "must be a duration such as 500ms or 2m, not " + describeNode(n)
 	}
 	d, err := time.ParseDuration(s.Value)
 	if err != nil {
@@ -117,7 +121,7 @@
 func setText(n ast.Node, into reflect.Value, rule rules) string {
 	s, ok := textOf(n)
 	if !ok {
-		return "must be text, not " + kindOf(n)
+		return "must be text, not " + describeNode(n)
 	}
 	into.SetString(s)
 	return rule.checkText(s)
@@ -126,7 +130,7 @@
 func setBool(n ast.Node, into reflect.Value) string {
 	b, ok := n.(*ast.BoolNode)
 	if !ok {
-		return "must be true or false, not " + kindOf(n)
+		return "must be true or false, not " + describeNode(n)
 	}
 	into.SetBool(b.Value)
 	return ""
@@ -135,7 +139,7 @@
 func setFloat(n ast.Node, into reflect.Value, rule rules) string {
 	f, ok := numberOf(n)
 	if !ok {
-		return "must be a number, not " + kindOf(n)
+		return "must be a number, not " + describeNode(n)
 	}
 	into.SetFloat(f)
 	return rule.checkNumber(f)
@@ -143,11 +147,11 @@
 
 func setInt(n ast.Node, into reflect.Value, rule rules) string {
 	if _, ok := n.(*ast.IntegerNode); !ok {
-		return "must be a whole number, not " + kindOf(n)
+		return "must be a whole number, not " + describeNode(n)
 	}
 	f, _ := numberOf(n)
-	if what := rule.checkNumber(f); what != "" {
-		return what
+	if problem := rule.checkNumber(f); problem != "" {
+		return problem
 	}
 	into.SetInt(int64(f))
 	return ""
--- a/io/conf/record.go
+++ b/io/conf/record.go
@@ -10,16 +10,17 @@
 	"endivehitch/io/plat"
 )
 
-// trailLength is how many earlier changes a record remembers.
-const trailLength = 32
+// historyLength is the number of earlier changes that a record holds.
+const historyLength = 32
 
-// Record is a document's bytes with where they come from, as kept in the key-value service.
+// Record is a document's bytes with the changes that led to it, as stored in the key-value service.
 type Record struct {
 	Bytes    []byte
 	Standing value.Standing
 }
 
-// wireRecord is the record's format; the bytes are kept as they are, so that the digest stays.
+// wireRecord is the record's format. It holds the document's bytes unchanged, so that their digest
+// stays valid.
 type wireRecord struct {
 	Change   wireChange
 	Trail    []wireChange
@@ -34,55 +35,56 @@
 	Digest string
 }
 
-// WithChange returns the record that follows when the change puts the bytes in its place.
-func (r Record) WithChange(data []byte, c value.Change) Record {
-	trail := r.Standing.Trail
+// WithChange returns the record that the change replaces this one by, with the bytes as its
+// document. The replaced record's change becomes the first of the change history.
+func (r Record) WithChange(data []byte, change value.Change) Record {
+	history := r.Standing.Trail
 	if r.Standing.Revision > 0 {
-		trail = append([]value.Change{r.Standing.Change}, trail...)
+		history = append([]value.Change{r.Standing.Change}, history...)
 	}
-	trail = trail[:min(len(trail), trailLength)]
-	return Record{Bytes: data, Standing: value.Standing{Change: c, Trail: trail}}
+	history = history[:min(len(history), historyLength)]
+	return Record{Bytes: data, Standing: value.Standing{Change: change, Trail: history}}
 }
 
-// Encode returns the record as it is kept.
+// Encode encodes the record for the key-value service.
 func (r Record) Encode() ([]byte, error) {
-	w := wireRecord{
-		Change:   toWire(r.Standing.Change),
-		Trail:    convert(r.Standing.Trail, toWire),
+	wire := wireRecord{
+		Change:   toWireChange(r.Standing.Change),
+		Trail:    convert(r.Standing.Trail, toWireChange),
 		Document: r.Bytes,
 	}
-	data, err := json.Marshal(w)
+	data, err := json.Marshal(wire)
 	if err != nil {
 		return nil, fmt.Errorf("encode record: %w", err)
 	}
 	return data, nil
 }
 
-// DecodeRecord reads an entry; one that is not there gives a record of revision zero.
+// DecodeRecord decodes an entry; a missing entry gives a record of revision zero.
 //
-// The error is a value.ChangeRefused where the bytes don't have the digest that was accepted.
+// The error is a value.ChangeRefused if the digest of the bytes is not that of the accepted change.
 func DecodeRecord(e plat.Entry) (Record, error) {
 	if e.Revision == 0 {
 		return Record{}, nil
 	}
-	var w wireRecord
-	if err := json.Unmarshal(e.Value, &w); err != nil {
+	var wire wireRecord
+	if err := json.Unmarshal(e.Value, &wire); err != nil {
 		return Record{}, fmt.Errorf("decode record at %s: %w", e.Key, err)
 	}
-	if Digest(w.Document) != w.Change.Digest {
+	if Digest(wire.Document) != wire.Change.Digest {
 		return Record{}, value.ChangeRefused{Reason: value.ReasonDamaged, Detail: "kept bytes at " + e.Key}
 	}
 	return Record{
-		Bytes: w.Document,
+		Bytes: wire.Document,
 		Standing: value.Standing{
 			Revision: e.Revision,
-			Change:   fromWire(w.Change),
-			Trail:    convert(w.Trail, fromWire),
+			Change:   fromWireChange(wire.Change),
+			Trail:    convert(wire.Trail, fromWireChange),
 		},
 	}, nil
 }
 
-// Accepted returns the record's document at its revision.
+// Accepted parses the record's document and returns it with its digest and revision.
 func (r Record) Accepted() (value.Accepted, error) {
 	d, err := Parse(r.Bytes)
 	if err != nil {
@@ -92,18 +94,18 @@
 }
 
 // Load reads the environment's record from the key-value service.
-func Load(ctx context.Context, from plat.Reader, e value.Environment) (Record, error) {
-	entry, err := from.Get(ctx, DocumentKey(e))
+func Load(ctx context.Context, store plat.Reader, e value.Environment) (Record, error) {
+	entry, err := store.Get(ctx, DocumentKey(e))
 	if err != nil {
 		return Record{}, fmt.Errorf("read document of %s: %w", e, err)
 	}
 	return DecodeRecord(entry)
 }
 
-func toWire(c value.Change) wireChange {
+func toWireChange(c value.Change) wireChange {
 	return wireChange{ID: string(c.ID), Who: c.Who, At: c.At, Expect: c.Expect, Digest: c.Digest}
 }
 
-func fromWire(w wireChange) value.Change {
+func fromWireChange(w wireChange) value.Change {
 	return value.Change{ID: value.ChangeID(w.ID), Who: w.Who, At: w.At, Expect: w.Expect, Digest: w.Digest}
 }
--- a/io/conf/rules.go
+++ b/io/conf/rules.go
@@ -13,12 +13,12 @@
 	"endivehitch/core/value"
 )
 
-// rules is what a field's tag asks of its value.
+// rules are the constraints on a field's value that its tags state.
 type rules struct {
-	need bool
-	form string
-	low  string
-	high string
+	required bool
+	format   string
+	low      string
+	high     string
 }
 
 var (
@@ -29,15 +29,16 @@
 
 func rulesOf(f reflect.StructField) rules {
 	low, high, _ := strings.Cut(f.Tag.Get("range"), "..")
-	return rules{need: f.Tag.Get("need") == "true", form: f.Tag.Get("form"), low: low, high: high}
+	return rules{required: f.Tag.Get("need") == "true", format: f.Tag.Get("form"), low: low, high: high}
 }
 
-// checkText returns what is wrong with a text, or nothing.
+// The check methods and functions return what is wrong with a value, or nothing.
+
 func (r rules) checkText(s string) string {
-	if s == "" && r.form != "" {
+	if s == "" && r.format != "" {
 		return "is empty"
 	}
-	switch r.form {
+	switch r.format {
 	case "name":
 		if !namePattern.MatchString(s) {
 			return fmt.Sprintf("%q is no name: 1 to 63 letters, digits, '.', '_' or '-', starting with a letter or digit", s)
--- a/io/conf/settings.go
+++ b/io/conf/settings.go
@@ -9,17 +9,18 @@
 	"endivehitch/core/value"
 )
 
-// Settings is what differs between environments and stands in no document.
+// Settings holds what differs between environments and therefore is not part of the document.
 type Settings struct {
 	// Callers maps the hexadecimal SHA-256 sums of API keys to client accounts.
 	Callers map[string]value.AccountName
 	// Operators maps the hexadecimal SHA-256 sums of operators' keys to their names.
 	Operators map[string]string
-	// Readers maps the hexadecimal SHA-256 sums of keys that may ask and change nothing to their holders' names.
+	// Readers maps the hexadecimal SHA-256 sums of read-only keys to their holders' names.
 	Readers map[string]string
-	// Servers lists backend servers where no instance list shows them.
+	// Servers lists the backend servers if the platform has no instance list.
 	Servers []value.BackendServer
-	// Instances lists instances of the fleet where no instance list shows them; others are heard of from these.
+	// Instances lists instances of the fleet if the platform has no instance list; the other
+	// instances are discovered through these.
 	Instances []value.Instance
 }
 
@@ -55,33 +56,34 @@
 	PeerAddress   string `need:"true" form:"port"`
 }
 
-// ParseSettings reads a settings file; the error is of type Faults and names every fault.
+// ParseSettings parses and validates a settings file; the error is of type Faults and lists every
+// fault.
 func ParseSettings(data []byte) (Settings, error) {
-	tree, err := parse(data)
+	tree, err := parseTree(data)
 	if err != nil {
 		return Settings{}, err
 	}
 	r := &reader{lines: make(map[string]int)}
-	w := read[wireSettings](r, tree)
-	once(r, "Callers", w.Callers, func(c wireCaller) string { return c.Hash })
-	once(r, "Operators", w.Operators, func(o wireOperator) string { return o.Hash })
-	once(r, "Readers", w.Readers, func(o wireOperator) string { return o.Hash })
-	once(r, "Servers", w.Servers, func(s wireServer) string { return s.ID })
-	once(r, "Instances", w.Instances, func(i wireInstance) string { return i.ID })
+	wire := readTree[wireSettings](r, tree)
+	checkDistinct(r, "Callers", wire.Callers, func(c wireCaller) string { return c.Hash })
+	checkDistinct(r, "Operators", wire.Operators, func(o wireOperator) string { return o.Hash })
+	checkDistinct(r, "Readers", wire.Readers, func(o wireOperator) string { return o.Hash })
+	checkDistinct(r, "Servers", wire.Servers, func(s wireServer) string { return s.ID })
+	checkDistinct(r, "Instances", wire.Instances, func(i wireInstance) string { return i.ID })
 	if len(r.faults) > 0 {
 		slices.SortStableFunc(r.faults, func(a, b Fault) int { return cmp.Compare(a.Line, b.Line) })
 		return Settings{}, r.faults
 	}
-	return w.value(), nil
+	return wire.value(), nil
 }
 
-// once checks that no two entries of a section have the same identity.
-func once[T any](r *reader, path string, list []T, identity func(T) string) {
-	first := make(names, len(list))
+// checkDistinct reports entries of a section whose identity an earlier entry has.
+func checkDistinct[T any](r *reader, path string, list []T, identity func(T) string) {
+	first := make(nameIndex, len(list))
 	for i, v := range list {
 		at := fmt.Sprintf("%s[%d]", path, i)
-		if j, twice := first[identity(v)]; twice {
-			r.fault(at, r.lines[at], fmt.Sprintf("is the same as %s[%d]", path, j))
+		if firstIndex, duplicate := first[identity(v)]; duplicate {
+			r.addFault(at, r.lines[at], fmt.Sprintf("is the same as %s[%d]", path, firstIndex))
 			continue
 		}
 		first[identity(v)] = i
@@ -114,7 +116,7 @@
 		Address:       w.Address,
 		Pool:          value.PoolName(w.Pool),
 		FailureDomain: value.FailureDomain(w.FailureDomain),
-		Versions:      convert(w.Versions, name[value.VersionKey]),
+		Versions:      convert(w.Versions, toName[value.VersionKey]),
 		State:         value.ServerLive,
 	}
 }
--- a/io/conf/settings_test.go
+++ b/io/conf/settings_test.go
@@ -9,7 +9,7 @@
 	"endivehitch/io/conf"
 )
 
-func TestSettingsNameEveryFault(t *testing.T) {
+func TestParseSettingsReportsEveryFault(t *testing.T) {
 	hash := conf.Digest([]byte("key"))
 	_, err := conf.ParseSettings([]byte("Callers:\n  - {Hash: abc, ClientAccount: a}\n" +
 		"Operators:\n  - {Hash: " + hash + ", Name: x}\n  - {Hash: " + hash + ", Name: y}\n" +
@@ -21,8 +21,8 @@
 line 9: Instances[0].PeerAddress: "localhost:1" is no address such as 10.0.0.1:7702`)
 }
 
-func TestExampleSettingsAreSound(t *testing.T) {
-	s, err := conf.ParseSettings([]byte(example(t, "settings")))
+func TestParseSettingsAcceptsTheExampleSettings(t *testing.T) {
+	s, err := conf.ParseSettings([]byte(readExample(t, "settings")))
 	assert.NilError(t, err)
 	assert.Equal(t, s.Callers[conf.Digest([]byte("caller-key"))], value.AccountName("ward-alkapuri"))
 	assert.Equal(t, s.Operators[conf.Digest([]byte("operator-key"))], "asha")
--- a/io/conf/slope_test.go
+++ b/io/conf/slope_test.go
@@ -10,11 +10,12 @@
 	"endivehitch/io/conf"
 )
 
-// BenchmarkSlopeDocument gives the processor time to read and check a document with so many client accounts.
+// BenchmarkSlopeDocument measures the time to parse and validate a document by its number of client
+// accounts.
 func BenchmarkSlopeDocument(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 4000} {
 		b.Run(fmt.Sprintf("Accounts%d", n), func(b *testing.B) {
-			data := []byte(document(n))
+			data := []byte(documentWithAccounts(n))
 			for b.Loop() {
 				_, err := conf.Parse(data)
 				assert.NilError(b, err)
@@ -24,7 +25,7 @@
 	}
 }
 
-func document(accounts int) string {
+func documentWithAccounts(accounts int) string {
 	var text strings.Builder
 	text.WriteString("Name: slope\nModels:\n  - Name: model\n    Versions:\n")
 	for i := range 38 {
--- a/io/conf/target.go
+++ b/io/conf/target.go
@@ -8,54 +8,58 @@
 	"endivehitch/core/value"
 )
 
-// checkTargets names each client account's kind whose quality target can't be met.
+// checkTargets reports each client account's kind whose quality target its allowed versions can't
+// meet.
 func (c *checker) checkTargets() {
-	each("ClientAccounts", c.document.ClientAccounts, func(at string, a wireAccount) {
-		each(at+".Kinds", a.Kinds, func(at, name string) {
-			i, ok := c.kinds[name]
-			if !ok || c.document.Kinds[i].Model == "" {
+	forEach("ClientAccounts", c.document.ClientAccounts, func(at string, account wireAccount) {
+		forEach(at+".Kinds", account.Kinds, func(at, name string) {
+			kindIndex, ok := c.kinds[name]
+			if !ok || c.document.Kinds[kindIndex].Model == "" {
 				return
 			}
-			c.checkTarget(at, a, c.document.Kinds[i])
+			c.checkTarget(at, account, c.document.Kinds[kindIndex])
 		})
 	})
 }
 
-func (c *checker) checkTarget(at string, a wireAccount, k wireKind) {
-	if _, ok := c.models[k.Model]; !ok {
+func (c *checker) checkTarget(at string, account wireAccount, kind wireKind) {
+	if _, ok := c.models[kind.Model]; !ok {
 		return
 	}
-	qualities := c.qualities(a, k.Model)
+	qualities := c.allowedQualities(account, kind.Model)
 	if len(qualities) == 0 {
-		c.fault(at, fmt.Sprintf("kind %q needs model %q, of which the client account is allowed no version in service", k.Name, k.Model))
+		c.addFault(at, fmt.Sprintf("kind %q needs model %q, of which the client account is allowed no version in service", kind.Name, kind.Model))
 		return
 	}
-	if best := reach(value.Judge(k.Judge), qualities); best < k.QualityTarget {
-		c.fault(at, fmt.Sprintf("quality target %v of kind %q can't be reached: the best of the allowed versions and their cascades comes to %.4g", k.QualityTarget, k.Name, best))
+	if best := bestQuality(value.Judge(kind.Judge), qualities); best < kind.QualityTarget {
+		c.addFault(at, fmt.Sprintf("quality target %v of kind %q can't be reached: the best of the allowed versions and their cascades comes to %.4g", kind.QualityTarget, kind.Name, best))
 	}
 }
 
-func (c *checker) qualities(a wireAccount, model string) []float64 {
-	var list []float64
-	for _, key := range slices.Compact(slices.Sorted(slices.Values(a.Versions))) {
+// allowedQualities returns the qualities of the model's versions that the client account may use
+// and that are not withdrawn.
+func (c *checker) allowedQualities(account wireAccount, model string) []float64 {
+	var qualities []float64
+	for _, key := range slices.Compact(slices.Sorted(slices.Values(account.Versions))) {
 		v, ok := c.versions[key]
 		if !ok || v.Withdrawn || !strings.HasPrefix(key, string(value.NewVersionKey(value.ModelName(model), ""))) {
 			continue
 		}
-		list = append(list, v.Quality)
+		qualities = append(qualities, v.Quality)
 	}
-	return list
+	return qualities
 }
 
-// reach is the best quality of the versions and of their cascades of two, as the document states them.
-func reach(j value.Judge, qualities []float64) float64 {
+// bestQuality returns the highest quality that one version or a cascade of two reaches, according
+// to the figures in the document. Without a judge there are no cascades.
+func bestQuality(judge value.Judge, qualities []float64) float64 {
 	best := slices.Max(qualities)
-	if !j.Present() {
+	if !judge.Present() {
 		return best
 	}
 	for _, first := range qualities {
 		for _, second := range qualities {
-			best = max(best, j.Quality(first, second))
+			best = max(best, judge.Quality(first, second))
 		}
 	}
 	return best
--- a/io/conf/tree.go
+++ b/io/conf/tree.go
@@ -12,11 +12,11 @@
 	"github.com/goccy/go-yaml/token"
 )
 
-// parse returns the document's syntax tree; an error is of type Faults.
-func parse(data []byte) (ast.Node, error) {
+// parseTree parses a YAML or JSON document into a syntax tree; the error is of type Faults.
+func parseTree(data []byte) (ast.Node, error) {
 	tokens := lexer.Tokenize(string(data))
-	if line := tooDeep(tokens); line > 0 {
-		return nil, Faults{{Line: line, What: fmt.Sprintf("is nested more than %d deep", deepest)}}
+	if line := findTooDeepLine(tokens); line > 0 {
+		return nil, Faults{{Line: line, What: fmt.Sprintf("is nested more than %d deep", maxNesting)}}
 	}
 	file, err := parser.Parse(tokens, 0, parser.AllowDuplicateMapKey())
 	if err != nil {
@@ -28,11 +28,14 @@
 	return file.Docs[0].Body, nil
 }
 
-// deepest is more than any sound document nests; the parser's time grows with the square of the depth.
-const deepest = 16
+// maxNesting is the deepest nesting that is parsed; valid documents nest less. The limit is there
+// because the parser's time grows with the square of the depth.
+const maxNesting = 16
 
-// tooDeep returns the line at which brackets, or list marks in one line, nest too deep, or zero.
-func tooDeep(tokens token.Tokens) int {
+// findTooDeepLine returns the line at which open brackets, or list and key marks within the line,
+// exceed maxNesting, or zero if there is none. It needs only the tokens, so that a deeply nested
+// document is rejected before it is parsed.
+func findTooDeepLine(tokens token.Tokens) int {
 	brackets, marks, line := 0, 0, 0
 	for _, t := range tokens {
 		if t.Position.Line != line {
@@ -46,7 +49,7 @@
 		case token.SequenceEntryType, token.MappingKeyType:
 			marks++
 		}
-		if brackets > deepest || marks > deepest {
+		if brackets > maxNesting || marks > maxNesting {
 			return line
 		}
 	}
@@ -54,13 +57,14 @@
 }
 
 func syntaxFault(err error) Fault {
-	var syntax yaml.Error
-	if errors.As(err, &syntax) && syntax.GetToken() != nil {
-		return Fault{Line: syntax.GetToken().Position.Line, What: syntax.GetMessage()}
+	var syntaxError yaml.Error
+	if errors.As(err, &syntaxError) && syntaxError.GetToken() != nil {
+		return Fault{Line: syntaxError.GetToken().Position.Line, What: syntaxError.GetMessage()}
 	}
 	return Fault{Line: 1, What: err.Error()}
 }
 
+// lineOf returns the line at which a node begins, or zero if it is unknown.
 func lineOf(n ast.Node) int {
 	switch n := n.(type) {
 	case *ast.MappingNode:
@@ -76,6 +80,8 @@
 	return n.GetToken().Position.Line
 }
 
+// pairsOf returns the fields of a mapping; the parser gives a mapping of one field a type of its
+// own.
 func pairsOf(n ast.Node) ([]*ast.MappingValueNode, bool) {
 	switch n := n.(type) {
 	case *ast.MappingNode:
@@ -101,12 +107,12 @@
 	case *ast.FloatNode:
 		return n.Value, true
 	case *ast.IntegerNode:
-		return wholeOf(n)
+		return integerOf(n)
 	}
 	return 0, false
 }
 
-func wholeOf(n *ast.IntegerNode) (float64, bool) {
+func integerOf(n *ast.IntegerNode) (float64, bool) {
 	switch v := n.Value.(type) {
 	case int64:
 		return float64(v), true
@@ -116,9 +122,9 @@
 	return 0, false
 }
 
-// kindOf names a node for a fault. Anchors, aliases and tags are refused
-// everywhere, as what they stand for is not visible at the place itself.
-func kindOf(n ast.Node) string {
+// describeNode describes a node for the text of a fault. Anchors, aliases and tags are rejected
+// everywhere, because their value is not visible where they are used.
+func describeNode(n ast.Node) string {
 	switch n.(type) {
 	case nil, *ast.NullNode:
 		return "nothing"
@@ -138,15 +144,15 @@
 	return fmt.Sprintf("%v", n.Type())
 }
 
-func join(path, name string) string {
+func joinPath(path, name string) string {
 	if path == "" {
 		return name
 	}
 	return path + "." + name
 }
 
-// parent returns the path of the enclosing value.
-func parent(path string) string {
+// parentPath returns the path of the enclosing value.
+func parentPath(path string) string {
 	i := strings.LastIndexAny(path, ".[")
 	if i < 0 {
 		return ""
--- a/io/conf/value.go
+++ b/io/conf/value.go
@@ -15,15 +15,16 @@
 	}
 }
 
-func convert[W, V any](list []W, one func(W) V) []V {
+// convert returns the list with each item converted.
+func convert[W, V any](list []W, convertOne func(W) V) []V {
 	values := make([]V, len(list))
-	for i, w := range list {
-		values[i] = one(w)
+	for i, item := range list {
+		values[i] = convertOne(item)
 	}
 	return values
 }
 
-func name[N ~string](s string) N {
+func toName[N ~string](s string) N {
 	return N(s)
 }
 
@@ -31,8 +32,8 @@
 	return value.ClientAccount{
 		Name:        value.AccountName(w.Name),
 		Share:       w.Share,
-		Versions:    convert(w.Versions, name[value.VersionKey]),
-		Kinds:       convert(w.Kinds, name[value.KindName]),
+		Versions:    convert(w.Versions, toName[value.VersionKey]),
+		Kinds:       convert(w.Kinds, toName[value.KindName]),
 		MaxInFlight: w.MaxInFlight,
 	}
 }
--- a/io/conf/whole_test.go
+++ b/io/conf/whole_test.go
@@ -11,7 +11,7 @@
 	"endivehitch/io/conf"
 )
 
-// pathsOf lists the fields of a value as paths of the document.
+// pathsOf lists the fields of a type as paths of the document.
 func pathsOf(prefix string, t reflect.Type) []string {
 	var paths []string
 	for f := range t.Fields() {
@@ -27,13 +27,13 @@
 	return paths
 }
 
-func TestFormatHasEveryFieldOfTheDocument(t *testing.T) {
-	var have []string
+func TestFieldsListEveryFieldOfTheDocument(t *testing.T) {
+	var listed []string
 	for _, f := range conf.Fields() {
-		have = append(have, f.Path)
+		listed = append(listed, f.Path)
 	}
 	want := pathsOf("", reflect.TypeFor[value.Document]())
-	slices.Sort(have)
+	slices.Sort(listed)
 	slices.Sort(want)
-	assert.DeepEqual(t, have, want)
+	assert.DeepEqual(t, listed, want)
 }
--- a/io/conf/wire.go
+++ b/io/conf/wire.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// The wire types are the document's format. The tag "need" marks a field that
-// must be stated, "form" the form of its text, and "range" its least and
-// greatest value; a list's range bounds its length.
+// The wire types are the document's format. The tag "need" marks a required field, "form" names the
+// format of its text, and "range" is its minimum and maximum; the range of a list bounds its
+// length. rulesOf reads the tags.
 
 type wireDocument struct {
 	Name           string        `need:"true" form:"name"`
