--- a/io/plat/budget.go
+++ b/io/plat/budget.go
@@ -15,29 +15,30 @@
 	"endivehitch/io/clock"
 )
 
-// BudgetConfig sets up a Budget.
+// BudgetConfig configures a Budget.
 type BudgetConfig struct {
 	Store Store
-	// Reads and Writes are the calls a second that this instance may make; a watch is one read when it opens.
+	// Reads and Writes are the calls per second that this instance may make; a watch counts as one
+	// read when it opens.
 	Reads  float64
 	Writes float64
-	// Burst is how many calls of each sort may go at once after a pause.
+	// Burst is the number of reads, writes and retries that may each be made at once after a pause.
 	Burst int
-	// Queue is how many calls may wait for the budget; more are turned away.
+	// Queue is the number of calls that may wait for the rate limit; further calls are rejected.
 	Queue int
-	// Watches is how many watches may wait at once.
+	// Watches is the number of watches that may be open at once.
 	Watches int
-	// Timeout bounds each try, but not a watch.
+	// Timeout bounds each attempt of a call, but not a watch.
 	Timeout time.Duration
-	// Tries bounds the tries of a read and the attempts to settle a change whose answer was lost.
+	// Tries bounds the attempts of a read, and those of a change whose answer was lost.
 	Tries int
-	// Retries is the further tries of reads a second over all callers.
+	// Retries is the number of retries of reads per second, over all callers.
 	Retries float64
 	Backoff policy.Backoff
 	Seed    uint64
 }
 
-// Throttled is the error of a call that was turned away before it was made.
+// Throttled is the error of a call that was rejected before it was made.
 type Throttled struct {
 	Reason string
 }
@@ -47,48 +48,54 @@
 	return "call not made: " + t.Reason
 }
 
-// Is reports whether the target is ErrUnavailable, since nothing took effect.
+// Is reports whether the target is ErrUnavailable, since a call that was not made had no effect.
 func (t Throttled) Is(target error) bool {
 	return target == ErrUnavailable
 }
 
-// Usage counts the calls that a budget has passed on to its store.
+// Usage counts the calls that a Budget has made to its store, and those that it saved or rejected.
 type Usage struct {
 	Reads   int64
 	Writes  int64
 	Watches int64
-	// Waiting is the watches open at the moment.
+	// Waiting is the number of watches that are open now.
 	Waiting int64
-	// Coalesced is the reads that were answered by another one in flight.
+	// Coalesced is the number of reads that shared the call of another one in flight.
 	Coalesced int64
-	Retries   int64
+	// Retries is the number of reads that were sent again.
+	Retries int64
+	// Throttled is the number of calls that were rejected.
 	Throttled int64
 }
 
-// Budget is a store client that keeps to a rate, joins identical reads and settles lost answers.
+// Budget is a store client that limits the rate of calls, coalesces identical reads, retries reads,
+// and settles changes whose answers were lost.
 //
-// A change is told from another writer's by its value, so values carry an identifier of the change.
+// To settle a swap, it reads the entry back; an entry with the swap's value means that the swap
+// took effect. So each change must write a unique value, for instance one with an identifier of the
+// change.
 type Budget struct {
-	config  BudgetConfig
-	reads   *rate.Limiter
-	writes  *rate.Limiter
-	retries *rate.Limiter
-	joins   joins
-	queued  atomic.Int64
-	usage   policy.Cell[Usage]
-	random  sync.Mutex
-	rnd     *rand.Rand
+	config   BudgetConfig
+	reads    *rate.Limiter
+	writes   *rate.Limiter
+	retries  *rate.Limiter
+	flights  flightGroup
+	queued   atomic.Int64
+	usage    policy.Cell[Usage]
+	rndMutex sync.Mutex
+	rnd      *rand.Rand
 }
 
-// NewBudget returns a client over the store, or an error that names what the configuration lacks.
+// NewBudget returns a client over the store, or an error that names the missing or invalid fields
+// of the configuration.
 func NewBudget(c BudgetConfig) (*Budget, error) {
 	switch {
 	case c.Store == nil:
-		return nil, errors.New("store budget: no store")
+		return nil, errors.New("store budget: the store is missing")
 	case c.Reads <= 0 || c.Writes <= 0 || c.Burst < 1:
-		return nil, errors.New("store budget: no rate")
+		return nil, errors.New("store budget: Reads, Writes and Burst must be positive")
 	case c.Queue < 1 || c.Tries < 1 || c.Timeout <= 0:
-		return nil, errors.New("store budget: no queue, tries or timeout")
+		return nil, errors.New("store budget: Queue, Tries and Timeout must be positive")
 	}
 	return &Budget{
 		config:  c,
@@ -104,34 +111,36 @@
 	return b.usage.Get()
 }
 
-func (b *Budget) count(add func(Usage) Usage) {
-	b.usage.Update(add)
+func (b *Budget) updateUsage(apply func(Usage) Usage) {
+	b.usage.Update(apply)
 }
 
-// admit waits for the limiter in a bounded queue.
+// admit waits in the bounded queue until the limiter lets the call pass, or returns a Throttled
+// error.
 func (b *Budget) admit(ctx context.Context, l *rate.Limiter) error {
 	defer b.queued.Add(-1)
 	if b.queued.Add(1) > int64(b.config.Queue) {
-		return b.turnAway("queue is full")
+		return b.reject("queue is full")
 	}
 	if err := l.Wait(ctx); err != nil {
-		return b.turnAway(err.Error())
+		return b.reject(err.Error())
 	}
 	return nil
 }
 
-func (b *Budget) turnAway(why string) error {
-	b.count(func(u Usage) Usage { u.Throttled++; return u })
-	return Throttled{Reason: why}
+// reject counts a call that was not made and returns its error.
+func (b *Budget) reject(reason string) error {
+	b.updateUsage(func(u Usage) Usage { u.Throttled++; return u })
+	return Throttled{Reason: reason}
 }
 
-// pause waits the backoff after the given number of failed tries.
-func (b *Budget) pause(ctx context.Context, failed int) error {
-	b.random.Lock()
+// waitBackoff waits for the backoff that follows the given number of failed attempts.
+func (b *Budget) waitBackoff(ctx context.Context, failed int) error {
+	b.rndMutex.Lock()
 	d := b.config.Backoff.WithFailures(failed - 1).Delay(b.rnd)
-	b.random.Unlock()
+	b.rndMutex.Unlock()
 	if err := clock.Wait(ctx, d); err != nil {
-		return fmt.Errorf("await next try: %w", err)
+		return fmt.Errorf("wait for the next attempt: %w", err)
 	}
 	return nil
 }
--- a/io/plat/budget_test.go
+++ b/io/plat/budget_test.go
@@ -15,9 +15,9 @@
 	"endivehitch/io/plat"
 )
 
-func budget(t *testing.T) (*plat.Budget, *fakes.Store) {
+func newBudget(t *testing.T) (*plat.Budget, *fakes.Store) {
 	t.Helper()
-	faulty := fakes.NewStore(embedded(t))
+	faulty := fakes.NewStore(newEmbedded(t))
 	b, err := plat.NewBudget(plat.BudgetConfig{
 		Store: faulty, Reads: 100, Writes: 10, Burst: 2, Queue: 30, Watches: 1, Retries: 1,
 		Timeout: time.Second, Tries: 4,
@@ -29,7 +29,7 @@
 
 func TestBudgetKeepsToItsWriteRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b, faulty := budget(t)
+		b, faulty := newBudget(t)
 		began := time.Now()
 		var group sync.WaitGroup
 		for i := range 22 {
@@ -46,12 +46,12 @@
 
 func TestBudgetJoinsIdenticalReads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b, faulty := budget(t)
+		b, faulty := newBudget(t)
 		assert.NilError(t, faulty.Set(fakes.Faults{}.WithDelay(100*time.Millisecond)))
-		impatient, cancel := context.WithCancel(t.Context())
+		cancelled, cancel := context.WithCancel(t.Context())
 		var group sync.WaitGroup
 		group.Go(func() {
-			_, err := b.Get(impatient, "a")
+			_, err := b.Get(cancelled, "a")
 			assert.Check(t, errors.Is(err, plat.ErrUnavailable))
 		})
 		synctest.Wait()
@@ -71,7 +71,7 @@
 
 func TestBudgetReadSeesOwnWriteWhileAnOlderReadIsInFlight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b, faulty := budget(t)
+		b, faulty := newBudget(t)
 		assert.NilError(t, faulty.Set(fakes.Faults{}.WithDelay(400*time.Millisecond).WithStale(true)))
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -88,30 +88,30 @@
 
 func TestBudgetTurnsCallsAwayWhenItsQueueIsFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b, faulty := budget(t)
-		refused := make(chan error, 40)
+		b, faulty := newBudget(t)
+		results := make(chan error, 40)
 		for range 40 {
 			go func() {
 				_, err := b.Grant(t.Context(), time.Minute)
-				refused <- err
+				results <- err
 			}()
 		}
-		failed := 0
+		rejected := 0
 		for range 40 {
-			err := <-refused
+			err := <-results
 			if err != nil {
 				assert.ErrorIs(t, err, plat.ErrUnavailable)
-				failed++
+				rejected++
 			}
 		}
-		assert.Assert(t, failed > 0)
-		assert.Equal(t, faulty.Writes(), int64(40-failed))
+		assert.Assert(t, rejected > 0)
+		assert.Equal(t, faulty.Writes(), int64(40-rejected))
 	})
 }
 
 func TestBudgetRetriesReadsOnlyInsideItsRetryBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b, faulty := budget(t)
+		b, faulty := newBudget(t)
 		assert.NilError(t, faulty.Set(fakes.Faults{}.WithDown(true)))
 		for range 50 {
 			_, err := b.Get(t.Context(), "a")
@@ -120,23 +120,23 @@
 		assert.Assert(t, faulty.Reads() < 60, "%d reads for 50 calls", faulty.Reads())
 		_, err := b.Swap(t.Context(), plat.Swap{Key: "a"})
 		assert.ErrorIs(t, err, plat.ErrUnavailable)
-		assert.Equal(t, faulty.Writes(), int64(1), "a write is not repeated")
+		assert.Equal(t, faulty.Writes(), int64(1), "a write must not be retried")
 	})
 }
 
 func TestBudgetSettlesALostAnswer(t *testing.T) {
-	for name, f := range map[string]fakes.Faults{
-		"answer lost":                   fakes.Faults{}.WithLostAnswers(1),
-		"answers lost twice":            fakes.Faults{}.WithLostAnswers(2),
-		"answer lost, reads stale":      fakes.Faults{}.WithLostAnswers(1).WithStale(true),
-		"takes effect after the caller": fakes.Faults{}.WithDelay(1500 * time.Millisecond),
+	for name, faults := range map[string]fakes.Faults{
+		"answer lost once":                fakes.Faults{}.WithLostAnswers(1),
+		"answer lost twice":               fakes.Faults{}.WithLostAnswers(2),
+		"answer lost and reads stale":     fakes.Faults{}.WithLostAnswers(1).WithStale(true),
+		"takes effect after the time-out": fakes.Faults{}.WithDelay(1500 * time.Millisecond),
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b, faulty := budget(t)
+				b, faulty := newBudget(t)
 				first, err := b.Swap(t.Context(), plat.Swap{Key: "a", Value: []byte("old")})
 				assert.NilError(t, err)
-				assert.NilError(t, faulty.Set(f))
+				assert.NilError(t, faulty.Set(faults))
 				time.AfterFunc(1200*time.Millisecond, func() { _ = faulty.Set(fakes.Faults{}) })
 				revision, err := b.Swap(t.Context(), plat.Swap{Key: "a", Expect: first, Value: []byte("new")})
 				assert.NilError(t, err)
@@ -152,7 +152,7 @@
 
 func TestBudgetOwnsUpToALostAnswerThatWasReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b, faulty := budget(t)
+		b, faulty := newBudget(t)
 		assert.NilError(t, faulty.Set(fakes.Faults{}.WithLostAnswers(1)))
 		done := make(chan error)
 		go func() {
@@ -172,7 +172,7 @@
 
 func TestBudgetCountsWaitingWatches(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b, _ := budget(t)
+		b, _ := newBudget(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		_, err := b.Watch(ctx, "a", 0)
 		assert.NilError(t, err)
--- a/io/plat/docs_test.go
+++ b/io/plat/docs_test.go
@@ -11,7 +11,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestPagesNameTestsThatExist holds the tests that the pages on failures cite against the tree.
+// TestPagesNameTestsThatExist checks that the tests which the pages on failures cite are in the
+// tree, so that a renamed or deleted test does not stay cited.
 func TestPagesNameTestsThatExist(t *testing.T) {
 	const root = "../.."
 	var tests strings.Builder
--- a/io/plat/embed.go
+++ b/io/plat/embed.go
@@ -12,10 +12,10 @@
 	"endivehitch/core/policy"
 )
 
-// EmbeddedConfig sets up an Embedded store.
+// EmbeddedConfig configures an Embedded store.
 type EmbeddedConfig struct {
 	Now func() time.Time
-	// History is how many events a watch can start back from; older ones are compacted.
+	// History is the least number of events that is kept for new watches; older ones may be compacted.
 	History int
 }
 
@@ -23,45 +23,45 @@
 type Embedded struct {
 	now     func() time.Time
 	history int
-	// write orders the changes; readers take the latest image without it.
-	write   sync.Mutex
-	current policy.Cell[image]
+	// writeMutex serializes changes; readers take the latest snapshot without it.
+	writeMutex sync.Mutex
+	latest     policy.Cell[snapshot]
 }
 
 // NewEmbedded returns an empty store.
 func NewEmbedded(c EmbeddedConfig) (*Embedded, error) {
 	if c.Now == nil {
-		return nil, errors.New("embedded store: no clock")
+		return nil, errors.New("embedded store: the clock Now is missing")
 	}
 	if c.History < 1 {
-		return nil, fmt.Errorf("embedded store: history of %d events", c.History)
+		return nil, fmt.Errorf("embedded store: History must be at least 1, got %d", c.History)
 	}
 	e := &Embedded{now: c.Now, history: c.History}
-	e.current.Update(func(image) image { return image{changed: make(chan struct{})} })
+	e.latest.Update(func(snapshot) snapshot { return snapshot{superseded: make(chan struct{})} })
 	return e, nil
 }
 
-// Get returns the entry, with revision zero where there is none.
+// Get returns the entry, with revision zero if there is none.
 func (e *Embedded) Get(ctx context.Context, key string) (Entry, error) {
-	if err := ended(ctx); err != nil {
+	if err := contextError(ctx); err != nil {
 		return Entry{}, fmt.Errorf("get %s: %w", key, err)
 	}
-	return e.current.Get().entry(key), nil
+	return e.latest.Get().entry(key), nil
 }
 
 // List returns all entries whose keys have the prefix, in the order of keys.
 func (e *Embedded) List(ctx context.Context, prefix string) (Listing, error) {
-	if err := ended(ctx); err != nil {
+	if err := contextError(ctx); err != nil {
 		return Listing{}, fmt.Errorf("list %s: %w", prefix, err)
 	}
-	im := e.current.Get()
-	l := Listing{Revision: im.revision}
-	for _, key := range im.entries.Keys() {
+	current := e.latest.Get()
+	listing := Listing{Revision: current.revision}
+	for _, key := range current.entries.Keys() {
 		if strings.HasPrefix(key, prefix) {
-			l.Entries = append(l.Entries, im.entry(key))
+			listing.Entries = append(listing.Entries, current.entry(key))
 		}
 	}
-	return l, nil
+	return listing, nil
 }
 
 // Swap replaces the entry and returns its new revision.
@@ -71,8 +71,8 @@
 	}
 	s.Value = slices.Clone(s.Value)
 	var revision int64
-	err := e.change(ctx, func(im image) (image, error) {
-		next, err := im.swap(s)
+	err := e.update(ctx, func(current snapshot) (snapshot, error) {
+		next, err := current.withSwap(s)
 		revision = next.revision
 		return next, err
 	})
@@ -84,11 +84,11 @@
 
 // Delete removes the entry if its revision is the expected one.
 func (e *Embedded) Delete(ctx context.Context, key string, expect int64) error {
-	err := e.change(ctx, func(im image) (image, error) {
-		if had := im.entry(key); had.Revision != expect {
-			return im, Conflict{Present: had}
+	err := e.update(ctx, func(current snapshot) (snapshot, error) {
+		if present := current.entry(key); present.Revision != expect {
+			return current, Conflict{Present: present}
 		}
-		return im.without(key), nil
+		return current.withoutKey(key), nil
 	})
 	if err != nil {
 		return fmt.Errorf("delete %s: %w", key, err)
@@ -99,13 +99,13 @@
 // Grant returns a new lease of the given length.
 func (e *Embedded) Grant(ctx context.Context, ttl time.Duration) (LeaseID, error) {
 	if ttl <= 0 {
-		return 0, fmt.Errorf("grant lease: length of %s", ttl)
+		return 0, fmt.Errorf("grant lease: length must be positive, got %s", ttl)
 	}
 	var id LeaseID
-	err := e.change(ctx, func(im image) (image, error) {
-		id = im.lastLease + 1
-		im.lastLease = id
-		return im.withLease(lease{id: id, ttl: ttl, ends: e.now().Add(ttl)}), nil
+	err := e.update(ctx, func(current snapshot) (snapshot, error) {
+		id = current.lastLease + 1
+		current.lastLease = id
+		return current.withLease(lease{id: id, ttl: ttl, expires: e.now().Add(ttl)}), nil
 	})
 	if err != nil {
 		return 0, fmt.Errorf("grant lease: %w", err)
@@ -117,14 +117,14 @@
 // KeepAlive renews the lease and returns its remaining time.
 func (e *Embedded) KeepAlive(ctx context.Context, id LeaseID) (time.Duration, error) {
 	var ttl time.Duration
-	err := e.change(ctx, func(im image) (image, error) {
-		l, ok := im.lease(id)
+	err := e.update(ctx, func(current snapshot) (snapshot, error) {
+		l, ok := current.lease(id)
 		if !ok {
-			return im, ErrLeaseLost
+			return current, ErrLeaseLost
 		}
 		ttl = l.ttl
-		l.ends = e.now().Add(ttl)
-		return im.withLease(l), nil
+		l.expires = e.now().Add(ttl)
+		return current.withLease(l), nil
 	})
 	if err != nil {
 		return 0, fmt.Errorf("keep lease %d alive: %w", id, err)
@@ -134,11 +134,11 @@
 
 // Revoke ends the lease and deletes its entries.
 func (e *Embedded) Revoke(ctx context.Context, id LeaseID) error {
-	err := e.change(ctx, func(im image) (image, error) {
-		if _, ok := im.lease(id); !ok {
-			return im, ErrLeaseLost
+	err := e.update(ctx, func(current snapshot) (snapshot, error) {
+		if _, ok := current.lease(id); !ok {
+			return current, ErrLeaseLost
 		}
-		return im.withoutLease(id), nil
+		return current.withoutLease(id), nil
 	})
 	if err != nil {
 		return fmt.Errorf("revoke lease %d: %w", id, err)
@@ -146,55 +146,57 @@
 	return nil
 }
 
-// Compact drops the history up to and including the revision.
+// Compact removes the history up to and including the revision.
 func (e *Embedded) Compact(revision int64) {
-	e.write.Lock()
-	defer e.write.Unlock()
-	im := e.current.Get()
-	e.publish(im, im.compacted(revision))
+	e.writeMutex.Lock()
+	defer e.writeMutex.Unlock()
+	current := e.latest.Get()
+	e.publish(current, current.withoutHistory(revision))
 }
 
-// expire ends the lease unless it was renewed, in which case it waits on.
+// expire ends the lease, or checks again at its new end if it was renewed.
 func (e *Embedded) expire(id LeaseID) {
-	e.write.Lock()
-	defer e.write.Unlock()
-	im := e.current.Get()
-	l, ok := im.lease(id)
+	e.writeMutex.Lock()
+	defer e.writeMutex.Unlock()
+	current := e.latest.Get()
+	l, ok := current.lease(id)
 	if !ok {
 		return
 	}
-	if left := l.ends.Sub(e.now()); left > 0 {
-		time.AfterFunc(left, func() { e.expire(id) })
+	if remaining := l.expires.Sub(e.now()); remaining > 0 {
+		time.AfterFunc(remaining, func() { e.expire(id) })
 		return
 	}
-	e.publish(im, im.withoutLease(id))
+	e.publish(current, current.withoutLease(id))
 }
 
-func (e *Embedded) change(ctx context.Context, decide func(image) (image, error)) error {
-	e.write.Lock()
-	defer e.write.Unlock()
-	if err := ended(ctx); err != nil {
+// update publishes the snapshot that apply returns, unless that fails or the context has ended.
+func (e *Embedded) update(ctx context.Context, apply func(snapshot) (snapshot, error)) error {
+	e.writeMutex.Lock()
+	defer e.writeMutex.Unlock()
+	if err := contextError(ctx); err != nil {
 		return err
 	}
-	was := e.current.Get()
-	next, err := decide(was)
+	previous := e.latest.Get()
+	next, err := apply(previous)
 	if err != nil {
 		return err
 	}
-	e.publish(was, next)
+	e.publish(previous, next)
 	return nil
 }
 
-// publish is called with the write lock held.
-func (e *Embedded) publish(was, next image) {
-	next = next.trimmed(e.history)
-	next.changed = make(chan struct{})
-	e.current.Update(func(image) image { return next })
-	close(was.changed)
+// publish makes next the latest snapshot and wakes the watches. The caller holds writeMutex.
+func (e *Embedded) publish(previous, next snapshot) {
+	next = next.withTrimmedHistory(e.history)
+	next.superseded = make(chan struct{})
+	e.latest.Update(func(snapshot) snapshot { return next })
+	close(previous.superseded)
 }
 
-// ended returns an error that says that the call was not made.
-func ended(ctx context.Context) error {
+// contextError returns an error that wraps ErrUnavailable if the context has ended: the call was
+// not made.
+func contextError(ctx context.Context) error {
 	if err := ctx.Err(); err != nil {
 		return fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
--- a/io/plat/embed_test.go
+++ b/io/plat/embed_test.go
@@ -12,30 +12,30 @@
 	"endivehitch/io/plat"
 )
 
-func embedded(t *testing.T) *plat.Embedded {
+func newEmbedded(t *testing.T) *plat.Embedded {
 	t.Helper()
 	e, err := plat.NewEmbedded(plat.EmbeddedConfig{Now: time.Now, History: 4})
 	assert.NilError(t, err)
 	return e
 }
 
-func TestSwapRefusesAnOldRevision(t *testing.T) {
-	e := embedded(t)
+func TestSwapRejectsAnOutdatedRevision(t *testing.T) {
+	e := newEmbedded(t)
 	first, err := e.Swap(t.Context(), plat.Swap{Key: "a", Value: []byte("1")})
 	assert.NilError(t, err)
 	_, err = e.Swap(t.Context(), plat.Swap{Key: "a", Expect: first, Value: []byte("2")})
 	assert.NilError(t, err)
 	_, err = e.Swap(t.Context(), plat.Swap{Key: "a", Expect: first, Value: []byte("3")})
-	var c plat.Conflict
-	assert.Assert(t, errors.As(err, &c))
-	assert.Equal(t, string(c.Present.Value), "2")
+	var conflict plat.Conflict
+	assert.Assert(t, errors.As(err, &conflict))
+	assert.Equal(t, string(conflict.Present.Value), "2")
 	_, err = e.Swap(t.Context(), plat.Swap{Key: "a", Value: []byte("3")})
-	assert.Assert(t, errors.As(err, &c), "a create must not replace")
+	assert.Assert(t, errors.As(err, &conflict), "a swap that expects no entry must not replace one")
 }
 
-func TestLeaseEndsUnlessRenewed(t *testing.T) {
+func TestLeaseExpiresUnlessRenewed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e := embedded(t)
+		e := newEmbedded(t)
 		id, err := e.Grant(t.Context(), 10*time.Second)
 		assert.NilError(t, err)
 		_, err = e.Swap(t.Context(), plat.Swap{Key: "held", Lease: id})
@@ -46,7 +46,7 @@
 		time.Sleep(9 * time.Second)
 		got, err := e.Get(t.Context(), "held")
 		assert.NilError(t, err)
-		assert.Assert(t, got.Revision > 0, "the renewal was forgotten")
+		assert.Assert(t, got.Revision > 0, "the renewed lease must not expire at its first end")
 		time.Sleep(2 * time.Second)
 		got, err = e.Get(t.Context(), "held")
 		assert.NilError(t, err)
@@ -56,9 +56,9 @@
 	})
 }
 
-func TestWatchSendsEachChangeOnceAndBreaksOffWhenTooFarBehind(t *testing.T) {
+func TestWatchSendsEachChangeOnceAndEndsWhenItsHistoryIsCompacted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e := embedded(t)
+		e := newEmbedded(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		put := func(key string) {
@@ -79,9 +79,9 @@
 		}
 		synctest.Wait()
 		last := int64(0)
-		for ev := range events {
-			assert.Assert(t, ev.Entry.Revision > last)
-			last = ev.Entry.Revision
+		for event := range events {
+			assert.Assert(t, event.Entry.Revision > last)
+			last = event.Entry.Revision
 		}
 		_, err = e.Watch(ctx, "x/", 1)
 		assert.ErrorIs(t, err, plat.ErrCompacted)
--- a/io/plat/etcd.go
+++ b/io/plat/etcd.go
@@ -20,15 +20,15 @@
 	pathWatch     = "/v3/watch"
 )
 
-// EtcdConfig sets up an Etcd store.
+// EtcdConfig configures an Etcd store.
 type EtcdConfig struct {
 	// Base is the gateway's address, such as http://10.0.0.5:2379.
 	Base string
-	// Client carries the calls; it must not repeat a call by itself.
+	// Client makes the calls; it must not retry a call by itself.
 	Client *http.Client
 }
 
-// Etcd speaks to the platform's store over the published etcd v3 JSON gateway.
+// Etcd is a client of the platform's key-value service, over the published JSON gateway of etcd v3.
 type Etcd struct {
 	gate gateway
 }
@@ -36,28 +36,28 @@
 // NewEtcd returns a store that connects on its first call.
 func NewEtcd(c EtcdConfig) (*Etcd, error) {
 	if c.Base == "" {
-		return nil, errors.New("etcd store: no address")
+		return nil, errors.New("etcd store: the gateway's address is missing")
 	}
 	if c.Client == nil {
-		return nil, errors.New("etcd store: no HTTP client")
+		return nil, errors.New("etcd store: the HTTP client is missing")
 	}
 	return &Etcd{gate: gateway{base: strings.TrimSuffix(c.Base, "/"), client: c.Client}}, nil
 }
 
-// Get returns the entry, with revision zero where there is none.
+// Get returns the entry, with revision zero if there is none.
 func (s *Etcd) Get(ctx context.Context, key string) (Entry, error) {
-	l, err := ask[wireListing](ctx, s.gate, pathRange, wireRange{Key: []byte(key)})
+	l, err := call[wireListing](ctx, s.gate, pathRange, wireRange{Key: []byte(key)})
 	if err != nil {
-		return Entry{}, fmt.Errorf("get %s: %w", key, forRead(err))
+		return Entry{}, fmt.Errorf("get %s: %w", key, asReadError(err))
 	}
-	return first(key, l), nil
+	return firstEntry(key, l), nil
 }
 
 // List returns all entries whose keys have the prefix, in the order of keys.
 func (s *Etcd) List(ctx context.Context, prefix string) (Listing, error) {
-	l, err := ask[wireListing](ctx, s.gate, pathRange, wireRange{Key: rangeKey(prefix), RangeEnd: prefixEnd(prefix)})
+	l, err := call[wireListing](ctx, s.gate, pathRange, wireRange{Key: rangeKey(prefix), RangeEnd: prefixEnd(prefix)})
 	if err != nil {
-		return Listing{}, fmt.Errorf("list %s: %w", prefix, forRead(err))
+		return Listing{}, fmt.Errorf("list %s: %w", prefix, asReadError(err))
 	}
 	listing := Listing{Revision: l.Header.Revision}
 	for _, kv := range l.Kvs {
@@ -67,14 +67,14 @@
 }
 
 // Swap replaces the entry and returns its new revision.
-func (s *Etcd) Swap(ctx context.Context, c Swap) (int64, error) {
-	if len(c.Value) > ValueLimit {
-		return 0, fmt.Errorf("swap %s: %w", c.Key, TooLarge{Key: c.Key, Bytes: len(c.Value)})
+func (s *Etcd) Swap(ctx context.Context, swap Swap) (int64, error) {
+	if len(swap.Value) > ValueLimit {
+		return 0, fmt.Errorf("swap %s: %w", swap.Key, TooLarge{Key: swap.Key, Bytes: len(swap.Value)})
 	}
-	put := wirePut{Key: []byte(c.Key), Value: c.Value, Lease: int64(c.Lease)}
-	revision, err := s.transact(ctx, c.Key, c.Expect, wireOp{Put: &put})
+	put := wirePut{Key: []byte(swap.Key), Value: swap.Value, Lease: int64(swap.Lease)}
+	revision, err := s.transact(ctx, swap.Key, swap.Expect, wireOp{Put: &put})
 	if err != nil {
-		return 0, fmt.Errorf("swap %s: %w", c.Key, err)
+		return 0, fmt.Errorf("swap %s: %w", swap.Key, err)
 	}
 	return revision, nil
 }
@@ -88,8 +88,10 @@
 	return nil
 }
 
+// transact makes one change to a key if its revision is the expected one, and returns the new
+// revision. If the revision differs, the error is a Conflict with the current entry.
 func (s *Etcd) transact(ctx context.Context, key string, expect int64, op wireOp) (int64, error) {
-	done, err := ask[wireTxnDone](ctx, s.gate, pathTxn, wireTxn{
+	result, err := call[wireTxnResult](ctx, s.gate, pathTxn, wireTxn{
 		Compare: []wireCompare{{Key: []byte(key), Target: "MOD", Result: "EQUAL", ModRevision: expect}},
 		Success: []wireOp{op},
 		Failure: []wireOp{{Range: &wireRange{Key: []byte(key)}}},
@@ -97,22 +99,22 @@
 	if err != nil {
 		return 0, err
 	}
-	if done.Succeeded {
-		return done.Header.Revision, nil
+	if result.Succeeded {
+		return result.Header.Revision, nil
 	}
-	if len(done.Responses) == 0 {
+	if len(result.Responses) == 0 {
 		return 0, fmt.Errorf("conflict without the present entry: %w", ErrUnavailable)
 	}
-	return 0, Conflict{Present: first(key, done.Responses[0].Range)}
+	return 0, Conflict{Present: firstEntry(key, result.Responses[0].Range)}
 }
 
-// Grant returns a new lease; the gateway counts in seconds, so the length is rounded up.
+// Grant returns a new lease; its length is rounded up to seconds, the unit of the gateway.
 func (s *Etcd) Grant(ctx context.Context, ttl time.Duration) (LeaseID, error) {
 	seconds := int64((ttl + time.Second - 1) / time.Second)
 	if seconds < 1 {
-		return 0, fmt.Errorf("grant lease: length of %s", ttl)
+		return 0, fmt.Errorf("grant lease: length must be positive, got %s", ttl)
 	}
-	l, err := ask[wireLease](ctx, s.gate, pathGrant, wireLease{TTL: seconds})
+	l, err := call[wireLease](ctx, s.gate, pathGrant, wireLease{TTL: seconds})
 	if err != nil {
 		return 0, fmt.Errorf("grant lease: %w", err)
 	}
@@ -121,41 +123,42 @@
 
 // KeepAlive renews the lease and returns its remaining time.
 func (s *Etcd) KeepAlive(ctx context.Context, id LeaseID) (time.Duration, error) {
-	kept, err := ask[wireKept](ctx, s.gate, pathKeepAlive, wireLease{ID: int64(id)})
+	renewed, err := call[wireKeepAlive](ctx, s.gate, pathKeepAlive, wireLease{ID: int64(id)})
 	if err != nil {
 		return 0, fmt.Errorf("keep lease %d alive: %w", id, err)
 	}
-	if kept.Result.TTL <= 0 {
+	if renewed.Result.TTL <= 0 {
 		return 0, fmt.Errorf("keep lease %d alive: %w", id, ErrLeaseLost)
 	}
-	return time.Duration(kept.Result.TTL) * time.Second, nil
+	return time.Duration(renewed.Result.TTL) * time.Second, nil
 }
 
 // Revoke ends the lease and deletes its entries.
 func (s *Etcd) Revoke(ctx context.Context, id LeaseID) error {
-	if _, err := ask[struct{}](ctx, s.gate, pathRevoke, wireLease{ID: int64(id)}); err != nil {
+	if _, err := call[struct{}](ctx, s.gate, pathRevoke, wireLease{ID: int64(id)}); err != nil {
 		return fmt.Errorf("revoke lease %d: %w", id, err)
 	}
 	return nil
 }
 
-// Watch sends the changes under the prefix from the revision on, or from now on where it is zero.
+// Watch sends the changes under the prefix, starting with the given revision, or with the next
+// change if it is zero.
 func (s *Etcd) Watch(ctx context.Context, prefix string, from int64) (<-chan Event, error) {
-	var question wireWatch
-	question.Create.Key = rangeKey(prefix)
-	question.Create.RangeEnd = prefixEnd(prefix)
-	question.Create.StartRevision = from
-	body, err := s.gate.post(ctx, pathWatch, question)
+	var request wireWatch
+	request.Create.Key = rangeKey(prefix)
+	request.Create.RangeEnd = prefixEnd(prefix)
+	request.Create.StartRevision = from
+	body, err := s.gate.post(ctx, pathWatch, request)
 	if err != nil {
-		return nil, fmt.Errorf("watch %s: %w", prefix, forRead(err))
+		return nil, fmt.Errorf("watch %s: %w", prefix, asReadError(err))
 	}
-	answers := json.NewDecoder(body)
-	var opened wireEvents
-	if err := answers.Decode(&opened); err != nil {
+	messages := json.NewDecoder(body)
+	var first wireEvents
+	if err := messages.Decode(&first); err != nil {
 		body.Close()
 		return nil, fmt.Errorf("watch %s: %w: %w", prefix, ErrUnavailable, err)
 	}
-	if opened.Result.CompactRevision > 0 {
+	if first.Result.CompactRevision > 0 {
 		body.Close()
 		return nil, fmt.Errorf("watch %s from %d: %w", prefix, from, ErrCompacted)
 	}
@@ -163,28 +166,30 @@
 	go func() {
 		defer close(out)
 		defer body.Close()
-		relay(ctx, answers, opened, out)
+		forwardEvents(ctx, messages, first, out)
 	}()
 	return out, nil
 }
 
-// relay sends the events of each answer until the stream ends or the gateway cancels the watch.
-func relay(ctx context.Context, answers *json.Decoder, next wireEvents, out chan<- Event) {
+// forwardEvents sends the events of each message until the stream or the context ends or the
+// gateway cancels the watch.
+func forwardEvents(ctx context.Context, messages *json.Decoder, next wireEvents, out chan<- Event) {
 	for !next.Result.Canceled && next.Error == nil {
 		for _, e := range next.Result.Events {
-			ev := Event{Entry: e.Kv.entry(), Deleted: e.Type == "DELETE"}
-			if !send(ctx, out, ev) {
+			event := Event{Entry: e.Kv.entry(), Deleted: e.Type == "DELETE"}
+			if !send(ctx, out, event) {
 				return
 			}
 		}
 		next = wireEvents{}
-		if answers.Decode(&next) != nil {
+		if messages.Decode(&next) != nil {
 			return
 		}
 	}
 }
 
-func first(key string, l wireListing) Entry {
+// firstEntry returns the first entry of the listing, or one of revision zero if there is none.
+func firstEntry(key string, l wireListing) Entry {
 	if len(l.Kvs) == 0 {
 		return Entry{Key: key}
 	}
--- a/io/plat/etcd_test.go
+++ b/io/plat/etcd_test.go
@@ -14,9 +14,9 @@
 	"endivehitch/io/plat"
 )
 
-func gateway(t *testing.T) (*plat.Etcd, *fakes.Store) {
+func newGateway(t *testing.T) (*plat.Etcd, *fakes.Store) {
 	t.Helper()
-	faulty := fakes.NewStore(embedded(t))
+	faulty := fakes.NewStore(newEmbedded(t))
 	server := httptest.NewServer(fakes.Etcd{Store: faulty}.Handler())
 	t.Cleanup(server.Close)
 	e, err := plat.NewEtcd(plat.EtcdConfig{Base: server.URL, Client: server.Client()})
@@ -24,48 +24,49 @@
 	return e, faulty
 }
 
-// TestGatewayKeepsTheStoresContract runs the same calls against the embedded store and the gateway.
-func TestGatewayKeepsTheStoresContract(t *testing.T) {
-	gate, _ := gateway(t)
-	for name, s := range map[string]plat.Store{"embedded": embedded(t), "gateway": gate} {
+// TestStoresBehaveAlike makes the same calls to the embedded store and through the gateway, and
+// expects the same results.
+func TestStoresBehaveAlike(t *testing.T) {
+	gate, _ := newGateway(t)
+	for name, store := range map[string]plat.Store{"embedded": newEmbedded(t), "gateway": gate} {
 		t.Run(name, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
-			lease, err := s.Grant(ctx, 1500*time.Millisecond)
+			lease, err := store.Grant(ctx, 1500*time.Millisecond)
 			assert.NilError(t, err)
-			_, err = s.KeepAlive(ctx, lease)
+			_, err = store.KeepAlive(ctx, lease)
 			assert.NilError(t, err)
-			first, err := s.Swap(ctx, plat.Swap{Key: "a/1", Value: []byte{0, 255}, Lease: lease})
+			first, err := store.Swap(ctx, plat.Swap{Key: "a/1", Value: []byte{0, 255}, Lease: lease})
 			assert.NilError(t, err)
-			got, err := s.Get(ctx, "a/1")
+			got, err := store.Get(ctx, "a/1")
 			assert.NilError(t, err)
 			assert.DeepEqual(t, got, plat.Entry{Key: "a/1", Value: []byte{0, 255}, Revision: first, Lease: lease})
-			_, err = s.Swap(ctx, plat.Swap{Key: "a/1", Expect: first + 7})
+			_, err = store.Swap(ctx, plat.Swap{Key: "a/1", Expect: first + 7})
 			var conflict plat.Conflict
 			assert.Assert(t, errors.As(err, &conflict), "%v", err)
 			assert.Equal(t, conflict.Present.Revision, first)
-			err = s.Delete(ctx, "a/1", first+7)
+			err = store.Delete(ctx, "a/1", first+7)
 			assert.Assert(t, errors.As(err, &conflict), "%v", err)
-			_, err = s.Swap(ctx, plat.Swap{Key: "b/1", Value: []byte("b")})
+			_, err = store.Swap(ctx, plat.Swap{Key: "b/1", Value: []byte("b")})
 			assert.NilError(t, err)
-			l, err := s.List(ctx, "a/")
+			listing, err := store.List(ctx, "a/")
 			assert.NilError(t, err)
-			assert.Equal(t, len(l.Entries), 1)
-			all, err := s.List(ctx, "")
+			assert.Equal(t, len(listing.Entries), 1)
+			all, err := store.List(ctx, "")
 			assert.NilError(t, err)
 			assert.Equal(t, len(all.Entries), 2)
-			events, err := s.Watch(ctx, "a/", l.Revision+1)
+			events, err := store.Watch(ctx, "a/", listing.Revision+1)
 			assert.NilError(t, err)
-			assert.NilError(t, s.Revoke(ctx, lease))
-			gone := <-events
-			assert.Assert(t, gone.Deleted)
-			assert.Equal(t, gone.Entry.Key, "a/1")
-			assert.ErrorIs(t, s.Revoke(ctx, lease), plat.ErrLeaseLost)
-			_, err = s.KeepAlive(ctx, lease)
+			assert.NilError(t, store.Revoke(ctx, lease))
+			deleted := <-events
+			assert.Assert(t, deleted.Deleted)
+			assert.Equal(t, deleted.Entry.Key, "a/1")
+			assert.ErrorIs(t, store.Revoke(ctx, lease), plat.ErrLeaseLost)
+			_, err = store.KeepAlive(ctx, lease)
 			assert.ErrorIs(t, err, plat.ErrLeaseLost)
-			_, err = s.Swap(ctx, plat.Swap{Key: "a/2", Lease: lease})
+			_, err = store.Swap(ctx, plat.Swap{Key: "a/2", Lease: lease})
 			assert.ErrorIs(t, err, plat.ErrLeaseLost)
-			got, err = s.Get(ctx, "a/1")
+			got, err = store.Get(ctx, "a/1")
 			assert.NilError(t, err)
 			assert.Equal(t, got.Revision, int64(0))
 		})
@@ -73,13 +74,13 @@
 }
 
 func TestGatewayTellsUnknownFromUnavailable(t *testing.T) {
-	gate, faulty := gateway(t)
+	gate, faulty := newGateway(t)
 	assert.NilError(t, faulty.Set(fakes.Faults{}.WithLostAnswers(1)))
 	_, err := gate.Swap(t.Context(), plat.Swap{Key: "a", Value: []byte("1")})
 	assert.ErrorIs(t, err, plat.ErrUnknown)
 	got, err := gate.Get(t.Context(), "a")
 	assert.NilError(t, err)
-	assert.Equal(t, string(got.Value), "1", "the change took effect")
+	assert.Equal(t, string(got.Value), "1", "the change must have taken effect")
 
 	assert.NilError(t, faulty.Set(fakes.Faults{}.WithRefuse(true)))
 	_, err = gate.Swap(t.Context(), plat.Swap{Key: "b"})
@@ -88,12 +89,12 @@
 
 	closed := httptest.NewServer(http.NotFoundHandler())
 	closed.Close()
-	away, err := plat.NewEtcd(plat.EtcdConfig{Base: closed.URL, Client: http.DefaultClient})
+	unreachable, err := plat.NewEtcd(plat.EtcdConfig{Base: closed.URL, Client: http.DefaultClient})
 	assert.NilError(t, err)
-	_, err = away.Swap(t.Context(), plat.Swap{Key: "c"})
+	_, err = unreachable.Swap(t.Context(), plat.Swap{Key: "c"})
 	assert.ErrorIs(t, err, plat.ErrUnavailable)
 	assert.Assert(t, !errors.Is(err, plat.ErrUnknown), "nothing was sent")
-	_, err = away.Get(t.Context(), "c")
+	_, err = unreachable.Get(t.Context(), "c")
 	assert.ErrorIs(t, err, plat.ErrUnavailable)
 }
 
@@ -112,7 +113,7 @@
 }
 
 func TestGatewayWatchBreaksOffWithTheService(t *testing.T) {
-	gate, faulty := gateway(t)
+	gate, faulty := newGateway(t)
 	events, err := gate.Watch(t.Context(), "a", 0)
 	assert.NilError(t, err)
 	assert.NilError(t, faulty.Set(fakes.Faults{}.WithDown(true)))
--- a/io/plat/gate.go
+++ b/io/plat/gate.go
@@ -11,21 +11,23 @@
 	"net/http"
 )
 
-// answerLimit bounds an answer of the gateway, in bytes; base64 and a listing of several values need room.
-const answerLimit = 64 << 20
+// maxResponseBytes is the size of the largest response that is read from the gateway. It is far
+// above ValueLimit because values are in base64 and a listing holds several of them.
+const maxResponseBytes = 64 << 20
 
-// The gRPC status codes that the gateway puts into its errors and that the adapter tells apart.
+// The gRPC status codes that decodeRefusal looks for in the gateway's errors.
 const (
 	codeNotFound          = 5
 	codeResourceExhausted = 8
 )
 
-// gateway posts JSON to the paths of an etcd v3 gateway.
+// gateway is the HTTP client of an etcd v3 JSON gateway.
 type gateway struct {
 	base   string
 	client *http.Client
 }
 
+// gatewayError is the body of an error response, with its HTTP status.
 type gatewayError struct {
 	Status  int    `json:"-"`
 	Code    int    `json:"code"`
@@ -38,9 +40,11 @@
 	return fmt.Sprintf("gateway answered %d, code %d: %s", g.Status, g.Code, g.Text)
 }
 
-// post returns the open body of a good answer; its error tells whether the call may have taken effect.
-func (g gateway) post(ctx context.Context, path string, question any) (io.ReadCloser, error) {
-	body, err := json.Marshal(question)
+// post sends a request and returns the body of a response with status 200, which the caller closes.
+//
+// The error wraps ErrUnknown if the call may have taken effect.
+func (g gateway) post(ctx context.Context, path string, request any) (io.ReadCloser, error) {
+	body, err := json.Marshal(request)
 	if err != nil {
 		return nil, fmt.Errorf("encode question: %w", err)
 	}
@@ -49,36 +53,37 @@
 		return nil, fmt.Errorf("build question: %w", err)
 	}
 	req.Header.Set("Content-Type", "application/json")
-	if err := ended(ctx); err != nil {
+	if err := contextError(ctx); err != nil {
 		return nil, err
 	}
 	resp, err := g.client.Do(req)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", reached(err), err)
+		return nil, fmt.Errorf("%w: %w", classifyTransportError(err), err)
 	}
 	if resp.StatusCode == http.StatusOK {
 		return resp.Body, nil
 	}
 	defer resp.Body.Close()
-	return nil, refusal(resp)
+	return nil, decodeRefusal(resp)
 }
 
-// ask posts the question and decodes the whole answer.
-func ask[T any](ctx context.Context, g gateway, path string, question any) (T, error) {
-	var answer T
-	body, err := g.post(ctx, path, question)
+// call posts the request and decodes the response.
+func call[T any](ctx context.Context, g gateway, path string, request any) (T, error) {
+	var response T
+	body, err := g.post(ctx, path, request)
 	if err != nil {
-		return answer, err
+		return response, err
 	}
 	defer body.Close()
-	if err := json.NewDecoder(io.LimitReader(body, answerLimit)).Decode(&answer); err != nil {
-		return answer, fmt.Errorf("%w: decode answer: %w", ErrUnknown, err)
+	if err := json.NewDecoder(io.LimitReader(body, maxResponseBytes)).Decode(&response); err != nil {
+		return response, fmt.Errorf("%w: decode answer: %w", ErrUnknown, err)
 	}
-	return answer, nil
+	return response, nil
 }
 
-// reached tells a connection that was never made from one that broke under the call.
-func reached(err error) error {
+// classifyTransportError returns ErrUnavailable if no connection was made, and ErrUnknown if it
+// failed during the call.
+func classifyTransportError(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return ErrUnavailable
@@ -86,46 +91,50 @@
 	return ErrUnknown
 }
 
-// refusal reads an error answer; a server error leaves open whether the call took effect.
-func refusal(resp *http.Response) error {
-	failed := gatewayError{Status: resp.StatusCode}
-	data, err := io.ReadAll(io.LimitReader(resp.Body, answerLimit))
+// decodeRefusal returns the error for a response with an error status. "Not found" means that the
+// lease does not exist; "resource exhausted" and status 429 mean that the call was turned away; any
+// other server error (5xx) leaves open whether the call took effect.
+func decodeRefusal(resp *http.Response) error {
+	refused := gatewayError{Status: resp.StatusCode}
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err == nil {
-		err = json.Unmarshal(data, &failed)
+		err = json.Unmarshal(data, &refused)
 	}
 	if err != nil {
-		failed.Text = "undecodable error"
+		refused.Text = "undecodable error"
 	}
 	switch {
-	case failed.Code == codeNotFound:
-		return fmt.Errorf("%w: %w", ErrLeaseLost, failed)
-	case failed.Code == codeResourceExhausted, resp.StatusCode == http.StatusTooManyRequests:
-		return fmt.Errorf("%w: %w", ErrUnavailable, failed)
+	case refused.Code == codeNotFound:
+		return fmt.Errorf("%w: %w", ErrLeaseLost, refused)
+	case refused.Code == codeResourceExhausted, resp.StatusCode == http.StatusTooManyRequests:
+		return fmt.Errorf("%w: %w", ErrUnavailable, refused)
 	case resp.StatusCode >= http.StatusInternalServerError:
-		return fmt.Errorf("%w: %w", ErrUnknown, failed)
+		return fmt.Errorf("%w: %w", ErrUnknown, refused)
 	}
-	return failed
+	return refused
 }
 
-// forRead turns an unknown outcome into plain absence: a read has no effect to doubt.
-func forRead(err error) error {
+// asReadError turns ErrUnknown into ErrUnavailable, since a read has no effect that could be in
+// doubt.
+func asReadError(err error) error {
 	if errors.Is(err, ErrUnknown) {
-		return unread{err}
+		return readError{err}
 	}
 	return err
 }
 
-// unread is a failed read.
-type unread struct {
+// readError is the error of a read that failed with ErrUnknown. It does not wrap its cause, so that
+// errors.Is finds ErrUnavailable only.
+type readError struct {
 	cause error
 }
 
 // Error states the cause.
-func (u unread) Error() string {
-	return fmt.Sprintf("%v: %v", ErrUnavailable, u.cause)
+func (e readError) Error() string {
+	return fmt.Sprintf("%v: %v", ErrUnavailable, e.cause)
 }
 
 // Is reports whether the target is ErrUnavailable.
-func (u unread) Is(target error) bool {
+func (e readError) Is(target error) bool {
 	return target == ErrUnavailable
 }
--- a/io/plat/image.go
+++ b/io/plat/image.go
@@ -8,126 +8,130 @@
 	"endivehitch/core/policy"
 )
 
-// image is the whole content of an embedded store at one revision; it is immutable.
-type image struct {
+// snapshot is the complete content of an Embedded store at one revision; it is immutable.
+type snapshot struct {
 	revision  int64
 	lastLease LeaseID
 	entries   policy.Table[string, Entry]
 	leases    policy.Table[string, lease]
-	// events is appended to in place behind the length of older images, which writers do in turn.
+	// events is the history, oldest first. Snapshots share its array: a newer one appends behind the
+	// length of the older ones, which is safe because writers run one at a time.
 	events []Event
-	// floor is the last revision that is no longer among the events.
-	floor int64
-	// changed is closed once there is a newer image.
-	changed chan struct{}
+	// compacted is the last revision that was removed from the events.
+	compacted int64
+	// superseded is closed once there is a newer snapshot.
+	superseded chan struct{}
 }
 
 type lease struct {
-	id   LeaseID
-	ttl  time.Duration
-	ends time.Time
-	keys []string
+	id      LeaseID
+	ttl     time.Duration
+	expires time.Time
+	keys    []string
 }
 
 func leaseKey(id LeaseID) string {
 	return strconv.FormatInt(int64(id), 10)
 }
 
-func (im image) entry(key string) Entry {
-	if e, ok := im.entries.Get(key); ok {
+func (s snapshot) entry(key string) Entry {
+	if e, ok := s.entries.Get(key); ok {
 		return e
 	}
 	return Entry{Key: key}
 }
 
-func (im image) lease(id LeaseID) (lease, bool) {
-	return im.leases.Get(leaseKey(id))
+func (s snapshot) lease(id LeaseID) (lease, bool) {
+	return s.leases.Get(leaseKey(id))
 }
 
-func (im image) swap(s Swap) (image, error) {
-	had := im.entry(s.Key)
-	if had.Revision != s.Expect {
-		return im, Conflict{Present: had}
+func (s snapshot) withSwap(request Swap) (snapshot, error) {
+	previous := s.entry(request.Key)
+	if previous.Revision != request.Expect {
+		return s, Conflict{Present: previous}
 	}
-	if _, ok := im.lease(s.Lease); s.Lease != 0 && !ok {
-		return im, ErrLeaseLost
+	if _, ok := s.lease(request.Lease); request.Lease != 0 && !ok {
+		return s, ErrLeaseLost
 	}
-	im.revision++
-	e := Entry{Key: s.Key, Value: s.Value, Revision: im.revision, Lease: s.Lease}
-	im = im.detached(had).attached(e)
-	im.entries = im.entries.With(e.Key, e)
-	im.events = append(im.events, Event{Entry: e})
-	return im, nil
+	s.revision++
+	entry := Entry{Key: request.Key, Value: request.Value, Revision: s.revision, Lease: request.Lease}
+	s = s.withoutLeasedKey(previous).withLeasedKey(entry)
+	s.entries = s.entries.With(entry.Key, entry)
+	s.events = append(s.events, Event{Entry: entry})
+	return s, nil
 }
 
-func (im image) without(key string) image {
-	had, ok := im.entries.Get(key)
+func (s snapshot) withoutKey(key string) snapshot {
+	previous, ok := s.entries.Get(key)
 	if !ok {
-		return im
+		return s
 	}
-	im.revision++
-	im = im.detached(had)
-	im.entries = im.entries.Without(key)
-	im.events = append(im.events, Event{Entry: Entry{Key: key, Revision: im.revision}, Deleted: true})
-	return im
+	s.revision++
+	s = s.withoutLeasedKey(previous)
+	s.entries = s.entries.Without(key)
+	s.events = append(s.events, Event{Entry: Entry{Key: key, Revision: s.revision}, Deleted: true})
+	return s
 }
 
-// attached lists the entry's key with its lease.
-func (im image) attached(e Entry) image {
-	l, ok := im.lease(e.Lease)
+// withLeasedKey adds the entry's key to the keys of its lease, if it has one.
+func (s snapshot) withLeasedKey(e Entry) snapshot {
+	leased, ok := s.lease(e.Lease)
 	if !ok {
-		return im
+		return s
 	}
-	l.keys = append(slices.Clone(l.keys), e.Key)
-	return im.withLease(l)
+	leased.keys = append(slices.Clone(leased.keys), e.Key)
+	return s.withLease(leased)
 }
 
-// detached takes the entry's key off its lease.
-func (im image) detached(e Entry) image {
-	l, ok := im.lease(e.Lease)
+// withoutLeasedKey removes the entry's key from the keys of its lease, if it has one.
+func (s snapshot) withoutLeasedKey(e Entry) snapshot {
+	leased, ok := s.lease(e.Lease)
 	if !ok {
-		return im
+		return s
 	}
-	l.keys = slices.DeleteFunc(slices.Clone(l.keys), func(k string) bool { return k == e.Key })
-	return im.withLease(l)
+	leased.keys = slices.DeleteFunc(slices.Clone(leased.keys), func(k string) bool { return k == e.Key })
+	return s.withLease(leased)
 }
 
-func (im image) withLease(l lease) image {
-	im.leases = im.leases.With(leaseKey(l.id), l)
-	return im
+func (s snapshot) withLease(l lease) snapshot {
+	s.leases = s.leases.With(leaseKey(l.id), l)
+	return s
 }
 
-// withoutLease gives each deletion a revision of its own, so that a watch can resume between any two.
-func (im image) withoutLease(id LeaseID) image {
-	l, _ := im.lease(id)
-	for _, key := range l.keys {
-		im = im.without(key)
+// withoutLease removes the lease and its entries. Each deletion has a revision of its own, so that
+// a watch can resume between any two.
+func (s snapshot) withoutLease(id LeaseID) snapshot {
+	ended, _ := s.lease(id)
+	for _, key := range ended.keys {
+		s = s.withoutKey(key)
 	}
-	im.leases = im.leases.Without(leaseKey(id))
-	return im
+	s.leases = s.leases.Without(leaseKey(id))
+	return s
 }
 
-func (im image) compacted(revision int64) image {
-	if revision <= im.floor {
-		return im
+// withoutHistory removes the events up to and including the revision.
+func (s snapshot) withoutHistory(revision int64) snapshot {
+	if revision <= s.compacted {
+		return s
 	}
-	im.floor = min(revision, im.revision)
-	im.events = slices.Clone(im.since(im.floor + 1))
-	return im
+	s.compacted = min(revision, s.revision)
+	s.events = slices.Clone(s.eventsFrom(s.compacted + 1))
+	return s
 }
 
-// trimmed keeps between the given number of events and twice as many, so that copies are rare.
-func (im image) trimmed(history int) image {
-	if len(im.events) < 2*history {
-		return im
+// withTrimmedHistory removes the oldest events once there are twice the given number, and leaves
+// that number, so that the events are rarely copied.
+func (s snapshot) withTrimmedHistory(history int) snapshot {
+	if len(s.events) < 2*history {
+		return s
 	}
-	return im.compacted(im.events[len(im.events)-history-1].Entry.Revision)
+	return s.withoutHistory(s.events[len(s.events)-history-1].Entry.Revision)
 }
 
-// since returns the events from the revision on.
-func (im image) since(revision int64) []Event {
-	i, _ := slices.BinarySearchFunc(im.events, revision, func(e Event, r int64) int {
+// eventsFrom returns the events of the revision and later ones.
+func (s snapshot) eventsFrom(revision int64) []Event {
+	i, _ := slices.BinarySearchFunc(s.events, revision, func(e Event, r int64) int {
 		return int(e.Entry.Revision - r)
 	})
-	return im.events[i:]
+	return s.events[i:]
 }
--- a/io/plat/join.go
+++ b/io/plat/join.go
@@ -5,14 +5,15 @@
 	"sync"
 )
 
-// joins lets callers of the same read share one call.
-type joins struct {
-	mu   sync.Mutex
-	open map[string]*flight
+// flightGroup lets concurrent callers of the same read share one call.
+type flightGroup struct {
+	mu      sync.Mutex
+	flights map[string]*flight
 }
 
-// flight is a read under way; value and err are set before done is closed.
+// flight is a read in flight; value and err are set before done is closed.
 type flight struct {
+	// waiters is the number of callers that wait for the read.
 	waiters int
 	cancel  context.CancelFunc
 	done    chan struct{}
@@ -20,53 +21,55 @@
 	err     error
 }
 
-// join returns the flight of that name and whether it was under way already.
-func (j *joins) join(name string, read func(context.Context) (any, error)) (*flight, bool) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if f, ok := j.open[name]; ok {
-		f.waiters++
-		return f, true
+// join returns the flight of that name, and whether it was in flight already; otherwise it starts
+// it. The caller must call leave.
+func (g *flightGroup) join(name string, read func(context.Context) (any, error)) (*flight, bool) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if joined, ok := g.flights[name]; ok {
+		joined.waiters++
+		return joined, true
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	f := &flight{waiters: 1, cancel: cancel, done: make(chan struct{})}
-	if j.open == nil {
-		j.open = make(map[string]*flight)
+	if g.flights == nil {
+		g.flights = make(map[string]*flight)
 	}
-	j.open[name] = f
+	g.flights[name] = f
 	go func() {
 		f.value, f.err = read(ctx)
-		j.close(name, f)
+		g.remove(name, f)
 		close(f.done)
 	}()
 	return f, false
 }
 
-// leave gives up one caller's interest; the last one ends the read.
-func (j *joins) leave(name string, f *flight) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+// leave removes one caller from the flight; the read is cancelled when the last one leaves.
+func (g *flightGroup) leave(name string, f *flight) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	f.waiters--
 	if f.waiters > 0 {
 		return
 	}
 	f.cancel()
-	if j.open[name] == f {
-		delete(j.open, name)
+	if g.flights[name] == f {
+		delete(g.flights, name)
 	}
 }
 
-// forget makes later callers start a read of their own.
-func (j *joins) forget(name string) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	delete(j.open, name)
+// forget makes later callers start a new read, as the one in flight may not show the latest change.
+func (g *flightGroup) forget(name string) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	delete(g.flights, name)
 }
 
-func (j *joins) close(name string, f *flight) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if j.open[name] == f {
-		delete(j.open, name)
+// remove takes the flight out of the group, unless a later one has its name.
+func (g *flightGroup) remove(name string, f *flight) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if g.flights[name] == f {
+		delete(g.flights, name)
 	}
 }
--- a/io/plat/lists.go
+++ b/io/plat/lists.go
@@ -7,11 +7,12 @@
 	"endivehitch/core/value"
 )
 
-// InstanceList shows live and leaving instances and backend servers, with a lag.
+// InstanceList is the platform's list of live and leaving instances and backend servers; it lags
+// behind.
 type InstanceList interface {
-	// Servers returns the backend servers as listed.
+	// Servers returns the listed backend servers.
 	Servers(ctx context.Context) ([]value.BackendServer, error)
-	// Instances returns the instances of the system as listed.
+	// Instances returns the listed instances of the system.
 	Instances(ctx context.Context) ([]value.Instance, error)
 }
 
@@ -21,19 +22,20 @@
 	Kind     value.KindName
 	Version  value.VersionKey
 	Accepted bool
-	// Rate is the share, from 0 to 1, at which answers with this verdict are rated; zero means unknown.
+	// Rate is the share, from 0 to 1, of the answers with this verdict that are rated; zero means
+	// unknown.
 	Rate float64
 	At   time.Time
 }
 
-// RatingService rates answers, late and not all of them.
+// RatingService rates some of the answers, with a delay.
 type RatingService interface {
-	// Ratings returns the ratings after the cursor and the next cursor.
+	// Ratings returns the ratings after the cursor, and the cursor for the next call.
 	Ratings(ctx context.Context, cursor string) ([]Rating, string, error)
 }
 
 // WeightStore holds the weights of versions and is rate-limited.
 type WeightStore interface {
-	// Available returns how many loads the store would serve at once.
+	// Available returns the number of loads that the store would serve at once now.
 	Available(ctx context.Context) (int, error)
 }
--- a/io/plat/store.go
+++ b/io/plat/store.go
@@ -7,19 +7,20 @@
 	"time"
 )
 
-// ErrUnknown marks a change whose answer was lost: it may or may not have taken effect.
+// ErrUnknown marks a change whose answer was lost; it may or may not have taken effect.
 var ErrUnknown = errors.New("outcome of the change is unknown")
 
-// ErrUnavailable marks a call that certainly had no effect because the service was not reached.
+// ErrUnavailable marks a call that certainly had no effect, because it was not made, did not reach
+// the service or was turned away there.
 var ErrUnavailable = errors.New("service unavailable")
 
-// ErrLeaseLost marks a lease that has lapsed or was revoked.
+// ErrLeaseLost marks a lease that has expired or was revoked.
 var ErrLeaseLost = errors.New("lease lost")
 
-// ErrCompacted marks a watch that starts before the history that the service still has.
+// ErrCompacted marks a watch from a revision that the service's history no longer includes.
 var ErrCompacted = errors.New("history compacted")
 
-// ValueLimit is the largest value that the key-value service takes, in bytes.
+// ValueLimit is the size of the largest value that the key-value service takes, in bytes.
 const ValueLimit = 1 << 20
 
 // LeaseID identifies a lease; zero means none.
@@ -29,7 +30,8 @@
 type Entry struct {
 	Key   string
 	Value []byte
-	// Revision is the store's revision at the entry's last change; zero means that there is no such key.
+	// Revision is the store's revision at the entry's last change; zero means that there is no such
+	// key.
 	Revision int64
 	Lease    LeaseID
 }
@@ -48,11 +50,11 @@
 
 // Conflict is the error of a swap whose expected revision was not the present one.
 type Conflict struct {
-	// Present is the entry as it stands; its revision is zero where there is none.
+	// Present is the current entry; its revision is zero if there is none.
 	Present Entry
 }
 
-// Error states the key and the revision that stands.
+// Error states the key and the current revision.
 func (c Conflict) Error() string {
 	return fmt.Sprintf("conflict on %s: revision is %d", c.Present.Key, c.Present.Revision)
 }
@@ -68,29 +70,32 @@
 	return fmt.Sprintf("value of %s has %d bytes, limit is %d", t.Key, t.Bytes, ValueLimit)
 }
 
-// Swap asks to replace an entry whose revision is the expected one.
+// Swap is a compare-and-swap: it replaces an entry if its revision is the expected one.
 type Swap struct {
 	Key string
-	// Expect is the revision that must stand; zero means that there must be no such key.
+	// Expect is the revision that the entry must have; zero means that there must be no such key.
 	Expect int64
 	Value  []byte
-	// Lease, if set, deletes the entry when the lease ends.
+	// Lease attaches the entry to a lease, at whose end the service deletes it; zero attaches it to
+	// none.
 	Lease LeaseID
 }
 
-// Reader is the asking side of the key-value service.
+// Reader has the operations that query the key-value service.
 type Reader interface {
-	// Get returns the entry, with revision zero where there is none.
+	// Get returns the entry, with revision zero if there is none.
 	Get(ctx context.Context, key string) (Entry, error)
 	// List returns all entries whose keys have the prefix, in the order of keys.
 	List(ctx context.Context, prefix string) (Listing, error)
-	// Watch sends the changes under the prefix from the revision on (from now on where it is zero),
-	// until the context ends; it fails with ErrCompacted where the history is gone;
-	// the channel is closed when the watch breaks off, and the caller lists and watches anew.
+	// Watch sends the changes under the prefix, starting with the given revision, or with the next
+	// change if it is zero, until the context ends. It fails with ErrCompacted if the history no
+	// longer includes the revision. The channel is closed when the watch ends, also early, for
+	// instance because the receiver is too slow or the connection fails; the caller then lists and
+	// watches again.
 	Watch(ctx context.Context, prefix string, from int64) (<-chan Event, error)
 }
 
-// Writer is the changing side of the key-value service.
+// Writer has the operations that change the key-value service.
 type Writer interface {
 	// Swap replaces the entry and returns its new revision; it fails with Conflict, ErrUnknown,
 	// ErrUnavailable or ErrLeaseLost.
--- a/io/plat/watch.go
+++ b/io/plat/watch.go
@@ -6,48 +6,51 @@
 	"strings"
 )
 
-// Watch sends the changes under the prefix from the revision on, or from now on where it is zero.
+// Watch sends the changes under the prefix, starting with the given revision, or with the next
+// change if it is zero.
 func (e *Embedded) Watch(ctx context.Context, prefix string, from int64) (<-chan Event, error) {
-	if err := ended(ctx); err != nil {
+	if err := contextError(ctx); err != nil {
 		return nil, fmt.Errorf("watch %s: %w", prefix, err)
 	}
-	im := e.current.Get()
+	current := e.latest.Get()
 	if from <= 0 {
-		from = im.revision + 1
+		from = current.revision + 1
 	}
-	if from <= im.floor {
+	if from <= current.compacted {
 		return nil, fmt.Errorf("watch %s from %d: %w", prefix, from, ErrCompacted)
 	}
 	out := make(chan Event)
-	go e.feed(ctx, prefix, from, out)
+	go e.sendEvents(ctx, prefix, from, out)
 	return out, nil
 }
 
-// feed sends events until the context ends or the history no longer reaches back to the next one.
-func (e *Embedded) feed(ctx context.Context, prefix string, next int64, out chan<- Event) {
+// sendEvents sends events until the context ends, or until the receiver is so far behind that the
+// next one is no longer in the history.
+func (e *Embedded) sendEvents(ctx context.Context, prefix string, next int64, out chan<- Event) {
 	defer close(out)
 	for {
-		im := e.current.Get()
-		if next <= im.floor {
+		current := e.latest.Get()
+		if next <= current.compacted {
 			return
 		}
-		for _, ev := range im.since(next) {
+		for _, ev := range current.eventsFrom(next) {
 			if strings.HasPrefix(ev.Entry.Key, prefix) && !send(ctx, out, ev) {
 				return
 			}
 		}
-		next = max(next, im.revision+1)
+		next = max(next, current.revision+1)
 		select {
-		case <-im.changed:
+		case <-current.superseded:
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func send(ctx context.Context, out chan<- Event, ev Event) bool {
+// send sends one event, and reports whether the receiver took it before the context ended.
+func send(ctx context.Context, out chan<- Event, event Event) bool {
 	select {
-	case out <- ev:
+	case out <- event:
 		return true
 	case <-ctx.Done():
 		return false
--- a/io/plat/wire.go
+++ b/io/plat/wire.go
@@ -1,6 +1,7 @@
 package plat
 
-// The gateway's messages, as published for etcd v3: keys and values are base64, 64-bit numbers are strings.
+// The wire types are the gateway's messages, as published for etcd v3: keys and values are in
+// base64, and 64-bit numbers are strings.
 
 type wireHeader struct {
 	Revision int64 `json:"revision,string"`
@@ -52,7 +53,7 @@
 	Failure []wireOp      `json:"failure"`
 }
 
-type wireTxnDone struct {
+type wireTxnResult struct {
 	Header    wireHeader `json:"header"`
 	Succeeded bool       `json:"succeeded"`
 	Responses []struct {
@@ -65,7 +66,7 @@
 	TTL int64 `json:"TTL,omitempty,string"`
 }
 
-type wireKept struct {
+type wireKeepAlive struct {
 	Result wireLease `json:"result"`
 }
 
@@ -90,7 +91,8 @@
 	Error *gatewayError `json:"error"`
 }
 
-// prefixEnd returns the end of the range of keys with the prefix; one zero byte means all keys.
+// prefixEnd returns the end, exclusive, of the range of keys with the prefix; one zero byte means
+// that the range has no end.
 func prefixEnd(prefix string) []byte {
 	end := []byte(prefix)
 	for i := len(end) - 1; i >= 0; i-- {
@@ -102,7 +104,8 @@
 	return []byte{0}
 }
 
-// rangeKey returns the start of the range of keys with the prefix; the empty key is spelt as a zero byte.
+// rangeKey returns the start of the range of keys with the prefix; one zero byte stands for the
+// empty prefix.
 func rangeKey(prefix string) []byte {
 	if prefix == "" {
 		return []byte{0}
--- a/io/plat/writes.go
+++ b/io/plat/writes.go
@@ -8,36 +8,38 @@
 	"time"
 )
 
-// Swap replaces the entry; a lost answer is settled by reading back and, where the old revision
-// still stands, by swapping again from it, so that at most one of both takes effect.
+// Swap replaces the entry. If the answer is lost, it reads the entry back, and unless that shows
+// the new value it sends the swap again with the same expected revision, so that at most one of the
+// two takes effect.
 //
-// An error that wraps both ErrUnknown and Conflict says that the change may have taken effect
+// An error that wraps both ErrUnknown and Conflict means that the change may have taken effect
 // before another writer replaced it.
 func (b *Budget) Swap(ctx context.Context, s Swap) (int64, error) {
-	defer b.joins.forget(getFlight(s.Key))
-	revision, err := change(ctx, b, func(ctx context.Context) (int64, error) { return b.config.Store.Swap(ctx, s) })
+	defer b.flights.forget(flightNameOfGet(s.Key))
+	revision, err := writeOnce(ctx, b, func(ctx context.Context) (int64, error) { return b.config.Store.Swap(ctx, s) })
 	for try := 1; errors.Is(err, ErrUnknown) && try < b.config.Tries; try++ {
-		if b.pause(ctx, try) != nil {
+		if b.waitBackoff(ctx, try) != nil {
 			break
 		}
 		if revision, settled := b.readBack(ctx, s); settled {
 			return revision, nil
 		}
-		again, retryErr := change(ctx, b, func(ctx context.Context) (int64, error) { return b.config.Store.Swap(ctx, s) })
+		repeated, retryErr := writeOnce(ctx, b, func(ctx context.Context) (int64, error) { return b.config.Store.Swap(ctx, s) })
 		if retryErr == nil {
-			return again, nil
+			return repeated, nil
 		}
 		var conflict Conflict
 		if errors.As(retryErr, &conflict) {
-			return settle(s, conflict)
+			return resolveConflict(s, conflict)
 		}
 	}
 	return revision, err
 }
 
-// readBack reports whether the entry as it stands holds the change; a stale answer shows an older one.
+// readBack reports whether the entry holds the change, and returns its revision. A stale read may
+// miss the change, so false does not mean that it took no effect.
 func (b *Budget) readBack(ctx context.Context, s Swap) (int64, bool) {
-	b.joins.forget(getFlight(s.Key))
+	b.flights.forget(flightNameOfGet(s.Key))
 	e, err := b.Get(ctx, s.Key)
 	if err != nil || e.Revision <= s.Expect || !bytes.Equal(e.Value, s.Value) {
 		return 0, false
@@ -45,26 +47,28 @@
 	return e.Revision, true
 }
 
-// settle judges a change, whose first answer was lost, by the entry that its repetition met.
-func settle(s Swap, c Conflict) (int64, error) {
+// resolveConflict settles a change whose first answer was lost and whose retry met a conflict: the
+// change took effect if the present entry has its value, and otherwise the outcome is unknown.
+func resolveConflict(s Swap, c Conflict) (int64, error) {
 	if c.Present.Revision > s.Expect && bytes.Equal(c.Present.Value, s.Value) {
 		return c.Present.Revision, nil
 	}
 	return 0, fmt.Errorf("swap %s: %w: %w", s.Key, ErrUnknown, c)
 }
 
-// Delete removes the entry; a lost answer is settled by deleting again from the same revision.
+// Delete removes the entry if its revision is the expected one. If the answer is lost, it deletes
+// again with the same expected revision; an entry that is then missing counts as deleted.
 func (b *Budget) Delete(ctx context.Context, key string, expect int64) error {
-	defer b.joins.forget(getFlight(key))
+	defer b.flights.forget(flightNameOfGet(key))
 	remove := func(ctx context.Context) (struct{}, error) {
 		return struct{}{}, b.config.Store.Delete(ctx, key, expect)
 	}
-	_, err := change(ctx, b, remove)
+	_, err := writeOnce(ctx, b, remove)
 	for try := 1; errors.Is(err, ErrUnknown) && try < b.config.Tries; try++ {
-		if b.pause(ctx, try) != nil {
+		if b.waitBackoff(ctx, try) != nil {
 			break
 		}
-		_, retryErr := change(ctx, b, remove)
+		_, retryErr := writeOnce(ctx, b, remove)
 		if retryErr == nil {
 			return nil
 		}
@@ -80,25 +84,26 @@
 	return err
 }
 
-// Grant returns a new lease; one whose answer was lost lapses unused.
+// Grant returns a new lease; a lease whose answer was lost expires unused.
 func (b *Budget) Grant(ctx context.Context, ttl time.Duration) (LeaseID, error) {
-	return change(ctx, b, func(ctx context.Context) (LeaseID, error) { return b.config.Store.Grant(ctx, ttl) })
+	return writeOnce(ctx, b, func(ctx context.Context) (LeaseID, error) { return b.config.Store.Grant(ctx, ttl) })
 }
 
-// KeepAlive renews the lease once; the holder repeats it in its own rhythm.
+// KeepAlive renews the lease once, without retries, since its holder renews it at regular
+// intervals.
 func (b *Budget) KeepAlive(ctx context.Context, id LeaseID) (time.Duration, error) {
-	return change(ctx, b, func(ctx context.Context) (time.Duration, error) { return b.config.Store.KeepAlive(ctx, id) })
+	return writeOnce(ctx, b, func(ctx context.Context) (time.Duration, error) { return b.config.Store.KeepAlive(ctx, id) })
 }
 
-// Revoke ends the lease and deletes its entries; one whose answer was lost is repeated.
+// Revoke ends the lease and deletes its entries; it is retried if its answer is lost.
 func (b *Budget) Revoke(ctx context.Context, id LeaseID) error {
 	revoke := func(ctx context.Context) (struct{}, error) { return struct{}{}, b.config.Store.Revoke(ctx, id) }
-	_, err := change(ctx, b, revoke)
+	_, err := writeOnce(ctx, b, revoke)
 	for try := 1; errors.Is(err, ErrUnknown) && try < b.config.Tries; try++ {
-		if b.pause(ctx, try) != nil {
+		if b.waitBackoff(ctx, try) != nil {
 			break
 		}
-		_, retryErr := change(ctx, b, revoke)
+		_, retryErr := writeOnce(ctx, b, revoke)
 		if retryErr == nil || errors.Is(retryErr, ErrLeaseLost) {
 			return nil
 		}
@@ -106,14 +111,14 @@
 	return err
 }
 
-// change makes one try of a write inside the budget.
-func change[T any](ctx context.Context, b *Budget, do func(context.Context) (T, error)) (T, error) {
+// writeOnce makes one attempt of a write within the rate limit.
+func writeOnce[T any](ctx context.Context, b *Budget, do func(context.Context) (T, error)) (T, error) {
 	if err := b.admit(ctx, b.writes); err != nil {
 		var none T
 		return none, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, b.config.Timeout)
 	defer cancel()
-	b.count(func(u Usage) Usage { u.Writes++; return u })
+	b.updateUsage(func(u Usage) Usage { u.Writes++; return u })
 	return do(ctx)
 }
