--- a/io/clock/clock.go
+++ b/io/clock/clock.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Wait returns once the time has passed, or with the context's error when that ends first.
+// Wait returns nil once the duration has passed, or the context's error if the context ends first.
 func Wait(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return ctx.Err()
@@ -20,7 +20,8 @@
 	}
 }
 
-// Passed is Wait for loops: it reports whether the time passed before the context ended.
+// Passed waits like Wait, as the condition of a loop: it reports whether the duration passed before
+// the context ended.
 func Passed(ctx context.Context, d time.Duration) bool {
 	return Wait(ctx, d) == nil
 }
--- a/io/clock/clock_test.go
+++ b/io/clock/clock_test.go
@@ -11,7 +11,7 @@
 	"endivehitch/io/clock"
 )
 
-func TestWaitEndsWithTheTimeOrTheContext(t *testing.T) {
+func TestWaitReturnsAfterTheTimeOrWhenTheContextEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
 		assert.NilError(t, clock.Wait(t.Context(), time.Minute))
@@ -19,6 +19,6 @@
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		assert.ErrorIs(t, clock.Wait(ctx, time.Minute), context.DeadlineExceeded)
-		assert.Assert(t, !clock.Passed(ctx, 0), "an ended context leaves no time to pass")
+		assert.Assert(t, !clock.Passed(ctx, 0), "must report false once the context has ended, even without a duration")
 	})
 }
--- a/io/clock/doc.go
+++ b/io/clock/doc.go
@@ -1,2 +1,5 @@
-// Package clock waits for times to pass and draws random numbers, so that no part does it by hand.
+// Package clock provides waits that end with a context, and the random numbers that policies draw.
+//
+// Wait and Passed wait for a duration or until a context ends. Random is passed to policies, which
+// take their source of random numbers as an argument.
 package clock
--- a/io/clock/random.go
+++ b/io/clock/random.go
@@ -2,8 +2,7 @@
 
 import "math/rand/v2"
 
-// Random yields the runtime's random numbers to policies, which take none themselves; it is safe for
-// concurrent use.
+// Random draws numbers from the runtime's generator, for policies; it is safe for concurrent use.
 type Random struct{}
 
 // IntN returns a number from 0 to n-1.
