--- a/io/httpd/doc.go
+++ b/io/httpd/doc.go
@@ -1,2 +1,2 @@
-// Package httpd runs HTTP servers until their context ends.
+// Package httpd runs HTTP servers until a context ends; Until is its only function.
 package httpd
--- a/io/httpd/until.go
+++ b/io/httpd/until.go
@@ -7,15 +7,15 @@
 	"net/http"
 )
 
-// Until serves the listener until the context ends, and then ends the server by stop, whose error it
-// returns; a server that fails before that ends it with its error.
-func Until(ctx context.Context, s *http.Server, l net.Listener, stop func(*http.Server) error) error {
+// Until serves the listener until the context ends; it then calls stop to shut the server down, and
+// returns its error. If the server fails first, Until returns that error without calling stop.
+func Until(ctx context.Context, server *http.Server, listener net.Listener, stop func(*http.Server) error) error {
 	failed := make(chan error, 1)
-	go func() { failed <- s.Serve(l) }()
+	go func() { failed <- server.Serve(listener) }()
 	select {
 	case err := <-failed:
-		return fmt.Errorf("serve %s: %w", l.Addr(), err)
+		return fmt.Errorf("serve %s: %w", listener.Addr(), err)
 	case <-ctx.Done():
-		return stop(s)
+		return stop(server)
 	}
 }
--- a/io/httpd/until_test.go
+++ b/io/httpd/until_test.go
@@ -14,21 +14,21 @@
 
 var errStopped = errors.New("stopped")
 
-func TestUntilEndsByItsContextOrItsFailure(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+func TestUntilStopsOnContextEndOrServeError(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() {
-		ended <- httpd.Until(ctx, &http.Server{Handler: http.NotFoundHandler()}, l, func(s *http.Server) error {
+		ended <- httpd.Until(ctx, &http.Server{Handler: http.NotFoundHandler()}, listener, func(s *http.Server) error {
 			return errors.Join(errStopped, s.Close())
 		})
 	}()
-	resp, err := http.Get("http://" + l.Addr().String())
+	resp, err := http.Get("http://" + listener.Addr().String())
 	assert.NilError(t, err)
 	assert.NilError(t, resp.Body.Close())
 	cancel()
 	assert.ErrorIs(t, <-ended, errStopped)
-	err = httpd.Until(t.Context(), &http.Server{Handler: http.NotFoundHandler()}, l, func(*http.Server) error { return errStopped })
+	err = httpd.Until(t.Context(), &http.Server{Handler: http.NotFoundHandler()}, listener, func(*http.Server) error { return errStopped })
 	assert.ErrorContains(t, err, "use of closed network connection")
 }
