--- a/core/cmds/exposure_measure_test.go
+++ b/core/cmds/exposure_measure_test.go
@@ -66,7 +66,7 @@
 // rollOutWatch returns the tests of a roll-out as the commands set them up.
 func (c scenario) rollOutWatch() detector {
 	r := document().RollOuts[0]
-	w := initialState().Watch(r).Tests
+	w := initialState().RollOutTests(r).Tests
 	return func(bad bool) bool {
 		n := 0
 		if bad {
--- a/core/cmds/heard.go
+++ b/core/cmds/heard.go
@@ -8,22 +8,22 @@
 	"endivehitch/core/value"
 )
 
-// Heard merges a gossip message of another instance.
-type Heard struct {
+// ReceiveMessage merges a gossip message of another instance.
+type ReceiveMessage struct {
 	// From is the sender's own state.
 	From value.Instance
-	// News holds the sender's updates on other instances.
-	News []value.Instance
-	// Roll reports that News is the sender's complete membership list. Such a list only adds unknown
+	// Updates holds the sender's updates on other instances.
+	Updates []value.Instance
+	// IsMembershipList reports that News is the sender's complete membership list. Such a list only adds unknown
 	// instances, and these are not disseminated.
-	Roll bool
+	IsMembershipList bool
 }
 
 // Apply merges the message; it is idempotent, so that a duplicated or late message does no harm.
-func (c Heard) Apply(s state.State, now time.Time) (state.State, []state.Effect) {
+func (c ReceiveMessage) Apply(s state.State, now time.Time) (state.State, []state.Effect) {
 	var effects []state.Effect
-	for _, update := range c.News {
-		if c.Roll {
+	for _, update := range c.Updates {
+		if c.IsMembershipList {
 			s = addIfUnknown(s, update, now)
 			continue
 		}
@@ -36,7 +36,7 @@
 	s = recordContact(s, c.From, now)
 	if c.From.Revision > s.Self.Revision {
 		s = s.WithNewest(c.From.Revision, now)
-		effects = append(effects, state.Behind{Revision: c.From.Revision, Source: c.From})
+		effects = append(effects, state.FetchConfig{Revision: c.From.Revision, Source: c.From})
 	}
 	return s, effects
 }
@@ -47,9 +47,9 @@
 	if !ok || from.ID == s.Self.ID {
 		return s
 	}
-	known = known.WithSeen(now)
+	known = known.WithLastContact(now)
 	if from.Revision >= known.Revision {
-		known = known.WithRevision(from.Revision).WithDigest(from.Digest).WithLagging(from.Lagging)
+		known = known.WithRevision(from.Revision).WithDigest(from.Digest).WithLaggingSince(from.LaggingSince)
 	}
 	return s.WithInstance(known)
 }
@@ -79,7 +79,7 @@
 
 // withoutObservations discards the sender's own observations of the instance; its state counts from now.
 func withoutObservations(update value.Instance, now time.Time) value.Instance {
-	return update.WithSince(now).WithSeen(time.Time{}).WithListed(false)
+	return update.WithSince(now).WithLastContact(time.Time{}).WithListed(false)
 }
 
 // refute raises this instance's incarnation where an update reports a worse state than its own.
@@ -90,13 +90,13 @@
 	// Every message of this instance carries its own state, so the new incarnation needs no separate
 	// dissemination.
 	return s.WithSelf(s.Self.WithIncarnation(update.Incarnation + 1)), []state.Effect{
-		state.Decided{What: "SuspicionRefuted", Subject: string(s.Self.ID), Reason: value.Reason(update.State)},
+		state.RecordDecision{Event: "SuspicionRefuted", Subject: string(s.Self.ID), Reason: value.Reason(update.State)},
 	}
 }
 
 // updateAndDisseminate sets the instance's new state and makes it an update for gossip to send.
 func updateAndDisseminate(s state.State, i value.Instance) (state.State, []state.Effect) {
 	s = s.WithInstance(i)
-	s = s.WithPendingUpdate(i.ID, fleet.RumourTimes(s.Instances().Len()))
-	return s, []state.Effect{state.Decided{What: "Instance" + string(i.State), Subject: string(i.ID)}}
+	s = s.WithPendingUpdate(i.ID, fleet.TransmitCount(s.Instances().Len()))
+	return s, []state.Effect{state.RecordDecision{Event: "Instance" + string(i.State), Subject: string(i.ID)}}
 }
--- a/core/cmds/install.go
+++ b/core/cmds/install.go
@@ -9,7 +9,7 @@
 
 // InstallConfig puts a document in force if it is newer than the present one.
 type InstallConfig struct {
-	Accepted value.Accepted
+	Accepted value.AcceptedDocument
 }
 
 // Apply ignores a document that is not newer than the one in force, so that an outdated read from the
@@ -19,15 +19,15 @@
 	if len(effects) == 0 {
 		return s, nil
 	}
-	return next, append(effects, state.Announce{Config: c.Accepted})
+	return next, append(effects, state.AnnounceConfig{Config: c.Accepted})
 }
 
 // installDocument puts a newer document in force; announcing it is left to the caller.
-func installDocument(s state.State, a value.Accepted) (state.State, []state.Effect) {
+func installDocument(s state.State, a value.AcceptedDocument) (state.State, []state.Effect) {
 	if a.Revision <= s.Config.Revision {
 		return s, nil
 	}
 	return s.WithConfig(a), []state.Effect{
-		state.Decided{What: "ConfigInstalled", Subject: a.Digest},
+		state.RecordDecision{Event: "ConfigInstalled", Subject: a.Digest},
 	}
 }
--- a/core/cmds/instances.go
+++ b/core/cmds/instances.go
@@ -30,7 +30,7 @@
 		effects = append(effects, more...)
 	}
 	if added := s.Instances().Len() - before; added > 0 {
-		effects = append(effects, state.Decided{What: "InstancesListed", Subject: strconv.Itoa(added)})
+		effects = append(effects, state.RecordDecision{Event: "InstancesListed", Subject: strconv.Itoa(added)})
 	}
 	for id, i := range s.Instances().All() {
 		if i.Listed && !listed[id] {
--- a/core/cmds/leave.go
+++ b/core/cmds/leave.go
@@ -15,7 +15,7 @@
 		return s, nil
 	}
 	return s.WithLeaving(), []state.Effect{
-		state.Decided{What: "InstanceLeaving", Subject: string(s.Self.ID)},
-		state.Farewell{},
+		state.RecordDecision{Event: "InstanceLeaving", Subject: string(s.Self.ID)},
+		state.SendDepartureNotice{},
 	}
 }
--- a/core/cmds/measure_test.go
+++ b/core/cmds/measure_test.go
@@ -32,7 +32,7 @@
 			s := stateWithInstances(n)
 			stateKB := float64(heap()-before) / 1024
 			i, _ := s.Instance("7f2c19e4-00000003")
-			message := cmds.Heard{From: i}
+			message := cmds.ReceiveMessage{From: i}
 			for b.Loop() {
 				next, _ := message.Apply(s, start)
 				query.View(next, timing, start)
--- a/core/cmds/rating.go
+++ b/core/cmds/rating.go
@@ -31,7 +31,7 @@
 		effects = append(effects, more...)
 	}
 	for _, k := range kinds {
-		s = s.WithMenu(k)
+		s = s.WithCandidates(k)
 	}
 	return s, effects
 }
--- a/core/cmds/replaced.go
+++ b/core/cmds/replaced.go
@@ -8,13 +8,13 @@
 	"endivehitch/core/value"
 )
 
-// Replaced records that another process answers at an instance's address, so that the instance is gone.
-type Replaced struct {
+// MarkReplaced records that another process answers at an instance's address, so that the instance is gone.
+type MarkReplaced struct {
 	ID value.InstanceID
 }
 
 // Apply marks the instance as gone; it is idempotent.
-func (c Replaced) Apply(s state.State, now time.Time) (state.State, []state.Effect) {
+func (c MarkReplaced) Apply(s state.State, now time.Time) (state.State, []state.Effect) {
 	known, ok := s.Instance(c.ID)
 	if !ok || known.State == value.InstanceGone || c.ID == s.Self.ID {
 		return s, nil
--- a/core/cmds/rollout_advance.go
+++ b/core/cmds/rollout_advance.go
@@ -28,7 +28,7 @@
 	if position.Stage != c.Stage {
 		return s, logRefusal(c.Name, "roll-out has left that stage")
 	}
-	p, err := c.nextProgress(r, position, steps.Seen{Ratings: s.Watch(r).Ratings}, now)
+	p, err := c.nextProgress(r, position, steps.StageMeasurements{Ratings: s.RollOutTests(r).Ratings}, now)
 	if err != nil {
 		return s, logRefusal(c.Name, err.Error())
 	}
@@ -38,9 +38,9 @@
 	return applyProgress(s, p, "RollOutAdvanced")
 }
 
-func (c AdvanceRollOut) nextProgress(r value.RollOut, p value.Progress, observed steps.Seen, now time.Time) (value.Progress, error) {
+func (c AdvanceRollOut) nextProgress(r value.RollOut, p value.Progress, observed steps.StageMeasurements, now time.Time) (value.Progress, error) {
 	if c.Forced {
-		return steps.Skip(r, p, now)
+		return steps.ForceAdvance(r, p, now)
 	}
 	return steps.Advance(r, p, observed, now)
 }
--- a/core/cmds/rollout_install.go
+++ b/core/cmds/rollout_install.go
@@ -24,6 +24,6 @@
 		return s, nil
 	}
 	return s.WithProgress(p), []state.Effect{
-		state.Decided{What: "RollOutInstalled", Subject: string(p.Name), Reason: value.Reason(p.Reason), Detail: string(p.Phase)},
+		state.RecordDecision{Event: "RollOutInstalled", Subject: string(p.Name), Reason: value.Reason(p.Reason), Detail: string(p.Phase)},
 	}
 }
--- a/core/cmds/rollout_runs.go
+++ b/core/cmds/rollout_runs.go
@@ -7,21 +7,21 @@
 	"endivehitch/core/value"
 )
 
-// ObserveRuns adds finished attempts to the tests of the roll-outs whose new versions they used.
-type ObserveRuns struct {
-	Runs []value.Runs
+// ObserveAttempts adds finished attempts to the tests of the roll-outs whose new versions they used.
+type ObserveAttempts struct {
+	Counts []value.AttemptCounts
 }
 
 // Apply withdraws a version if its attempts break a limit of its roll-out.
-func (c ObserveRuns) Apply(s state.State, now time.Time) (state.State, []state.Effect) {
+func (c ObserveAttempts) Apply(s state.State, now time.Time) (state.State, []state.Effect) {
 	var effects []state.Effect
-	for _, runs := range c.Runs {
+	for _, runs := range c.Counts {
 		r, ok := s.RollOutTo(runs.Version)
 		if !ok {
 			continue
 		}
 		var more []state.Effect
-		s, more = withdrawOnAlarm(s.WithRuns(r, runs), r, now)
+		s, more = withdrawOnAlarm(s.WithAttemptCounts(r, runs), r, now)
 		effects = append(effects, more...)
 	}
 	return s, effects
@@ -29,9 +29,9 @@
 
 // withdrawOnAlarm withdraws the roll-out's new version if its tests raise an alarm.
 func withdrawOnAlarm(s state.State, r value.RollOut, now time.Time) (state.State, []state.Effect) {
-	reason, alarm := s.Watch(r).Tests.Alarm()
+	reason, alarm := s.RollOutTests(r).Tests.Alarm()
 	// All instances receive the same ratings; only the owner of the version's hash slot withdraws it.
-	if !alarm || !s.Watches(r.ToKey()) {
+	if !alarm || !s.DecidesWithdrawal(r.ToKey()) {
 		return s, nil
 	}
 	return WithdrawVersion{Version: r.ToKey(), Reason: reason}.Apply(s, now)
--- a/core/cmds/rollout_start.go
+++ b/core/cmds/rollout_start.go
@@ -34,11 +34,11 @@
 // applyProgress puts a roll-out's next position in force and has it stored.
 func applyProgress(s state.State, p value.Progress, event string) (state.State, []state.Effect) {
 	return s.WithProgress(p), []state.Effect{
-		state.Decided{What: event, Subject: string(p.Name), Reason: value.Reason(p.Reason)},
-		state.KeepProgress{Progress: p},
+		state.RecordDecision{Event: event, Subject: string(p.Name), Reason: value.Reason(p.Reason)},
+		state.StoreProgress{Progress: p},
 	}
 }
 
 func logRefusal(n value.RollOutName, detail string) []state.Effect {
-	return []state.Effect{state.Decided{What: "RollOutRefused", Subject: string(n), Detail: detail}}
+	return []state.Effect{state.RecordDecision{Event: "RollOutRefused", Subject: string(n), Detail: detail}}
 }
--- a/core/cmds/rollout_test.go
+++ b/core/cmds/rollout_test.go
@@ -40,7 +40,7 @@
 }
 
 func install(s state.State, d value.Document, revision int64) state.State {
-	next, _ := cmds.InstallConfig{Accepted: value.Accepted{Document: d, Revision: revision}}.Apply(s, testTime)
+	next, _ := cmds.InstallConfig{Accepted: value.AcceptedDocument{Document: d, Revision: revision}}.Apply(s, testTime)
 	return next
 }
 
@@ -74,7 +74,7 @@
 		r := value.Request{Account: account, Kind: "quote", Session: value.SessionID(fmt.Sprint(i)), Pinned: pin, Deadline: testTime.Add(time.Hour)}
 		a, err := query.Admit(s, r, testTime)
 		assert.NilError(t, err)
-		p, err := query.Choose(s, a, r, testTime)
+		p, err := query.ChoosePlan(s, a, r, testTime)
 		assert.NilError(t, err)
 		if p.Last() == newKey {
 			n++
@@ -116,12 +116,12 @@
 
 func TestFailedAttemptsWithdrawTheVersion(t *testing.T) {
 	s, _ := applyAll(initialState(), testTime, cmds.StartRollOut{Name: rollOut})
-	s, effects := applyAll(s, testTime, cmds.ObserveRuns{Runs: []value.Runs{{Version: newKey, Total: 40, Failed: 12}}})
+	s, effects := applyAll(s, testTime, cmds.ObserveAttempts{Counts: []value.AttemptCounts{{Version: newKey, Total: 40, Failed: 12}}})
 	assert.Equal(t, phaseOf(s), value.PhaseWithdrawn)
 	assert.Equal(t, newVersionSessions(t, s, "gates", ""), 0)
 	assert.Equal(t, newVersionSessions(t, s, "gates", newKey), 0, "a withdrawn version got new work of its session")
-	assert.Equal(t, effects[0], state.Decided{What: "VersionWithdrawn", Subject: string(newKey), Reason: value.ReasonErrorRate})
-	_, again := applyAll(s, testTime, cmds.ObserveRuns{Runs: []value.Runs{{Version: newKey, Total: 40, Failed: 12}}})
+	assert.Equal(t, effects[0], state.RecordDecision{Event: "VersionWithdrawn", Subject: string(newKey), Reason: value.ReasonErrorRate})
+	_, again := applyAll(s, testTime, cmds.ObserveAttempts{Counts: []value.AttemptCounts{{Version: newKey, Total: 40, Failed: 12}}})
 	assert.Equal(t, len(again), 0)
 }
 
@@ -189,7 +189,7 @@
 	s, effects := applyAll(s, testTime, cmds.InstallWithdrawal{Withdrawal: value.Withdrawal{Version: newKey, Reason: value.ReasonQuality}})
 	assert.Equal(t, phaseOf(s), value.PhaseWithdrawn)
 	for _, e := range effects {
-		_, decided := e.(state.Decided)
+		_, decided := e.(state.RecordDecision)
 		assert.Assert(t, decided, "an installed withdrawal must not be stored again: %T", e)
 	}
 }
--- a/core/cmds/rollout_withdraw.go
+++ b/core/cmds/rollout_withdraw.go
@@ -22,8 +22,8 @@
 	}
 	w := value.Withdrawal{Version: c.Version, Reason: c.Reason, At: now}
 	effects := []state.Effect{
-		state.Decided{What: "VersionWithdrawn", Subject: string(c.Version), Reason: c.Reason},
-		state.KeepWithdrawal{Withdrawal: w},
+		state.RecordDecision{Event: "VersionWithdrawn", Subject: string(c.Version), Reason: c.Reason},
+		state.StoreWithdrawal{Withdrawal: w},
 	}
 	for _, position := range s.Positions(c.Version) {
 		p, err := steps.Withdraw(position, c.Reason, now)
@@ -32,7 +32,7 @@
 			continue
 		}
 		s = s.WithProgress(p)
-		effects = append(effects, state.KeepProgress{Progress: p})
+		effects = append(effects, state.StoreProgress{Progress: p})
 	}
 	return s.WithWithdrawal(w), effects
 }
@@ -52,7 +52,7 @@
 // instances of a large fleet would otherwise write to the key-value service at the same time.
 func onlyLogEffects(effects []state.Effect) []state.Effect {
 	return slices.DeleteFunc(effects, func(e state.Effect) bool {
-		_, decided := e.(state.Decided)
+		_, decided := e.(state.RecordDecision)
 		return !decided
 	})
 }
--- a/core/cmds/servers.go
+++ b/core/cmds/servers.go
@@ -29,7 +29,7 @@
 			continue
 		}
 		changed = append(changed, b.WithState(b.State, now))
-		effects = append(effects, state.Decided{What: "Server" + string(b.State), Subject: string(b.ID)})
+		effects = append(effects, state.RecordDecision{Event: "Server" + string(b.State), Subject: string(b.ID)})
 	}
 	var removed []value.ServerID
 	if known == s.Servers().Len() {
@@ -40,7 +40,7 @@
 			continue
 		}
 		removed = append(removed, id)
-		effects = append(effects, state.Decided{What: "ServerGone", Subject: string(id)})
+		effects = append(effects, state.RecordDecision{Event: "ServerGone", Subject: string(id)})
 	}
 	return s.WithServers(changed, removed), effects
 }
--- a/core/cmds/spread.go
+++ b/core/cmds/spread.go
@@ -17,11 +17,11 @@
 	ReasonUndecodable value.Reason = "Undecodable"
 )
 
-// Spread puts the changes of the configuration up to a revision in force.
-type Spread struct {
+// InstallRevision puts the changes of the configuration up to a revision in force.
+type InstallRevision struct {
 	Revision int64
 	// Accepted is the document, or the zero value if it did not change.
-	Accepted value.Accepted
+	Accepted value.AcceptedDocument
 	// RollOuts are the changed positions of roll-outs.
 	RollOuts []value.Progress
 	// Withdrawals are the withdrawn versions.
@@ -32,50 +32,50 @@
 
 // Apply ignores a revision that is not newer than the one in force, so that an outdated read from the
 // key-value service or a peer never reverts the instance.
-func (c Spread) Apply(s state.State, now time.Time) (state.State, []state.Effect) {
+func (c InstallRevision) Apply(s state.State, now time.Time) (state.State, []state.Effect) {
 	if c.Revision == s.Self.Revision {
 		return s, nil
 	}
 	subject := strconv.FormatInt(c.Revision, 10)
 	if c.Revision < s.Self.Revision {
-		return s, []state.Effect{state.Decided{What: "ConfigIgnored", Subject: subject, Reason: ReasonOlderRevision}}
+		return s, []state.Effect{state.RecordDecision{Event: "ConfigIgnored", Subject: subject, Reason: ReasonOlderRevision}}
 	}
 	s, effects := installDocument(s, c.Accepted)
 	s, more := c.installRollOuts(s, now)
 	effects = append(effects, more...)
 	s = c.installRevision(s, now)
 	if c.Rejected {
-		effects = append(effects, state.Decided{What: "ConfigRejected", Subject: subject, Reason: ReasonUndecodable})
+		effects = append(effects, state.RecordDecision{Event: "ConfigRejected", Subject: subject, Reason: ReasonUndecodable})
 	}
 	return s, append(effects,
-		state.Decided{What: "RevisionInForce", Subject: subject},
-		state.Announce{Config: s.Config},
+		state.RecordDecision{Event: "RevisionInForce", Subject: subject},
+		state.AnnounceConfig{Config: s.Config},
 	)
 }
 
 // installRevision sets the revision in force. After a rejection the instance counts as lagging until a
 // later document is in force.
-func (c Spread) installRevision(s state.State, now time.Time) state.State {
-	lagging := s.Self.Lagging
+func (c InstallRevision) installRevision(s state.State, now time.Time) state.State {
+	lagging := s.Self.LaggingSince
 	s = s.WithRevision(c.Revision)
 	switch {
 	case c.Rejected:
 		s = s.WithRejected(c.Revision)
-	case c.Accepted.Revision > s.Rejected:
+	case c.Accepted.Revision > s.RejectedRevision:
 		s = s.WithRejected(0)
 	}
-	if s.Rejected == 0 {
+	if s.RejectedRevision == 0 {
 		return s
 	}
 	if lagging.IsZero() {
 		lagging = now
 	}
-	return s.WithSelf(s.Self.WithLagging(lagging))
+	return s.WithSelf(s.Self.WithLaggingSince(lagging))
 }
 
 // installRollOuts applies the positions and withdrawals by their own rules for precedence, because this
 // instance may have newer ones already.
-func (c Spread) installRollOuts(s state.State, now time.Time) (state.State, []state.Effect) {
+func (c InstallRevision) installRollOuts(s state.State, now time.Time) (state.State, []state.Effect) {
 	var effects, more []state.Effect
 	for _, p := range c.RollOuts {
 		s, more = InstallProgress{Progress: p}.Apply(s, now)
--- a/core/cmds/tick.go
+++ b/core/cmds/tick.go
@@ -16,10 +16,10 @@
 // Apply restarts all suspicion time-outs after a pause of this instance, because it may have missed
 // refutations meanwhile.
 func (c Tick) Apply(s state.State, now time.Time) (state.State, []state.Effect) {
-	paused := c.Timing.Paused(s.LastTick, now)
+	paused := c.Timing.WasPaused(s.LastTick, now)
 	s = s.WithTick(now)
 	var effects []state.Effect
-	for id := range s.Unsettled().All() {
+	for id := range s.NotLive().All() {
 		i, ok := s.Instance(id)
 		if !ok || id == s.Self.ID {
 			continue
@@ -37,7 +37,7 @@
 
 // applyTimeouts removes the instance or moves it to the state that follows, if its time-out is over.
 func (c Tick) applyTimeouts(s state.State, i value.Instance, now time.Time) (state.State, []state.Effect) {
-	if c.Timing.Forgets(i, now) {
+	if c.Timing.IsForgettable(i, now) {
 		return s.WithoutInstance(i.ID), nil
 	}
 	next, ok := c.Timing.Expired(i, s.Instances().Len(), now)
--- a/core/fleet/lease_test.go
+++ b/core/fleet/lease_test.go
@@ -12,22 +12,22 @@
 func TestHolderMayNotActAfterItsTermHasEnded(t *testing.T) {
 	rule := fleet.DefaultLeaseRule()
 	sent := time.Unix(1000, 0)
-	tenure := fleet.NewTenure(rule, 5, sent)
+	tenure := fleet.NewHeldLease(rule, 5, sent)
 	end := sent.Add(rule.Length - rule.Margin)
 	assert.Assert(t, tenure.Valid(end.Add(-1)))
 	assert.Assert(t, !tenure.Valid(end))
-	assert.Assert(t, tenure.MayOrder(rule, end.Add(-rule.Order-1)))
-	assert.Assert(t, !tenure.MayOrder(rule, end.Add(-rule.Order)))
+	assert.Assert(t, tenure.CanSendOrder(rule, end.Add(-rule.MaxOrderTime-1)))
+	assert.Assert(t, !tenure.CanSendOrder(rule, end.Add(-rule.MaxOrderTime)))
 	assert.Assert(t, !tenure.WithEnd().Valid(sent))
 }
 
 func TestRenewalExtendsTheTermFromItsSendTimeUnlessLate(t *testing.T) {
 	rule := fleet.DefaultLeaseRule()
 	sent := time.Unix(1000, 0)
-	tenure := fleet.NewTenure(rule, 5, sent)
+	tenure := fleet.NewHeldLease(rule, 5, sent)
 	renewal := sent.Add(rule.Renew)
 	renewed := tenure.WithRenewal(rule, renewal, rule.Length, renewal.Add(time.Second))
-	assert.Equal(t, renewed.Left(renewal), rule.Length-rule.Margin)
+	assert.Equal(t, renewed.Remaining(renewal), rule.Length-rule.Margin)
 	late := tenure.WithRenewal(rule, renewal, rule.Length, sent.Add(rule.Length))
 	assert.Assert(t, !late.Valid(renewal.Add(rule.Length-rule.Margin-1)))
 }
--- a/core/fleet/member.go
+++ b/core/fleet/member.go
@@ -14,19 +14,19 @@
 	Period time.Duration
 	// Timeout is how long a direct or an indirect probe waits for its answer.
 	Timeout time.Duration
-	// Helpers is how many other instances are asked to probe one that did not answer (indirect probes).
-	Helpers int
-	// View is the number of instances that an instance probes and pushes to; the choice rotates.
-	View int
+	// IndirectProbes is how many other instances are asked to probe one that did not answer (indirect probes).
+	IndirectProbes int
+	// ViewSize is the number of instances that an instance probes and pushes to; the choice rotates.
+	ViewSize int
 	// Rotation is the time after which an instance chooses another view.
 	Rotation time.Duration
-	// Forget is how long an instance is remembered after it has departed.
-	Forget time.Duration
-	// Batch is the highest number of instances that one message has updates of.
-	Batch int
-	// Reconnect is the average number of probes for each probe of a departed instance that is still
+	// Retention is how long an instance is remembered after it has departed.
+	Retention time.Duration
+	// MaxUpdates is the highest number of instances that one message has updates of.
+	MaxUpdates int
+	// ProbesPerReconnect is the average number of probes for each probe of a departed instance that is still
 	// listed.
-	Reconnect int
+	ProbesPerReconnect int
 	// Fanout is how many instances are notified at once of a new configuration.
 	Fanout int
 	// Readers is how many instances of each failure domain watch the key-value store.
@@ -36,16 +36,16 @@
 // DefaultTiming returns the pace that the calculations on the capacity page are based on.
 func DefaultTiming() Timing {
 	return Timing{
-		Period:    time.Second,
-		Timeout:   300 * time.Millisecond,
-		Helpers:   3,
-		View:      16,
-		Rotation:  10 * time.Minute,
-		Forget:    10 * time.Minute,
-		Batch:     16,
-		Reconnect: 10,
-		Fanout:    4,
-		Readers:   2,
+		Period:             time.Second,
+		Timeout:            300 * time.Millisecond,
+		IndirectProbes:     3,
+		ViewSize:           16,
+		Rotation:           10 * time.Minute,
+		Retention:          10 * time.Minute,
+		MaxUpdates:         16,
+		ProbesPerReconnect: 10,
+		Fanout:             4,
+		Readers:            2,
 	}
 }
 
@@ -60,16 +60,16 @@
 	return time.Duration(suspicionPeriods * decades * float64(t.Period))
 }
 
-// Paused reports whether the time between two successive checks is so long that this instance's own
+// WasPaused reports whether the time between two successive checks is so long that this instance's own
 // process must have been paused.
-func (t Timing) Paused(last, now time.Time) bool {
+func (t Timing) WasPaused(last, now time.Time) bool {
 	const missedPeriods = 3
 	return !last.IsZero() && now.Sub(last) > missedPeriods*t.Period
 }
 
-// Overslept reports whether a probe, with its direct and its indirect attempt, took so much longer than
+// WasPausedDuringProbe reports whether a probe, with its direct and its indirect attempt, took so much longer than
 // its timeouts that the probing instance was paused, which says nothing about the probed one.
-func (t Timing) Overslept(begun, now time.Time) bool {
+func (t Timing) WasPausedDuringProbe(begun, now time.Time) bool {
 	const timeouts = 2
 	return now.Sub(begun) > timeouts*t.Timeout+t.Period
 }
@@ -77,8 +77,8 @@
 // retransmitFactor makes it likely that an update reaches every instance.
 const retransmitFactor = 3
 
-// RumourTimes returns how many times an instance transmits an update in a fleet of the given size.
-func RumourTimes(instances int) int {
+// TransmitCount returns how many times an instance transmits an update in a fleet of the given size.
+func TransmitCount(instances int) int {
 	return retransmitFactor * bits.Len(uint(instances))
 }
 
@@ -126,12 +126,12 @@
 	case value.InstanceSuspected:
 		return value.InstanceGone, age >= t.SuspicionTimeout(instances)
 	case value.InstanceLeaving:
-		return value.InstanceGone, !instance.Listed && age >= t.Forget
+		return value.InstanceGone, !instance.Listed && age >= t.Retention
 	}
 	return instance.State, false
 }
 
-// Forgets reports whether the instance may be removed from the membership list.
-func (t Timing) Forgets(instance value.Instance, now time.Time) bool {
-	return instance.State == value.InstanceGone && !instance.Listed && now.Sub(instance.Since) >= t.Forget
+// IsForgettable reports whether the instance may be removed from the membership list.
+func (t Timing) IsForgettable(instance value.Instance, now time.Time) bool {
+	return instance.State == value.InstanceGone && !instance.Listed && now.Sub(instance.Since) >= t.Retention
 }
--- a/core/fleet/member_test.go
+++ b/core/fleet/member_test.go
@@ -48,16 +48,16 @@
 func TestPauseOfTheProberIsDetected(t *testing.T) {
 	timing := fleet.DefaultTiming()
 	begun := time.Unix(1000, 0)
-	assert.Assert(t, !timing.Overslept(begun, begun.Add(3*timing.Timeout)))
-	assert.Assert(t, timing.Overslept(begun, begun.Add(time.Minute)))
-	assert.Assert(t, !timing.Paused(begun, begun.Add(2*timing.Period)))
-	assert.Assert(t, timing.Paused(begun, begun.Add(time.Minute)))
-	assert.Assert(t, !timing.Paused(time.Time{}, begun))
+	assert.Assert(t, !timing.WasPausedDuringProbe(begun, begun.Add(3*timing.Timeout)))
+	assert.Assert(t, timing.WasPausedDuringProbe(begun, begun.Add(time.Minute)))
+	assert.Assert(t, !timing.WasPaused(begun, begun.Add(2*timing.Period)))
+	assert.Assert(t, timing.WasPaused(begun, begun.Add(time.Minute)))
+	assert.Assert(t, !timing.WasPaused(time.Time{}, begun))
 }
 
 func TestSuspicionTimeoutAndRetransmitsGrowWithTheFleet(t *testing.T) {
 	timing := fleet.DefaultTiming()
 	assert.Equal(t, timing.SuspicionTimeout(7), 4*time.Second)
 	assert.Equal(t, timing.SuspicionTimeout(1000), 12*time.Second)
-	assert.Assert(t, fleet.RumourTimes(2300) > fleet.RumourTimes(7))
+	assert.Assert(t, fleet.TransmitCount(2300) > fleet.TransmitCount(7))
 }
--- a/core/ledger/decide.go
+++ b/core/ledger/decide.go
@@ -4,7 +4,7 @@
 // and whether the journal must be written before the verdicts may be acted on.
 //
 // Expiry alone does not require a write, since the next Decide computes it again.
-func (j Journal) Decide(ops []Op, rule Rule, setting Setting) (Journal, []Verdict, bool) {
+func (j Journal) Decide(ops []Op, rule JournalRule, setting DecisionInputs) (Journal, []Verdict, bool) {
 	next := j.withTimeouts(rule, setting)
 	verdicts := make([]Verdict, len(ops))
 	changed := false
@@ -16,7 +16,7 @@
 	return next, verdicts, changed
 }
 
-func (j Journal) apply(op Op, rule Rule, setting Setting) (Journal, Verdict, bool) {
+func (j Journal) apply(op Op, rule JournalRule, setting DecisionInputs) (Journal, Verdict, bool) {
 	r, known := j.Get(op.ID)
 	if op.Verb == VerbClaim {
 		return j.claim(op, r, known, rule, setting)
@@ -37,31 +37,31 @@
 
 // afterHolderOp returns the record after an operation with the record's own token, and whether the
 // record has changed; a finished or released record does not change any more.
-func afterHolderOp(r Record, op Op, rule Rule, setting Setting) (Record, bool) {
+func afterHolderOp(r Record, op Op, rule JournalRule, setting DecisionInputs) (Record, bool) {
 	if r.State == RunFinished || r.State == RunReleased {
 		return r, false
 	}
 	switch op.Verb {
 	case VerbFinish:
 		answer := op.Answer
-		if len(answer.Body) > rule.AnswerBytes {
+		if len(answer.Body) > rule.MaxAnswerBytes {
 			answer = answer.WithoutBody()
 		}
 		return r.WithState(RunFinished, setting.Now).WithAnswer(answer), true
 	case VerbRelease:
 		return r.WithState(RunReleased, setting.Now), true
-	case VerbDoubt:
+	case VerbMarkInDoubt:
 		return r.WithState(RunInDoubt, setting.Now), r.State != RunInDoubt
 	}
 	return r, false
 }
 
 // claim grants the claim only where no earlier execution of the call may have been dispatched.
-func (j Journal) claim(op Op, r Record, known bool, rule Rule, setting Setting) (Journal, Verdict, bool) {
+func (j Journal) claim(op Op, r Record, known bool, rule JournalRule, setting DecisionInputs) (Journal, Verdict, bool) {
 	if !known || (r.State == RunReleased && r.Token != op.Token) {
 		return j.grant(op, rule, setting)
 	}
-	if r.Kind != op.Kind || r.Question != op.Question {
+	if r.Kind != op.Kind || r.RequestHash != op.RequestHash {
 		return j, Verdict{Outcome: OutcomeReused, Record: r}, false
 	}
 	switch {
@@ -81,35 +81,35 @@
 // claim is not granted when it arrives later. The record is added even after the claim's deadline,
 // because the write that adds the claim may still be in progress; that write fails once the journal has
 // another revision.
-func (j Journal) recordRelease(op Op, rule Rule, setting Setting) (Journal, Verdict, bool) {
+func (j Journal) recordRelease(op Op, rule JournalRule, setting DecisionInputs) (Journal, Verdict, bool) {
 	r := newRecord(op, setting).WithState(RunReleased, setting.Now)
 	next := j.withRecordFitted(r, rule)
-	if next.Size() > rule.Bytes {
+	if next.Size() > rule.MaxBytes {
 		return j, Verdict{Outcome: OutcomeSettled}, false
 	}
 	return next, Verdict{Outcome: OutcomeSettled, Record: r}, true
 }
 
-func newRecord(op Op, setting Setting) Record {
+func newRecord(op Op, setting DecisionInputs) Record {
 	return Record{
-		ID:       op.ID,
-		Kind:     op.Kind,
-		Question: op.Question,
-		Token:    op.Token,
-		Holder:   op.Holder,
-		State:    RunIntended,
-		Since:    setting.Now,
-		Until:    op.Until,
+		ID:          op.ID,
+		Kind:        op.Kind,
+		RequestHash: op.RequestHash,
+		Token:       op.Token,
+		Holder:      op.Holder,
+		State:       RunIntended,
+		Since:       setting.Now,
+		Until:       op.Until,
 	}
 }
 
-func (j Journal) grant(op Op, rule Rule, setting Setting) (Journal, Verdict, bool) {
+func (j Journal) grant(op Op, rule JournalRule, setting DecisionInputs) (Journal, Verdict, bool) {
 	if !op.Until.After(setting.Now) {
 		return j, Verdict{Outcome: OutcomeLate}, false
 	}
 	r := newRecord(op, setting)
 	next := j.withRecordFitted(r, rule)
-	if next.Size() > rule.Bytes {
+	if next.Size() > rule.MaxBytes {
 		return j, Verdict{Outcome: OutcomeFull}, false
 	}
 	return next, Verdict{Outcome: OutcomeGranted, Record: r}, true
--- a/core/ledger/journal.go
+++ b/core/ledger/journal.go
@@ -7,26 +7,26 @@
 	"endivehitch/core/value"
 )
 
-// Rule bounds the size of a journal and the lifetime of its records.
-type Rule struct {
-	// Keep is how long a finished or in-doubt record is retained; afterwards the same key may be used
+// JournalRule bounds the size of a journal and the lifetime of its records.
+type JournalRule struct {
+	// Retention is how long a finished or in-doubt record is retained; afterwards the same key may be used
 	// for a new call.
-	Keep time.Duration
-	// Wait is how long an execution counts as running after its deadline, or since its claim if the
+	Retention time.Duration
+	// AbandonAfter is how long an execution counts as running after its deadline, or since its claim if the
 	// holder has departed, and how long a released record is retained; it must exceed the clock skew
 	// between instances.
-	Wait time.Duration
-	// Bytes is the maximum size of the journal's stored form.
-	Bytes int
-	// AnswerBytes is the maximum size of an answer's body that is stored.
-	AnswerBytes int
+	AbandonAfter time.Duration
+	// MaxBytes is the maximum size of the journal's stored form.
+	MaxBytes int
+	// MaxAnswerBytes is the maximum size of an answer's body that is stored.
+	MaxAnswerBytes int
 }
 
-// Setting holds the inputs of a decision other than the journal.
-type Setting struct {
+// DecisionInputs holds the inputs of a decision other than the journal.
+type DecisionInputs struct {
 	Now time.Time
-	// Gone reports whether an instance has permanently departed.
-	Gone func(value.InstanceID) bool
+	// HasDeparted reports whether an instance has permanently departed.
+	HasDeparted func(value.InstanceID) bool
 }
 
 // Journal is the immutable collection of the records of one hash slot's calls; the zero value is empty.
--- a/core/ledger/journal_test.go
+++ b/core/ledger/journal_test.go
@@ -14,11 +14,11 @@
 
 var (
 	start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	rule  = ledger.Rule{Keep: time.Hour, Wait: 10 * time.Second, Bytes: 8 << 10, AnswerBytes: 1 << 10}
+	rule  = ledger.JournalRule{Retention: time.Hour, AbandonAfter: 10 * time.Second, MaxBytes: 8 << 10, MaxAnswerBytes: 1 << 10}
 )
 
-func settingAt(d time.Duration, departed ...value.InstanceID) ledger.Setting {
-	return ledger.Setting{Now: start.Add(d), Gone: func(id value.InstanceID) bool {
+func settingAt(d time.Duration, departed ...value.InstanceID) ledger.DecisionInputs {
+	return ledger.DecisionInputs{Now: start.Add(d), HasDeparted: func(id value.InstanceID) bool {
 		for _, g := range departed {
 			if g == id {
 				return true
@@ -31,12 +31,12 @@
 func claim(key, token string, holder value.InstanceID) ledger.Op {
 	return ledger.Op{
 		Verb: ledger.VerbClaim, ID: ledger.NewCallID("ward-12", value.IdempotencyKey(key)),
-		Kind: "reorder", Question: 7, Token: token, Holder: holder, Until: start.Add(time.Minute),
+		Kind: "reorder", RequestHash: 7, Token: token, Holder: holder, Until: start.Add(time.Minute),
 	}
 }
 
 // decide applies one operation and returns the next journal and the outcome.
-func decide(j ledger.Journal, op ledger.Op, s ledger.Setting) (ledger.Journal, ledger.Outcome) {
+func decide(j ledger.Journal, op ledger.Op, s ledger.DecisionInputs) (ledger.Journal, ledger.Outcome) {
 	next, v, _ := j.Decide([]ledger.Op{op}, rule, s)
 	return next, v[0].Outcome
 }
@@ -54,7 +54,7 @@
 	for _, c := range []struct {
 		name string
 		ops  []ledger.Op
-		at   ledger.Setting
+		at   ledger.DecisionInputs
 		want ledger.Outcome
 	}{
 		{"running", nil, settingAt(time.Second), ledger.OutcomeRunning},
@@ -63,8 +63,8 @@
 		{"holder departed, claimed less than Wait ago", nil, settingAt(9*time.Second, "i1"), ledger.OutcomeRunning},
 		{"holder departed, claimed Wait ago", nil, settingAt(10*time.Second, "i1"), ledger.OutcomeUnknown},
 		{"finished", []ledger.Op{first.WithAnswer(answer)}, settingAt(time.Second), ledger.OutcomeAnswered},
-		{"in doubt", []ledger.Op{first.WithVerb(ledger.VerbDoubt)}, settingAt(time.Second), ledger.OutcomeUnknown},
-		{"in doubt, then finished", []ledger.Op{first.WithVerb(ledger.VerbDoubt), first.WithAnswer(answer)}, settingAt(time.Second), ledger.OutcomeAnswered},
+		{"in doubt", []ledger.Op{first.WithVerb(ledger.VerbMarkInDoubt)}, settingAt(time.Second), ledger.OutcomeUnknown},
+		{"in doubt, then finished", []ledger.Op{first.WithVerb(ledger.VerbMarkInDoubt), first.WithAnswer(answer)}, settingAt(time.Second), ledger.OutcomeAnswered},
 		{"finished, then released", []ledger.Op{first.WithAnswer(answer), first.WithVerb(ledger.VerbRelease)}, settingAt(time.Second), ledger.OutcomeAnswered},
 		{"released with another token", []ledger.Op{second.WithVerb(ledger.VerbRelease)}, settingAt(time.Second), ledger.OutcomeRunning},
 		{"released", []ledger.Op{first.WithVerb(ledger.VerbRelease)}, settingAt(time.Second), ledger.OutcomeGranted},
@@ -81,7 +81,7 @@
 func TestKeyReusedForAnotherRequestIsRefused(t *testing.T) {
 	j, _ := decide(ledger.Journal{}, claim("k", "t1", "i1"), settingAt(0))
 	other := claim("k", "t2", "i1")
-	other.Question = 8
+	other.RequestHash = 8
 	_, got := decide(j, other, settingAt(0))
 	assert.Equal(t, got, ledger.OutcomeReused)
 }
@@ -102,7 +102,7 @@
 	j, _ = decide(j, c.WithAnswer(ledger.Answer{Body: make([]byte, 2<<10), Digest: "d", Bytes: 2 << 10}), settingAt(0))
 	r, ok := j.Get(c.ID)
 	assert.Assert(t, ok)
-	assert.Assert(t, !r.Answer.Whole())
+	assert.Assert(t, !r.Answer.IsComplete())
 	assert.Equal(t, r.Answer.Digest, "d")
 }
 
@@ -121,16 +121,16 @@
 			op := claim(fmt.Sprint(rapid.IntRange(0, 12).Draw(t, "key")), fmt.Sprint(i), "i1")
 			op.Until = setting.Now.Add(30 * time.Second)
 			held, isOpen := open[op.ID]
-			verb := rapid.SampledFrom([]ledger.Verb{ledger.VerbClaim, ledger.VerbClaim, ledger.VerbFinish, ledger.VerbDoubt, ledger.VerbRelease}).Draw(t, "verb")
+			verb := rapid.SampledFrom([]ledger.Verb{ledger.VerbClaim, ledger.VerbClaim, ledger.VerbFinish, ledger.VerbMarkInDoubt, ledger.VerbRelease}).Draw(t, "verb")
 			if verb != ledger.VerbClaim {
 				body := make([]byte, rapid.IntRange(0, 1500).Draw(t, "body"))
 				op = held.WithAnswer(ledger.Answer{Body: body, Bytes: len(body)}).WithVerb(verb)
 			}
 			next, got := decide(j, op, setting)
-			assert.Assert(t, next.Size() <= rule.Bytes)
+			assert.Assert(t, next.Size() <= rule.MaxBytes)
 			if got == ledger.OutcomeGranted {
 				since, settled := settledAt[op.ID]
-				assert.Assert(t, !isOpen || (settled && now-since >= rule.Keep), "granted twice")
+				assert.Assert(t, !isOpen || (settled && now-since >= rule.Retention), "granted twice")
 				open[op.ID] = op
 				delete(settledAt, op.ID)
 			}
@@ -145,7 +145,7 @@
 						settledAt[id] = now
 					}
 				} else if !ok {
-					assert.Assert(t, now-settledAt[id] >= rule.Keep && settledAt[id] > 0, "record of %s removed too early", id)
+					assert.Assert(t, now-settledAt[id] >= rule.Retention && settledAt[id] > 0, "record of %s removed too early", id)
 				}
 			}
 			j = next
--- a/core/ledger/op.go
+++ b/core/ledger/op.go
@@ -11,10 +11,10 @@
 
 // The verbs of operations.
 const (
-	VerbClaim   Verb = "Claim"
-	VerbFinish  Verb = "Finish"
-	VerbDoubt   Verb = "Doubt"
-	VerbRelease Verb = "Release"
+	VerbClaim       Verb = "Claim"
+	VerbFinish      Verb = "Finish"
+	VerbMarkInDoubt Verb = "Doubt"
+	VerbRelease     Verb = "Release"
 )
 
 // Op is one operation on the record of a call, idempotent by its token.
@@ -22,10 +22,10 @@
 	Verb Verb
 	ID   CallID
 	Kind value.KindName
-	// Question is the hash of the request's content.
-	Question uint64
-	Token    string
-	Holder   value.InstanceID
+	// RequestHash is the hash of the request's content.
+	RequestHash uint64
+	Token       string
+	Holder      value.InstanceID
 	// Until is the deadline of the claimed execution.
 	Until time.Time
 	// Answer is the answer of a finished execution.
--- a/core/ledger/record.go
+++ b/core/ledger/record.go
@@ -51,8 +51,8 @@
 	Bytes int
 }
 
-// Whole reports whether the complete body is stored.
-func (a Answer) Whole() bool {
+// IsComplete reports whether the complete body is stored.
+func (a Answer) IsComplete() bool {
 	return len(a.Body) == a.Bytes
 }
 
@@ -66,8 +66,8 @@
 type Record struct {
 	ID   CallID
 	Kind value.KindName
-	// Question is the hash of the request's content.
-	Question uint64
+	// RequestHash is the hash of the request's content.
+	RequestHash uint64
 	// Token identifies the claim; each claim has its own.
 	Token  string
 	Holder value.InstanceID
--- a/core/policy/cells.go
+++ b/core/policy/cells.go
@@ -10,8 +10,8 @@
 	cells sync.Map
 }
 
-// Of returns the key's cell and creates it at the first call.
-func (c *Cells[K, T]) Of(k K) *Cell[T] {
+// Cell returns the key's cell and creates it at the first call.
+func (c *Cells[K, T]) Cell(k K) *Cell[T] {
 	loaded, ok := c.cells.Load(k)
 	if !ok {
 		loaded, _ = c.cells.LoadOrStore(k, new(Cell[T]))
@@ -35,7 +35,7 @@
 	}
 }
 
-// Drop removes the key; a caller that already has its cell may go on using it.
-func (c *Cells[K, T]) Drop(k K) {
+// Delete removes the key; a caller that already has its cell may go on using it.
+func (c *Cells[K, T]) Delete(k K) {
 	c.cells.Delete(k)
 }
--- a/core/policy/cells_test.go
+++ b/core/policy/cells_test.go
@@ -16,18 +16,18 @@
 	for range 8 {
 		group.Go(func() {
 			for range 100 {
-				cells.Of("a").Update(func(n int) int { return n + 1 })
+				cells.Cell("a").Update(func(n int) int { return n + 1 })
 			}
 		})
 	}
 	group.Wait()
 	assert.Equal(t, cells.Get("a"), 800)
-	cells.Of("b").Update(func(int) int { return 7 })
+	cells.Cell("b").Update(func(int) int { return 7 })
 	sum := 0
 	for _, v := range cells.All() {
 		sum += v
 	}
 	assert.Equal(t, sum, 807)
-	cells.Drop("a")
+	cells.Delete("a")
 	assert.Equal(t, cells.Get("a"), 0)
 }
--- a/core/policy/estimate.go
+++ b/core/policy/estimate.go
@@ -97,14 +97,14 @@
 	return e.withPriorChecked()
 }
 
-// Rated reports whether the estimate includes any rating.
-func (e Estimate) Rated() bool {
+// HasRatings reports whether the estimate includes any rating.
+func (e Estimate) HasRatings() bool {
 	return e.totalWeight > 0
 }
 
-// Fresh returns the time until which the bounds keep their full confidence; zero means without end.
-func (e Estimate) Fresh() time.Time {
-	if !e.Rated() {
+// FreshUntil returns the time until which the bounds keep their full confidence; zero means without end.
+func (e Estimate) FreshUntil() time.Time {
+	if !e.HasRatings() {
 		return time.Time{}
 	}
 	return e.latestRating.Add(e.config.StaleAfter)
@@ -115,7 +115,7 @@
 	count := e.effectiveCount()
 	mean := (e.statedShare*e.priorWeight + e.ratedShare()*count) / max(e.priorWeight+count, math.SmallestNonzeroFloat64)
 	count += e.priorWeight
-	if freshUntil := e.Fresh(); e.Rated() && now.After(freshUntil) {
+	if freshUntil := e.FreshUntil(); e.HasRatings() && now.After(freshUntil) {
 		count *= exponentialDecay(now.Sub(freshUntil), e.config.StaleHalfLife)
 	}
 	return wilsonInterval(mean, count, e.config.Deviation)
@@ -129,7 +129,7 @@
 }
 
 func (e Estimate) decayedTo(at time.Time) Estimate {
-	if e.Rated() {
+	if e.HasRatings() {
 		factor := exponentialDecay(at.Sub(e.latestRating), e.config.HalfLife)
 		e.goodWeight *= factor
 		e.totalWeight *= factor
--- a/core/policy/estimate_test.go
+++ b/core/policy/estimate_test.go
@@ -74,9 +74,9 @@
 func TestStaleEstimateWidensAndKeepsItsMean(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(4, 4))
 	e := withRatings(estimateConfig.NewEstimate(0.97, 0), rnd, 0.7, 2000, true)
-	previous := e.Bound(e.Fresh())
+	previous := e.Bound(e.FreshUntil())
 	for h := 1; h < 200; h++ {
-		current := e.Bound(e.Fresh().Add(time.Duration(h) * time.Hour))
+		current := e.Bound(e.FreshUntil().Add(time.Duration(h) * time.Hour))
 		assert.Assert(t, current.Lower <= previous.Lower && current.Upper >= previous.Upper, "hour %d: %+v after %+v", h, current, previous)
 		assert.Equal(t, current.Mean, previous.Mean)
 		previous = current
--- a/core/policy/fair.go
+++ b/core/policy/fair.go
@@ -5,12 +5,12 @@
 	"slices"
 )
 
-// Fair is a two-level weighted fair queue: weighted groups, each of weighted lanes, served in the
+// FairQueue is a two-level weighted fair queue: weighted groups, each of weighted lanes, served in the
 // order of their virtual start times.
 //
 // Groups with items are served in proportion to their weights, and so are the lanes inside a group;
 // service that one does not use goes to the others. The zero value is empty and ready for use.
-type Fair[G, K comparable, V any] struct {
+type FairQueue[G, K comparable, V any] struct {
 	groups []group[G, K, V]
 	clock  float64
 	size   int
@@ -47,12 +47,12 @@
 }
 
 // Len returns how many items wait.
-func (f Fair[G, K, V]) Len() int {
+func (f FairQueue[G, K, V]) Len() int {
 	return f.size
 }
 
 // GroupLen returns how many items of the group wait.
-func (f Fair[G, K, V]) GroupLen(g G) int {
+func (f FairQueue[G, K, V]) GroupLen(g G) int {
 	i := f.find(g)
 	if i < 0 {
 		return 0
@@ -61,7 +61,7 @@
 }
 
 // Count returns how many of the group's items wait in lanes that match.
-func (f Fair[G, K, V]) Count(g G, match func(K) bool) int {
+func (f FairQueue[G, K, V]) Count(g G, match func(K) bool) int {
 	i := f.find(g)
 	if i < 0 {
 		return 0
@@ -75,8 +75,8 @@
 	return n
 }
 
-// Waiting reports whether any lane that matches has an item.
-func (f Fair[G, K, V]) Waiting(match func(K) bool) bool {
+// HasWaiting reports whether any lane that matches has an item.
+func (f FairQueue[G, K, V]) HasWaiting(match func(K) bool) bool {
 	for _, g := range f.groups {
 		for _, l := range g.lanes {
 			if len(l.items) > 0 && match(l.key) {
@@ -88,7 +88,7 @@
 }
 
 // Groups returns the groups that have items, in no particular order.
-func (f Fair[G, K, V]) Groups() []G {
+func (f FairQueue[G, K, V]) Groups() []G {
 	var keys []G
 	for _, g := range f.groups {
 		if g.size > 0 {
@@ -99,7 +99,7 @@
 }
 
 // With returns a queue to which the entry is added.
-func (f Fair[G, K, V]) With(e Entry[G, K, V]) Fair[G, K, V] {
+func (f FairQueue[G, K, V]) With(e Entry[G, K, V]) FairQueue[G, K, V] {
 	f.groups = slices.Clone(f.groups)
 	i := f.find(e.Group)
 	if i < 0 {
@@ -117,7 +117,7 @@
 
 // Next returns the first item in the order of service for which fits returns true, and the queue
 // without it; the last result is false when there is none.
-func (f Fair[G, K, V]) Next(fits func(V) bool) (V, Fair[G, K, V], bool) {
+func (f FairQueue[G, K, V]) Next(fits func(V) bool) (V, FairQueue[G, K, V], bool) {
 	for _, i := range indicesByTag(f.groups, func(g group[G, K, V]) float64 { return g.tag }) {
 		g := f.groups[i]
 		e, rest, ok := g.next(fits)
@@ -136,7 +136,7 @@
 }
 
 // Without returns a queue without the first item of the group that matches, and whether there was one.
-func (f Fair[G, K, V]) Without(key G, match func(V) bool) (Fair[G, K, V], bool) {
+func (f FairQueue[G, K, V]) Without(key G, match func(V) bool) (FairQueue[G, K, V], bool) {
 	i := f.find(key)
 	if i < 0 {
 		return f, false
@@ -159,13 +159,13 @@
 	return f, false
 }
 
-func (f Fair[G, K, V]) find(key G) int {
+func (f FairQueue[G, K, V]) find(key G) int {
 	return slices.IndexFunc(f.groups, func(g group[G, K, V]) bool { return g.key == key })
 }
 
 // withoutIdleGroups drops groups that have no items and whose tag has been reached by the clock. A
 // group whose tag lies ahead has used service in advance and must not start again without that debt.
-func (f Fair[G, K, V]) withoutIdleGroups() Fair[G, K, V] {
+func (f FairQueue[G, K, V]) withoutIdleGroups() FairQueue[G, K, V] {
 	f.groups = slices.DeleteFunc(f.groups, func(g group[G, K, V]) bool {
 		return g.size == 0 && g.tag <= f.clock
 	})
--- a/core/policy/limiter.go
+++ b/core/policy/limiter.go
@@ -14,11 +14,11 @@
 
 // LimiterConfig configures a Limiter.
 type LimiterConfig struct {
-	// First is the limit before the first sample.
-	First float64
-	// Least and Most are the lowest and the highest limit.
-	Least float64
-	Most  float64
+	// Initial is the limit before the first sample.
+	Initial float64
+	// Min and Most are the lowest and the highest limit.
+	Min float64
+	Max float64
 	// Tolerance is the ratio of the highest normal latency to the unloaded latency.
 	Tolerance float64
 	// Backoff is the factor, from 0 to 1, that a sign of overload multiplies the limit by.
@@ -59,13 +59,13 @@
 
 func (l Limiter) currentLimit(c LimiterConfig) float64 {
 	if l.limit == 0 {
-		return max(c.First, 1)
+		return max(c.Initial, 1)
 	}
 	return l.limit
 }
 
 func (l Limiter) withLimit(c LimiterConfig, limit float64) Limiter {
-	l.limit = math.Min(math.Max(limit, max(c.Least, 1)), max(c.Most, c.First))
+	l.limit = math.Min(math.Max(limit, max(c.Min, 1)), max(c.Max, c.Initial))
 	return l
 }
 
--- a/core/policy/quantile.go
+++ b/core/policy/quantile.go
@@ -14,8 +14,8 @@
 	Of float64
 	// Step is the relative change that one sample may cause, from 0 to 1.
 	Step float64
-	// MinSeen is how many samples are needed for an estimate.
-	MinSeen int
+	// MinSamples is how many samples are needed for an estimate.
+	MinSamples int
 }
 
 // With returns an estimate that includes the sample.
@@ -35,7 +35,7 @@
 
 // Value returns the estimate, or zero while there are fewer than MinSeen samples.
 func (q Quantile) Value(c QuantileConfig) time.Duration {
-	if q.samples < c.MinSeen {
+	if q.samples < c.MinSamples {
 		return 0
 	}
 	return time.Duration(q.estimate)
--- a/core/policy/sample.go
+++ b/core/policy/sample.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// Never is the score of a candidate that must not be picked.
-var Never = math.Inf(1)
+// Excluded is the score of a candidate that must not be picked.
+var Excluded = math.Inf(1)
 
 // Rand is a source of random numbers, such as Rand of math/rand/v2.
 type Rand interface {
@@ -11,8 +11,8 @@
 	IntN(n int) int
 }
 
-// Sample picks the candidate with the lowest score among a few random ones (power of d choices).
-type Sample[T any] struct {
+// RandomChoice picks the candidate with the lowest score among a few random ones (power of d choices).
+type RandomChoice[T any] struct {
 	// Tries is how many random candidates are compared.
 	Tries int
 	// Score returns a candidate's score; lower is better, and Never excludes the candidate.
@@ -21,30 +21,30 @@
 
 // Pick returns the best of a few random candidates, or the best of all where those few are excluded;
 // it returns false when every candidate is excluded.
-func (p Sample[T]) Pick(list []T, rnd Rand) (T, bool) {
+func (p RandomChoice[T]) Pick(list []T, rnd Rand) (T, bool) {
 	if len(list) == 0 {
 		var none T
 		return none, false
 	}
-	best, lowest := 0, Never
+	best, lowest := 0, Excluded
 	for range p.Tries {
 		i := rnd.IntN(len(list))
 		if s := p.Score(list[i]); s < lowest {
 			best, lowest = i, s
 		}
 	}
-	if lowest < Never {
+	if lowest < Excluded {
 		return list[best], true
 	}
 	return p.pickFromAll(list)
 }
 
-func (p Sample[T]) pickFromAll(list []T) (T, bool) {
-	best, lowest := 0, Never
+func (p RandomChoice[T]) pickFromAll(list []T) (T, bool) {
+	best, lowest := 0, Excluded
 	for i, c := range list {
 		if s := p.Score(c); s < lowest {
 			best, lowest = i, s
 		}
 	}
-	return list[best], lowest < Never
+	return list[best], lowest < Excluded
 }
--- a/core/policy/smooth.go
+++ b/core/policy/smooth.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Smooth is an average of durations in which older samples count less; the zero value has no samples.
-type Smooth struct {
+// DecayingMean is an average of durations in which older samples count less; the zero value has no samples.
+type DecayingMean struct {
 	// Mean is the weighted average of the samples.
 	Mean time.Duration
 	// Weight is the effective number of samples behind the average.
@@ -15,8 +15,8 @@
 	At time.Time
 }
 
-// SmoothConfig sets how fast samples lose weight in a Smooth.
-type SmoothConfig struct {
+// DecayingMeanConfig sets how fast samples lose weight in a Smooth.
+type DecayingMeanConfig struct {
 	// HalfLife is the age at which a sample has lost half of its weight.
 	HalfLife time.Duration
 	// MaxWeight bounds the effective number of samples.
@@ -24,18 +24,18 @@
 }
 
 // With returns an average that includes the sample.
-func (s Smooth) With(c SmoothConfig, sample time.Duration, at time.Time) Smooth {
+func (s DecayingMean) With(c DecayingMeanConfig, sample time.Duration, at time.Time) DecayingMean {
 	oldWeight := min(s.Weight*decayFactor(c.HalfLife, at.Sub(s.At)), c.MaxWeight-1)
 	if s.Weight == 0 {
 		oldWeight = 0
 	}
 	mean := (float64(s.Mean)*oldWeight + float64(sample)) / (oldWeight + 1)
-	return Smooth{Mean: time.Duration(mean), Weight: oldWeight + 1, At: at}
+	return DecayingMean{Mean: time.Duration(mean), Weight: oldWeight + 1, At: at}
 }
 
-// Aged returns the mean, lowered with the age of the latest sample, so that a candidate whose high
+// MeanAt returns the mean, lowered with the age of the latest sample, so that a candidate whose high
 // mean is no longer confirmed by samples is tried again.
-func (s Smooth) Aged(halfLife time.Duration, now time.Time) time.Duration {
+func (s DecayingMean) MeanAt(halfLife time.Duration, now time.Time) time.Duration {
 	if s.Weight == 0 {
 		return 0
 	}
--- a/core/policy/watch.go
+++ b/core/policy/watch.go
@@ -5,24 +5,24 @@
 	"slices"
 )
 
-// Limit bounds the share of bad trials of a signal.
-type Limit[S comparable] struct {
+// SignalLimit bounds the share of bad trials of a signal.
+type SignalLimit[S comparable] struct {
 	// Signal names what is tested.
 	Signal S
 	// Max is the highest acceptable share of bad trials, from 0 to 1.
 	Max float64
 }
 
-// WatchConfig configures a Watch.
-type WatchConfig[S comparable] struct {
-	Limits []Limit[S]
+// SequentialTestConfig configures a Watch.
+type SequentialTestConfig[S comparable] struct {
+	Limits []SignalLimit[S]
 	// FalseAlarm bounds the probability that an alarm is ever raised while no limit is exceeded.
 	FalseAlarm float64
 	// Horizon is the number of trials within which a change is expected, if there is one.
 	Horizon float64
 }
 
-// Watch is a sequential test of several limits, which may be evaluated after every trial without
+// SequentialTest is a sequential test of several limits, which may be evaluated after every trial without
 // raising the probability of a false alarm; it is immutable.
 //
 // Each limit is tested by betting: a mixture of bets that the share of bad trials is above the limit.
@@ -30,8 +30,8 @@
 // supermartingale that starts at one, so by Ville's inequality the probability that it ever reaches 1/a
 // is at most a. Half of the stake is placed at the start and the rest is spread over later trials, so
 // that a later change is found too.
-type Watch[S comparable] struct {
-	config WatchConfig[S]
+type SequentialTest[S comparable] struct {
+	config SequentialTestConfig[S]
 	tests  []limitTest
 }
 
@@ -52,8 +52,8 @@
 )
 
 // New returns a watch without any trials.
-func (c WatchConfig[S]) New() Watch[S] {
-	w := Watch[S]{config: c, tests: make([]limitTest, len(c.Limits))}
+func (c SequentialTestConfig[S]) New() SequentialTest[S] {
+	w := SequentialTest[S]{config: c, tests: make([]limitTest, len(c.Limits))}
 	for i := range w.tests {
 		for j := range oddsRatios {
 			w.tests[i].capital[j] = initialStake / float64(len(oddsRatios))
@@ -64,7 +64,7 @@
 
 // With returns the watch after a number of trials of the signal, of which so many were bad; their
 // order does not matter.
-func (w Watch[S]) With(signal S, trials, bad int) Watch[S] {
+func (w SequentialTest[S]) With(signal S, trials, bad int) SequentialTest[S] {
 	return w.updateTest(signal, trials, func(test limitTest, limit float64) limitTest {
 		return test.withDueStake(w.config.Horizon, trials).withPayoff(limit, func(badFactor, goodFactor float64) float64 {
 			return math.Pow(badFactor, float64(bad)) * math.Pow(goodFactor, float64(trials-bad))
@@ -72,10 +72,10 @@
 	})
 }
 
-// WithWeighed returns the watch after one trial that counts with a weight from 0 to 1.
+// WithWeighted returns the watch after one trial that counts with a weight from 0 to 1.
 //
 // Trials that were sampled at different rates get the weight lowest rate divided by own rate.
-func (w Watch[S]) WithWeighed(signal S, bad bool, weight float64) Watch[S] {
+func (w SequentialTest[S]) WithWeighted(signal S, bad bool, weight float64) SequentialTest[S] {
 	return w.updateTest(signal, 1, func(test limitTest, limit float64) limitTest {
 		return test.withDueStake(w.config.Horizon, 1).withPayoff(limit, func(badFactor, goodFactor float64) float64 {
 			if bad {
@@ -87,7 +87,7 @@
 }
 
 // Trials returns the number of trials of the signal.
-func (w Watch[S]) Trials(signal S) int {
+func (w SequentialTest[S]) Trials(signal S) int {
 	i := w.find(signal)
 	if i < 0 {
 		return 0
@@ -96,7 +96,7 @@
 }
 
 // Alarm returns the first signal whose limit is exceeded, if there is one.
-func (w Watch[S]) Alarm() (S, bool) {
+func (w SequentialTest[S]) Alarm() (S, bool) {
 	threshold := float64(len(w.tests)) / w.config.FalseAlarm
 	for i, l := range w.config.Limits {
 		if w.tests[i].totalCapital() >= threshold {
@@ -108,15 +108,15 @@
 }
 
 // Config returns the configuration of the watch.
-func (w Watch[S]) Config() WatchConfig[S] {
+func (w SequentialTest[S]) Config() SequentialTestConfig[S] {
 	return w.config
 }
 
-func (w Watch[S]) find(signal S) int {
-	return slices.IndexFunc(w.config.Limits, func(l Limit[S]) bool { return l.Signal == signal })
+func (w SequentialTest[S]) find(signal S) int {
+	return slices.IndexFunc(w.config.Limits, func(l SignalLimit[S]) bool { return l.Signal == signal })
 }
 
-func (w Watch[S]) updateTest(signal S, trials int, next func(limitTest, float64) limitTest) Watch[S] {
+func (w SequentialTest[S]) updateTest(signal S, trials int, next func(limitTest, float64) limitTest) SequentialTest[S] {
 	i := w.find(signal)
 	if i < 0 || trials <= 0 {
 		return w
--- a/core/policy/watch_test.go
+++ b/core/policy/watch_test.go
@@ -9,13 +9,13 @@
 	"endivehitch/core/policy"
 )
 
-func newWatch(limits ...policy.Limit[string]) policy.Watch[string] {
-	return policy.WatchConfig[string]{Limits: limits, FalseAlarm: 0.01, Horizon: 1000}.New()
+func newWatch(limits ...policy.SignalLimit[string]) policy.SequentialTest[string] {
+	return policy.SequentialTestConfig[string]{Limits: limits, FalseAlarm: 0.01, Horizon: 1000}.New()
 }
 
 // trialsUntilAlarm checks after every trial and returns the number of the trial that raised the alarm,
 // or zero.
-func trialsUntilAlarm(rnd *rand.Rand, w policy.Watch[string], share float64, trials int) int {
+func trialsUntilAlarm(rnd *rand.Rand, w policy.SequentialTest[string], share float64, trials int) int {
 	for i := range trials {
 		bad := 0
 		if rnd.Float64() < share {
@@ -34,7 +34,7 @@
 	alarms := 0
 	for i := range runs {
 		rnd := rand.New(rand.NewPCG(5, uint64(i)))
-		if trialsUntilAlarm(rnd, newWatch(policy.Limit[string]{Signal: "Errors", Max: 0.02}), 0.02, 5000) > 0 {
+		if trialsUntilAlarm(rnd, newWatch(policy.SignalLimit[string]{Signal: "Errors", Max: 0.02}), 0.02, 5000) > 0 {
 			alarms++
 		}
 	}
@@ -45,13 +45,13 @@
 func TestHighErrorRateFromTheStartRaisesAlarm(t *testing.T) {
 	for i := range 100 {
 		rnd := rand.New(rand.NewPCG(6, uint64(i)))
-		at := trialsUntilAlarm(rnd, newWatch(policy.Limit[string]{Signal: "Errors", Max: 0.02}), 0.2, 400)
+		at := trialsUntilAlarm(rnd, newWatch(policy.SignalLimit[string]{Signal: "Errors", Max: 0.02}), 0.2, 400)
 		assert.Assert(t, at > 0, "run %d", i)
 	}
 }
 
 func TestErrorRateThatRisesLaterRaisesAlarm(t *testing.T) {
-	w := newWatch(policy.Limit[string]{Signal: "Errors", Max: 0.02})
+	w := newWatch(policy.SignalLimit[string]{Signal: "Errors", Max: 0.02})
 	for range 50 {
 		w = w.With("Errors", 100, 1)
 	}
@@ -62,8 +62,8 @@
 }
 
 func TestSignalsShareTheFalseAlarmRate(t *testing.T) {
-	one := newWatch(policy.Limit[string]{Signal: "Errors", Max: 0.02})
-	two := newWatch(policy.Limit[string]{Signal: "Errors", Max: 0.02}, policy.Limit[string]{Signal: "Slow", Max: 0.02})
+	one := newWatch(policy.SignalLimit[string]{Signal: "Errors", Max: 0.02})
+	two := newWatch(policy.SignalLimit[string]{Signal: "Errors", Max: 0.02}, policy.SignalLimit[string]{Signal: "Slow", Max: 0.02})
 	n := trialsUntilAlarm(rand.New(rand.NewPCG(8, 8)), one, 1, 100)
 	assert.Assert(t, trialsUntilAlarm(rand.New(rand.NewPCG(8, 8)), two, 1, 100) >= n)
 	named, ok := two.With("Slow", 20, 20).Alarm()
@@ -72,7 +72,7 @@
 }
 
 func TestBatchCountsItsTrialsAndLeavesTheOldWatchUnchanged(t *testing.T) {
-	w := newWatch(policy.Limit[string]{Signal: "Errors", Max: 0.5})
+	w := newWatch(policy.SignalLimit[string]{Signal: "Errors", Max: 0.5})
 	assert.Equal(t, w.With("Errors", 7, 2).With("Other", 5, 5).Trials("Errors"), 7)
 	_, changed := w.With("Errors", 40, 40).Alarm()
 	_, still := w.Alarm()
@@ -84,7 +84,7 @@
 	const runs = 300
 	for i := range runs {
 		rnd := rand.New(rand.NewPCG(9, uint64(i)))
-		w := newWatch(policy.Limit[string]{Signal: "Ratings", Max: 0.1})
+		w := newWatch(policy.SignalLimit[string]{Signal: "Ratings", Max: 0.1})
 		for range 4000 {
 			bad := rnd.Float64() < 0.1
 			rate := 0.1
@@ -92,7 +92,7 @@
 				rate = 0.4
 			}
 			if rnd.Float64() < rate {
-				w = w.WithWeighed("Ratings", bad, 0.1/rate)
+				w = w.WithWeighted("Ratings", bad, 0.1/rate)
 			}
 		}
 		if _, ok := w.Alarm(); ok {
--- a/core/query/audit.go
+++ b/core/query/audit.go
@@ -14,15 +14,15 @@
 	Charges []value.Bill
 	// Missing lists answered requests without a bill.
 	Missing []value.RequestID
-	// Doubled lists requests with more than one stored bill; only the earliest is charged.
-	Doubled []value.RequestID
+	// Duplicated lists requests with more than one stored bill; only the earliest is charged.
+	Duplicated []value.RequestID
 	// Unknown lists requests that have a bill but were not answered.
 	Unknown []value.RequestID
 }
 
 // Clean reports whether every answered request has exactly one bill and no other request has any.
 func (a Audit) Clean() bool {
-	return len(a.Missing) == 0 && len(a.Doubled) == 0 && len(a.Unknown) == 0
+	return len(a.Missing) == 0 && len(a.Duplicated) == 0 && len(a.Unknown) == 0
 }
 
 // Reconcile charges each request once, even if several instances stored its bill: the earliest bill
@@ -38,7 +38,7 @@
 	for id, copies := range stored {
 		audit.Charges = append(audit.Charges, slices.MinFunc(copies, compareOwnedEntries).entry.Bill)
 		if len(copies) > 1 {
-			audit.Doubled = append(audit.Doubled, id)
+			audit.Duplicated = append(audit.Duplicated, id)
 		}
 	}
 	answeredSet := make(map[value.RequestID]bool, len(answered))
@@ -73,7 +73,7 @@
 func (a Audit) sorted() Audit {
 	slices.SortFunc(a.Charges, func(x, y value.Bill) int { return cmp.Compare(x.Request, y.Request) })
 	slices.Sort(a.Missing)
-	slices.Sort(a.Doubled)
+	slices.Sort(a.Duplicated)
 	slices.Sort(a.Unknown)
 	return a
 }
--- a/core/query/cascade.go
+++ b/core/query/cascade.go
@@ -16,8 +16,8 @@
 		return p
 	}
 	remaining := c.request.Deadline.Sub(c.now)
-	for i := range c.menu.Pairs {
-		pair := &c.menu.Pairs[i]
+	for i := range c.menu.Cascades {
+		pair := &c.menu.Cascades[i]
 		first, second := c.qualityBound(pair.First), c.qualityBound(pair.Second)
 		cost := c.cascadeCost(pair, first.Mean)
 		if p.Reason != value.ReasonBestEffort && cost >= p.CostMicros {
@@ -34,13 +34,13 @@
 	return p
 }
 
-func (c *chooser) cascadeCost(p *state.Pair, firstQuality float64) int64 {
+func (c *chooser) cascadeCost(p *state.Cascade, firstQuality float64) int64 {
 	return c.kind.Judge.Cost(c.cost(p.First), c.cost(p.Second), firstQuality)
 }
 
 // cascadeLatency returns the expected time to an answer if the judge rejects the first version's
 // one.
-func (c *chooser) cascadeLatency(p *state.Pair) time.Duration {
-	first := c.menu.Offers[p.First].Version.Latency(c.request.MaxTokens)
-	return first + c.kind.Judge.Latency + c.menu.Offers[p.Second].Version.Latency(c.request.MaxTokens)
+func (c *chooser) cascadeLatency(p *state.Cascade) time.Duration {
+	first := c.menu.Candidates[p.First].Version.Latency(c.request.MaxTokens)
+	return first + c.kind.Judge.Latency + c.menu.Candidates[p.Second].Version.Latency(c.request.MaxTokens)
 }
--- a/core/query/cost_measure_test.go
+++ b/core/query/cost_measure_test.go
@@ -117,7 +117,7 @@
 		return first, firstQuality
 	}
 	second, secondQuality := d.cost(k, versions[1]), d.trueQuality[k.Name][versions[1]]
-	return first + float64(k.Judge.CostMicros) + (1-k.Judge.Accepts(firstQuality))*second, k.Judge.Quality(firstQuality, secondQuality)
+	return first + float64(k.Judge.CostMicros) + (1-k.Judge.AcceptanceRate(firstQuality))*second, k.Judge.Quality(firstQuality, secondQuality)
 }
 
 func (d deployment) cost(k value.Kind, v value.VersionKey) float64 {
@@ -180,10 +180,10 @@
 func sampleRating(rnd *rand.Rand, d deployment, k value.Kind, versions []value.VersionKey) (value.Rating, bool) {
 	v, rates := versions[0], [2]float64{badRatingRate, goodRatingRate}
 	if len(versions) > 1 {
-		if rnd.Float64() >= k.Judge.Accepts(d.trueQuality[k.Name][v]) {
+		if rnd.Float64() >= k.Judge.AcceptanceRate(d.trueQuality[k.Name][v]) {
 			v = versions[1]
 		} else {
-			good := d.trueQuality[k.Name][v] * k.Judge.AcceptGood / k.Judge.Accepts(d.trueQuality[k.Name][v])
+			good := d.trueQuality[k.Name][v] * k.Judge.AcceptGood / k.Judge.AcceptanceRate(d.trueQuality[k.Name][v])
 			return drawRating(rnd, k, v, good, [2]float64{badRatingRate, goodRatingRate}, [2]float64{k.Judge.AcceptBad, k.Judge.AcceptGood})
 		}
 	}
@@ -205,7 +205,7 @@
 // best version, by the stated qualities, and with an oracle that knows the true qualities.
 func (d deployment) simulate(seed uint64) (chosen, always, prior, oracle policyResult) {
 	rnd := rand.New(rand.NewPCG(seed, 77))
-	s, _ := cmds.InstallConfig{Accepted: value.Accepted{Document: d.document, Revision: 1}}.Apply(state.New(value.Instance{ID: "a"}), start)
+	s, _ := cmds.InstallConfig{Accepted: value.AcceptedDocument{Document: d.document, Revision: 1}}.Apply(state.New(value.Instance{ID: "a"}), start)
 	var pending []delayedRating
 	pins := make(map[value.SessionID]value.VersionKey)
 	for i := range d.requests {
@@ -218,7 +218,7 @@
 			r.Pinned = pins[r.Session]
 		}
 		a, _ := query.Admit(s, r, now)
-		p, err := query.Choose(s, a, r, now)
+		p, err := query.ChoosePlan(s, a, r, now)
 		if err != nil {
 			panic(err)
 		}
--- a/core/query/due.go
+++ b/core/query/due.go
@@ -31,7 +31,7 @@
 			due = append(due, DueStep{RollOut: r.Name, Stage: p.Stage, Withdraw: r.ToKey(), Reason: reason})
 			continue
 		}
-		if _, err := steps.Advance(r, p, steps.Seen{Ratings: s.Watch(r).Ratings}, now); err == nil {
+		if _, err := steps.Advance(r, p, steps.StageMeasurements{Ratings: s.RollOutTests(r).Ratings}, now); err == nil {
 			due = append(due, DueStep{RollOut: r.Name, Stage: p.Stage})
 		}
 	}
@@ -43,7 +43,7 @@
 	if s.Withdrawn(r.ToKey()) {
 		return value.ReasonOperator
 	}
-	_, notDue := steps.Advance(r, p, steps.Seen{Ratings: s.Watch(r).Ratings}, now)
+	_, notDue := steps.Advance(r, p, steps.StageMeasurements{Ratings: s.RollOutTests(r).Ratings}, now)
 	if notDue != nil && steps.Overdue(r, p, now) {
 		return value.ReasonOverdue
 	}
--- a/core/query/eject.go
+++ b/core/query/eject.go
@@ -32,7 +32,7 @@
 // recovery in between lasts twice as long as the last, up to a limit.
 func Eject(s state.State, b value.BackendServer, loads Loads, rnd policy.Rand, now time.Time) time.Time {
 	l := loads(b.ID)
-	if l.Ejected.After(now) || !isOutlier(s, b, l, loads, rnd) || !mayEject(s, b.Pool, loads, now) {
+	if l.EjectedUntil.After(now) || !isOutlier(s, b, l, loads, rnd) || !mayEject(s, b.Pool, loads, now) {
 		return time.Time{}
 	}
 	return now.Add(min(maxEjection, baseEjection<<min(l.Ejections, 6)))
@@ -42,14 +42,14 @@
 // median of its peers.
 func IsSlow(s state.State, b value.BackendServer, loads Loads, rnd policy.Rand) bool {
 	l := loads(b.ID)
-	typical := medianFirstToken(s.Members(b.Pool), b.ID, loads, rnd)
+	typical := medianFirstToken(s.PoolServers(b.Pool), b.ID, loads, rnd)
 	return typical > 0 && float64(l.FirstToken.Mean) > slowFactor*float64(typical)
 }
 
 // HasRecovered reports whether an ejection has ended and the server answers normally again.
 func HasRecovered(s state.State, b value.BackendServer, loads Loads, rnd policy.Rand, now time.Time) bool {
 	l := loads(b.ID)
-	return l.Ejections > 0 && !l.Ejected.After(now) && l.Failures == 0 && !IsSlow(s, b, loads, rnd)
+	return l.Ejections > 0 && !l.EjectedUntil.After(now) && l.Failures == 0 && !IsSlow(s, b, loads, rnd)
 }
 
 func isOutlier(s state.State, b value.BackendServer, l value.Load, loads Loads, rnd policy.Rand) bool {
@@ -88,10 +88,10 @@
 // ejected.
 func mayEject(s state.State, p value.PoolName, loads Loads, now time.Time) bool {
 	pool, _ := s.Pool(p)
-	members := s.Members(p)
+	members := s.PoolServers(p)
 	healthy := 0
 	for _, b := range members {
-		if !loads(b.ID).Ejected.After(now) {
+		if !loads(b.ID).EjectedUntil.After(now) {
 			healthy++
 		}
 	}
--- a/core/query/explain_test.go
+++ b/core/query/explain_test.go
@@ -28,7 +28,7 @@
 		Kinds:    []value.Kind{{Name: "draft", Model: "m", QualityTarget: 0.9}},
 		RollOuts: []value.RollOut{{Name: "r", Model: "m", From: "s", To: "h", Stages: []value.Stage{{Percent: 100}}}},
 	}
-	s := state.New(value.Instance{ID: "a"}).WithConfig(value.Accepted{Document: document, Revision: 1})
+	s := state.New(value.Instance{ID: "a"}).WithConfig(value.AcceptedDocument{Document: document, Revision: 1})
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	r := value.Request{ID: "q", Account: "ward", Kind: "draft"}
 	decisions := []value.Decision{
--- a/core/query/fanout.go
+++ b/core/query/fanout.go
@@ -14,15 +14,15 @@
 	sparesPerReader = 3
 )
 
-// Reads reports whether the instance is one of the few in its failure domain that watch the
+// IsConfigReader reports whether the instance is one of the few in its failure domain that watch the
 // key-value service for configuration; every instance computes this from its own snapshot, without
 // a write.
 //
 // Instances that are not live are skipped, so that a suspected reader is replaced before it is
 // removed.
-func Reads(s state.State, t fleet.Timing) bool {
+func IsConfigReader(s state.State, t fleet.Timing) bool {
 	readers := 0
-	for _, id := range s.Domain(s.Self.FailureDomain).Top(readerRankingKey, t.Readers*(1+sparesPerReader)) {
+	for _, id := range s.DomainOwners(s.Self.FailureDomain).Top(readerRankingKey, t.Readers*(1+sparesPerReader)) {
 		if i, ok := s.Instance(id); !ok || i.State != value.InstanceLive {
 			continue
 		}
--- a/core/query/flush.go
+++ b/core/query/flush.go
@@ -14,10 +14,10 @@
 	maxFleetFlushRate = 100
 )
 
-// FlushEvery returns the time between an instance's flushes of bills; it grows with the fleet, so
+// FlushInterval returns the time between an instance's flushes of bills; it grows with the fleet, so
 // that the flushes of all instances stay within their part of the key-value service's write
 // capacity.
-func FlushEvery(s state.State) time.Duration {
+func FlushInterval(s state.State) time.Duration {
 	byRate := time.Duration(s.LiveInstances()) * time.Second / maxFleetFlushRate
 	return max(minFlushInterval, byRate)
 }
--- a/core/query/hedge.go
+++ b/core/query/hedge.go
@@ -24,15 +24,15 @@
 )
 
 // firstTokenQuantile configures the estimate of the time to first token for hedging.
-var firstTokenQuantile = policy.QuantileConfig{Of: hedgeQuantile, Step: quantileStep, MinSeen: quantileMinSamples}
+var firstTokenQuantile = policy.QuantileConfig{Of: hedgeQuantile, Step: quantileStep, MinSamples: quantileMinSamples}
 
-// HedgeAfter returns how long to wait for the first token before a hedged attempt starts; zero
+// HedgeDelay returns how long to wait for the first token before a hedged attempt starts; zero
 // means that the request is not hedged.
-func HedgeAfter(s state.State, k value.Kind, h History) time.Duration {
+func HedgeDelay(s state.State, k value.Kind, h History) time.Duration {
 	if !k.Idempotent || s.Config.Document.Limits.HedgePercent <= 0 {
 		return 0
 	}
-	p95 := h.First.Value(firstTokenQuantile)
+	p95 := h.FirstToken.Value(firstTokenQuantile)
 	if p95 == 0 {
 		return 0
 	}
--- a/core/query/holders.go
+++ b/core/query/holders.go
@@ -15,12 +15,12 @@
 	maxReplicaDraws = 32
 )
 
-// Holders returns the instances that store copies of this one's bills: live ones, preferably in
+// BillReplicas returns the instances that store copies of this one's bills: live ones, preferably in
 // other failure domains. They stay the same as long as the fleet does.
 //
 // They are the owners of hash slots derived from the instance's identifier, so that the cost of a
 // call does not depend on the size of the fleet.
-func Holders(s state.State) []value.Instance {
+func BillReplicas(s state.State) []value.Instance {
 	var remote, local []value.Instance
 	for draw := range maxReplicaDraws {
 		i, ok := Owner(s, Slot(string(s.Self.ID)+"/"+strconv.Itoa(draw)))
@@ -52,12 +52,12 @@
 // departureGrace is how long a leaving instance has to flush its own bills.
 const departureGrace = 40 * time.Second
 
-// Departed reports whether the holders should write their copies of the instance's bills to the
+// NeedsBillTakeover reports whether the holders should write their copies of the instance's bills to the
 // store, because the instance has departed or has been leaving for departureGrace.
 //
 // This is safe even if the instance still runs: the segments of its chain are created by
 // compare-and-swap in the store, so that the instance and the holders may write them concurrently.
-func Departed(s state.State, id value.InstanceID, now time.Time) bool {
+func NeedsBillTakeover(s state.State, id value.InstanceID, now time.Time) bool {
 	i, ok := s.Instance(id)
 	if !ok {
 		return false
@@ -65,8 +65,8 @@
 	return i.State == value.InstanceGone || i.State == value.InstanceLeaving && now.Sub(i.Since) >= departureGrace
 }
 
-// Gone reports whether this instance knows that the other one has departed.
-func Gone(s state.State, id value.InstanceID) bool {
+// HasDeparted reports whether this instance knows that the other one has departed.
+func HasDeparted(s state.State, id value.InstanceID) bool {
 	i, ok := s.Instance(id)
 	return ok && i.State == value.InstanceGone
 }
--- a/core/query/length.go
+++ b/core/query/length.go
@@ -28,39 +28,39 @@
 
 // History holds the timings observed in earlier attempts of a class.
 type History struct {
-	// Run is the mean duration of a completed attempt.
-	Run policy.Smooth
-	// First estimates the hedgeQuantile of the time to first token.
-	First policy.Quantile
+	// Duration is the mean duration of a completed attempt.
+	Duration policy.DecayingMean
+	// FirstToken estimates the hedgeQuantile of the time to first token.
+	FirstToken policy.Quantile
 }
 
 var (
-	historySmoothing = policy.SmoothConfig{HalfLife: time.Minute, MaxWeight: 32}
-	medianAttempt    = policy.QuantileConfig{Of: 0.5, Step: 0.05, MinSeen: 20}
+	historySmoothing = policy.DecayingMeanConfig{HalfLife: time.Minute, MaxWeight: 32}
+	medianAttempt    = policy.QuantileConfig{Of: 0.5, Step: 0.05, MinSamples: 20}
 )
 
-// FirstSmooth configures the average of a backend server's time to first token.
-var FirstSmooth = policy.SmoothConfig{HalfLife: estimateHalfLife, MaxWeight: 4}
+// FirstTokenSmoothing configures the average of a backend server's time to first token.
+var FirstTokenSmoothing = policy.DecayingMeanConfig{HalfLife: estimateHalfLife, MaxWeight: 4}
 
-// WithRun returns a history that includes a completed attempt of the given duration.
-func (h History) WithRun(duration time.Duration, at time.Time) History {
-	h.Run = h.Run.With(historySmoothing, duration, at)
+// WithAttempt returns a history that includes a completed attempt of the given duration.
+func (h History) WithAttempt(duration time.Duration, at time.Time) History {
+	h.Duration = h.Duration.With(historySmoothing, duration, at)
 	return h
 }
 
-// WithFirst returns a history that includes the given time to first token.
-func (h History) WithFirst(elapsed time.Duration) History {
-	h.First = h.First.With(firstTokenQuantile, elapsed)
+// WithFirstToken returns a history that includes the given time to first token.
+func (h History) WithFirstToken(elapsed time.Duration) History {
+	h.FirstToken = h.FirstToken.With(firstTokenQuantile, elapsed)
 	return h
 }
 
-// Typical estimates the median duration of an instance's completed attempts of all classes.
-type Typical struct {
+// MedianDuration estimates the median duration of an instance's completed attempts of all classes.
+type MedianDuration struct {
 	duration policy.Quantile
 }
 
-// WithRun returns an estimate that includes a completed attempt of the given duration.
-func (t Typical) WithRun(duration time.Duration) Typical {
+// WithAttempt returns an estimate that includes a completed attempt of the given duration.
+func (t MedianDuration) WithAttempt(duration time.Duration) MedianDuration {
 	t.duration = t.duration.With(medianAttempt, duration)
 	return t
 }
@@ -68,10 +68,10 @@
 // longFactor is how many times the median duration makes an attempt long.
 const longFactor = 8.0
 
-// Length is the estimate of an attempt's duration.
-type Length struct {
-	// Run is the expected duration; zero means that it is not known.
-	Run time.Duration
+// DurationEstimate is the estimate of an attempt's duration.
+type DurationEstimate struct {
+	// Duration is the expected duration; zero means that it is not known.
+	Duration time.Duration
 	// Cost is the duration as a multiple of the median one, at least minCost; it is 1 if either is
 	// not known.
 	Cost float64
@@ -81,12 +81,12 @@
 
 const minCost = 0.1
 
-// Expect estimates an attempt's duration from the history of its class.
-func Expect(h History, t Typical) Length {
+// EstimateDuration estimates an attempt's duration from the history of its class.
+func EstimateDuration(h History, t MedianDuration) DurationEstimate {
 	typical := t.duration.Value(medianAttempt)
-	if h.Run.Weight == 0 || typical == 0 {
-		return Length{Run: h.Run.Mean, Cost: 1}
+	if h.Duration.Weight == 0 || typical == 0 {
+		return DurationEstimate{Duration: h.Duration.Mean, Cost: 1}
 	}
-	cost := float64(h.Run.Mean) / float64(typical)
-	return Length{Run: h.Run.Mean, Cost: max(cost, minCost), Long: cost >= longFactor}
+	cost := float64(h.Duration.Mean) / float64(typical)
+	return DurationEstimate{Duration: h.Duration.Mean, Cost: max(cost, minCost), Long: cost >= longFactor}
 }
--- a/core/query/limit.go
+++ b/core/query/limit.go
@@ -15,13 +15,13 @@
 	shortReserve = 0.25
 )
 
-// Limits returns how the instance limits its concurrent requests at each server of the pool, and
+// LimiterFor returns how the instance limits its concurrent requests at each server of the pool, and
 // false if the pool sets no limit.
 //
 // The pool's limit applies to one server. Each live instance starts with an equal part of it and
 // adapts to the observed latency, so that an instance with more demand uses capacity that others
 // leave free.
-func Limits(s state.State, p value.PoolName) (policy.LimiterConfig, bool) {
+func LimiterFor(s state.State, p value.PoolName) (policy.LimiterConfig, bool) {
 	pool, ok := s.Pool(p)
 	if !ok || pool.MaxInFlight <= 0 {
 		return policy.LimiterConfig{}, false
@@ -32,18 +32,18 @@
 func limiterConfig(s state.State, p value.Pool) policy.LimiterConfig {
 	maxInFlight := float64(p.MaxInFlight)
 	return policy.LimiterConfig{
-		First:     max(1, maxInFlight/float64(max(1, s.LiveInstances()))),
-		Least:     1,
-		Most:      maxInFlight,
+		Initial:   max(1, maxInFlight/float64(max(1, s.LiveInstances()))),
+		Min:       1,
+		Max:       maxInFlight,
 		Tolerance: latencyTolerance,
 		Backoff:   overloadBackoff,
 		Drift:     baselineDrift,
 	}
 }
 
-// HasRoom reports whether the server has capacity for one more request of this instance.
-func HasRoom(s state.State, p value.PoolName, l value.Load, long bool) bool {
-	c, bounded := Limits(s, p)
+// HasCapacity reports whether the server has capacity for one more request of this instance.
+func HasCapacity(s state.State, p value.PoolName, l value.Load, long bool) bool {
+	c, bounded := LimiterFor(s, p)
 	if !bounded {
 		return true
 	}
--- a/core/query/members.go
+++ b/core/query/members.go
@@ -23,14 +23,14 @@
 	// The offset keeps the instances from changing their views all at once.
 	offset := time.Duration(xxhash.Sum64String(self) % uint64(t.Rotation))
 	epoch := now.Add(offset).UnixNano() / int64(t.Rotation)
-	ids := s.Owners().Top(self+"/"+strconv.FormatInt(epoch, 10), t.View+1)
+	ids := s.Owners().Top(self+"/"+strconv.FormatInt(epoch, 10), t.ViewSize+1)
 	view := make([]value.Instance, 0, len(ids))
 	for _, id := range ids {
 		if i, ok := s.Instance(id); ok && id != s.Self.ID {
 			view = append(view, i)
 		}
 	}
-	return view[:min(len(view), t.View)]
+	return view[:min(len(view), t.ViewSize)]
 }
 
 // ProbeTarget returns the instance to probe next, and false if there is none.
@@ -38,7 +38,7 @@
 // On average one probe in t.Reconnect goes to an instance that counts as departed but is still on
 // the platform's list. This is how the parts of a partitioned fleet find each other again.
 func ProbeTarget(s state.State, t fleet.Timing, rnd policy.Rand, now time.Time) (value.Instance, bool) {
-	if departed := departedButListed(s); len(departed) > 0 && rnd.IntN(t.Reconnect) == 0 {
+	if departed := departedButListed(s); len(departed) > 0 && rnd.IntN(t.ProbesPerReconnect) == 0 {
 		return departed[rnd.IntN(len(departed))], true
 	}
 	view := View(s, t, now)
@@ -50,7 +50,7 @@
 
 func departedButListed(s state.State) []value.Instance {
 	var departed []value.Instance
-	for id := range s.Unsettled().All() {
+	for id := range s.NotLive().All() {
 		if i, ok := s.Instance(id); ok && i.Listed && i.State == value.InstanceGone {
 			departed = append(departed, i)
 		}
@@ -58,10 +58,10 @@
 	return departed
 }
 
-// Helpers returns random instances of the view to ask for an indirect probe of the target.
-func Helpers(s state.State, t fleet.Timing, target value.InstanceID, rnd policy.Rand, now time.Time) []value.Instance {
+// IndirectProbers returns random instances of the view to ask for an indirect probe of the target.
+func IndirectProbers(s state.State, t fleet.Timing, target value.InstanceID, rnd policy.Rand, now time.Time) []value.Instance {
 	view := slices.DeleteFunc(View(s, t, now), func(i value.Instance) bool { return i.ID == target })
-	return pickRandom(view, t.Helpers, rnd)
+	return pickRandom(view, t.IndirectProbes, rnd)
 }
 
 // PushTargets returns random instances of the view to send a new configuration to at once.
@@ -69,18 +69,18 @@
 	return pickRandom(View(s, t, now), t.Fanout, rnd)
 }
 
-// News returns the membership updates for a gossip message to the instance, those that have the
+// Updates returns the membership updates for a gossip message to the instance, those that have the
 // most transmissions left first.
 //
 // If the receiver itself is not considered live, its own entry comes first, so that it can refute
 // that.
-func News(s state.State, t fleet.Timing, to value.InstanceID) []value.Instance {
+func Updates(s state.State, t fleet.Timing, to value.InstanceID) []value.Instance {
 	type pendingUpdate struct {
 		id        value.InstanceID
 		remaining int
 	}
 	var pending []pendingUpdate
-	for id, remaining := range s.Rumours().All() {
+	for id, remaining := range s.PendingUpdates().All() {
 		if id != s.Self.ID && id != to {
 			pending = append(pending, pendingUpdate{id: id, remaining: remaining})
 		}
@@ -88,11 +88,11 @@
 	slices.SortFunc(pending, func(a, b pendingUpdate) int {
 		return cmp.Or(cmp.Compare(b.remaining, a.remaining), cmp.Compare(a.id, b.id))
 	})
-	updates := make([]value.Instance, 0, t.Batch)
+	updates := make([]value.Instance, 0, t.MaxUpdates)
 	if i, ok := s.Instance(to); ok && i.State != value.InstanceLive {
 		updates = append(updates, i)
 	}
-	for _, next := range pending[:min(len(pending), t.Batch)] {
+	for _, next := range pending[:min(len(pending), t.MaxUpdates)] {
 		if i, ok := s.Instance(next.id); ok {
 			updates = append(updates, i)
 		}
--- a/core/query/pace.go
+++ b/core/query/pace.go
@@ -6,27 +6,27 @@
 	"endivehitch/core/policy"
 )
 
-// Pace measures the throughput of this instance's attempts at one target; the zero value has no
+// Throughput measures the throughput of this instance's attempts at one target; the zero value has no
 // samples.
-type Pace struct {
+type Throughput struct {
 	inFlight int
-	duration policy.Smooth
+	duration policy.DecayingMean
 }
 
 // WithStart returns a pace with one more attempt in flight.
-func (p Pace) WithStart() Pace {
+func (p Throughput) WithStart() Throughput {
 	p.inFlight++
 	return p
 }
 
 // WithEnd returns a pace with one attempt less in flight.
-func (p Pace) WithEnd() Pace {
+func (p Throughput) WithEnd() Throughput {
 	p.inFlight--
 	return p
 }
 
-// WithRun returns a pace that includes a completed attempt of the given duration.
-func (p Pace) WithRun(duration time.Duration, at time.Time) Pace {
+// WithAttempt returns a pace that includes a completed attempt of the given duration.
+func (p Throughput) WithAttempt(duration time.Duration, at time.Time) Throughput {
 	p.duration = p.duration.With(historySmoothing, duration, at)
 	return p
 }
@@ -36,7 +36,7 @@
 //
 // It is the number of attempts in flight divided by their mean duration. The rate of earlier
 // completions would not do, because it shows the demand and not what the servers can handle.
-func (p Pace) PerSecond() float64 {
+func (p Throughput) PerSecond() float64 {
 	if p.inFlight <= 0 || p.duration.Mean <= 0 {
 		return 0
 	}
--- a/core/query/place.go
+++ b/core/query/place.go
@@ -18,40 +18,40 @@
 	ReasonFreesCapacity         value.Reason = "RoomForAnotherVersion"
 )
 
-// PlaceRule configures the placement of versions on backend servers.
-type PlaceRule struct {
+// PlacementRule configures the placement of versions on backend servers.
+type PlacementRule struct {
 	// VersionsPerServer is how many versions one server can carry.
 	VersionsPerServer int
 	// Domains is in how many failure domains each version is to be loaded, if the pool has as many.
 	Domains int
 }
 
-// Wants is the demand that placement has to meet at present.
-type Wants struct {
+// PlacementDemand is the demand that placement has to meet at present.
+type PlacementDemand struct {
 	// Demand is each version's work as the number of servers that it would keep busy.
 	Demand map[value.VersionKey]float64
 	// Sessions counts the sessions that are pinned to each version.
 	Sessions map[value.VersionKey]int
-	// Loads is how many loads the weight store allows now.
-	Loads int
+	// MaxLoads is how many loads the weight store allows now.
+	MaxLoads int
 }
 
 // Placement is an order to load or unload a version, independent of the server's engine.
 type Placement struct {
 	Server  value.BackendServer
 	Version value.VersionKey
-	// Carry is true for a load and false for an unload.
-	Carry  bool
+	// Load is true for a load and false for an unload.
+	Load   bool
 	Reason value.Reason
 }
 
-// Place returns the orders that bring the backend servers closer to what is wanted: first the
+// PlanPlacement returns the orders that bring the backend servers closer to what is wanted: first the
 // unloads of withdrawn versions, then loads by urgency, with the unloads that free capacity for
 // them.
 //
 // The orders have to be carried out in sequence, because a load may depend on the unload before it
 // that frees the capacity. After a failed order the rest is void and Place has to be called again.
-func Place(s state.State, r PlaceRule, w Wants) []Placement {
+func PlanPlacement(s state.State, r PlacementRule, w PlacementDemand) []Placement {
 	p := &planner{
 		state:    s,
 		rule:     r,
@@ -61,7 +61,7 @@
 		domains:  make(map[value.PoolName]int),
 	}
 	for _, pool := range s.Config.Document.Pools {
-		p.domains[pool.Name] = countDomains(s.Members(pool.Name))
+		p.domains[pool.Name] = countDomains(s.PoolServers(pool.Name))
 	}
 	orders := p.unloadWithdrawn()
 	return append(orders, p.load()...)
@@ -70,8 +70,8 @@
 // planner computes the orders of one call of Place.
 type planner struct {
 	state state.State
-	rule  PlaceRule
-	wants Wants
+	rule  PlacementRule
+	wants PlacementDemand
 	// carried and carriers hold the entries that the orders so far have changed from the state.
 	carried  map[value.ServerID][]value.VersionKey
 	carriers map[value.VersionKey][]value.BackendServer
@@ -93,7 +93,7 @@
 	if changed, ok := p.carriers[k]; ok {
 		return changed
 	}
-	return p.state.Carriers(k)
+	return p.state.VersionServers(k)
 }
 
 // requiredDomains returns in how many failure domains a version of the pool is to be loaded.
@@ -120,14 +120,14 @@
 // load uses the loads that the weight store allows for the most urgent needs.
 func (p *planner) load() []Placement {
 	var orders []Placement
-	for remaining := p.wants.Loads; remaining > 0; {
+	for remaining := p.wants.MaxLoads; remaining > 0; {
 		n, ok := p.mostUrgent()
 		if !ok {
 			break
 		}
 		order := p.orderFor(n)
 		orders = append(orders, order)
-		if order.Carry {
+		if order.Load {
 			remaining--
 		}
 	}
@@ -208,7 +208,7 @@
 		carriersByDomain[b.FailureDomain]++
 	}
 	found := false
-	for _, b := range p.state.Members(n.pool) {
+	for _, b := range p.state.PoolServers(n.pool) {
 		evict, ok := p.evictionFor(b, n)
 		if !ok || n.reason == ReasonTooFewDomains && carriersByDomain[b.FailureDomain] > 0 {
 			continue
@@ -265,7 +265,7 @@
 	}
 	p.carried[n.server.ID] = append(slices.Clone(p.plannedVersions(n.server)), n.version)
 	p.carriers[n.version] = append(slices.Clone(p.plannedCarriers(n.version)), n.server)
-	return Placement{Server: n.server, Version: n.version, Carry: true, Reason: n.reason}
+	return Placement{Server: n.server, Version: n.version, Load: true, Reason: n.reason}
 }
 
 func (p *planner) unload(b value.BackendServer, k value.VersionKey, reason value.Reason) Placement {
--- a/core/query/place_test.go
+++ b/core/query/place_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-var placeRule = query.PlaceRule{VersionsPerServer: 2, Domains: 2}
+var placeRule = query.PlacementRule{VersionsPerServer: 2, Domains: 2}
 
 // poolState returns a state with one pool of servers in three failure domains, and versions m/v0,
 // m/v1 and so on.
@@ -30,7 +30,7 @@
 	for i := range versions {
 		m.Versions = append(m.Versions, value.Version{Name: fmt.Sprintf("v%d", i), Pool: "p", Withdrawn: slices.Contains(withdrawn, i)})
 	}
-	s := state.New(liveInstance("a")).WithConfig(value.Accepted{Revision: 1, Document: value.Document{
+	s := state.New(liveInstance("a")).WithConfig(value.AcceptedDocument{Revision: 1, Document: value.Document{
 		Models: []value.Model{m}, Pools: []value.Pool{{Name: "p"}},
 	}})
 	for i := range servers {
@@ -52,7 +52,7 @@
 	for _, o := range orders {
 		b, _ := s.Server(o.Server.ID)
 		versions := slices.DeleteFunc(slices.Clone(b.Versions), func(k value.VersionKey) bool { return k == o.Version })
-		if o.Carry {
+		if o.Load {
 			versions = append(versions, o.Version)
 		}
 		s = s.WithServer(b.WithVersions(versions...))
@@ -62,7 +62,7 @@
 
 func countDomains(s state.State, k value.VersionKey) int {
 	seen := make(map[value.FailureDomain]bool)
-	for _, b := range s.Carriers(k) {
+	for _, b := range s.VersionServers(k) {
 		seen[b.FailureDomain] = true
 	}
 	return len(seen)
@@ -70,8 +70,8 @@
 
 func TestLimitedLoadsGoToTheMostUrgentNeeds(t *testing.T) {
 	s := withVersions(poolState(6, 3), "s0", "m/v1")
-	w := query.Wants{Demand: map[value.VersionKey]float64{"m/v1": 3, "m/v2": 1}, Loads: 3}
-	orders := query.Place(s, placeRule, w)
+	w := query.PlacementDemand{Demand: map[value.VersionKey]float64{"m/v1": 3, "m/v2": 1}, MaxLoads: 3}
+	orders := query.PlanPlacement(s, placeRule, w)
 	assert.Equal(t, len(orders), 3)
 	assert.Equal(t, orders[0].Version, value.VersionKey("m/v2"))
 	assert.Equal(t, orders[0].Reason, query.ReasonNoCarrier)
@@ -86,8 +86,8 @@
 	for _, id := range []value.ServerID{"s0", "s1", "s2"} {
 		s = withVersions(s, id, "m/v0", "m/v1")
 	}
-	w := query.Wants{Demand: map[value.VersionKey]float64{"m/v0": 3, "m/v1": 0.5}, Loads: 5}
-	orders := query.Place(s, placeRule, w)
+	w := query.PlacementDemand{Demand: map[value.VersionKey]float64{"m/v0": 3, "m/v1": 0.5}, MaxLoads: 5}
+	orders := query.PlanPlacement(s, placeRule, w)
 	assert.Equal(t, len(orders), 2)
 	assert.Equal(t, orders[0].Version, value.VersionKey("m/v1"))
 	assert.Equal(t, orders[0].Reason, query.ReasonFreesCapacity)
@@ -100,19 +100,19 @@
 	for _, id := range []value.ServerID{"s0", "s1", "s2"} {
 		s = withVersions(s, id, "m/v0")
 	}
-	pinned := query.Wants{Sessions: map[value.VersionKey]int{"m/v0": 1}, Demand: map[value.VersionKey]float64{"m/v0": 9}, Loads: 9}
-	orders := query.Place(s, placeRule, pinned)
+	pinned := query.PlacementDemand{Sessions: map[value.VersionKey]int{"m/v0": 1}, Demand: map[value.VersionKey]float64{"m/v0": 9}, MaxLoads: 9}
+	orders := query.PlanPlacement(s, placeRule, pinned)
 	assert.Equal(t, len(orders), 2)
-	assert.Equal(t, len(query.Place(s, placeRule, query.Wants{})), 3)
-	assert.Equal(t, len(query.Place(applyOrders(s, orders), placeRule, pinned)), 0)
+	assert.Equal(t, len(query.PlanPlacement(s, placeRule, query.PlacementDemand{})), 3)
+	assert.Equal(t, len(query.PlanPlacement(applyOrders(s, orders), placeRule, pinned)), 0)
 }
 
 func TestVersionWithdrawnByCommandIsUnloadedAndNotLoadedAgain(t *testing.T) {
 	s := withVersions(poolState(3, 2), "s0", "m/v0").WithWithdrawal(value.Withdrawal{Version: "m/v0"})
-	orders := query.Place(s, placeRule, query.Wants{Demand: map[value.VersionKey]float64{"m/v0": 3}, Loads: 9})
+	orders := query.PlanPlacement(s, placeRule, query.PlacementDemand{Demand: map[value.VersionKey]float64{"m/v0": 3}, MaxLoads: 9})
 	assert.Equal(t, orders[0].Reason, query.ReasonWithdrawn)
 	for _, o := range orders {
-		assert.Equal(t, o.Carry, o.Version == "m/v1")
+		assert.Equal(t, o.Load, o.Version == "m/v1")
 	}
 }
 
@@ -120,9 +120,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		servers, versions := rapid.IntRange(4, 12).Draw(t, "servers"), rapid.IntRange(1, 4).Draw(t, "versions")
 		s := poolState(servers, versions, rapid.IntRange(0, 5).Draw(t, "withdrawn"))
-		w := query.Wants{
+		w := query.PlacementDemand{
 			Demand: make(map[value.VersionKey]float64), Sessions: make(map[value.VersionKey]int),
-			Loads: rapid.IntRange(1, 4).Draw(t, "loads"),
+			MaxLoads: rapid.IntRange(1, 4).Draw(t, "loads"),
 		}
 		for i := range versions {
 			k := value.VersionKey(fmt.Sprintf("m/v%d", i))
@@ -137,7 +137,7 @@
 		}
 		for rounds := 0; ; rounds++ {
 			assert.Assert(t, rounds < 100, "placement does not converge")
-			orders := query.Place(s, placeRule, w)
+			orders := query.PlanPlacement(s, placeRule, w)
 			if len(orders) == 0 {
 				break
 			}
@@ -153,15 +153,15 @@
 }
 
 // applyChecked carries out the orders one by one and checks the placement rules after each.
-func applyChecked(t *rapid.T, s state.State, orders []query.Placement, w query.Wants) state.State {
+func applyChecked(t *rapid.T, s state.State, orders []query.Placement, w query.PlacementDemand) state.State {
 	loads := 0
 	for _, o := range orders {
-		carriersBefore := len(s.Carriers(o.Version))
+		carriersBefore := len(s.VersionServers(o.Version))
 		s = applyOrders(s, []query.Placement{o})
 		v, _ := s.Version(o.Version)
 		b, _ := s.Server(o.Server.ID)
 		assert.Assert(t, len(b.Versions) <= placeRule.VersionsPerServer)
-		if o.Carry {
+		if o.Load {
 			loads++
 			assert.Assert(t, !v.Withdrawn, "a withdrawn version was loaded")
 			continue
@@ -169,7 +169,7 @@
 		assert.Assert(t, carriersBefore > 1 || w.Sessions[o.Version] == 0, "a version with sessions lost its last server")
 		assert.Assert(t, v.Withdrawn || countDomains(s, o.Version) >= placeRule.Domains, "an unload left the version in too few failure domains")
 	}
-	assert.Assert(t, loads <= w.Loads)
+	assert.Assert(t, loads <= w.MaxLoads)
 	return s
 }
 
@@ -177,9 +177,9 @@
 	for _, n := range []int{10, 100, 1000, 10000} {
 		b.Run(fmt.Sprintf("Servers%d", n), func(b *testing.B) {
 			s := poolState(n, 38)
-			w := query.Wants{Demand: map[value.VersionKey]float64{"m/v1": float64(n) / 2}, Loads: 10}
+			w := query.PlacementDemand{Demand: map[value.VersionKey]float64{"m/v1": float64(n) / 2}, MaxLoads: 10}
 			for b.Loop() {
-				query.Place(s, placeRule, w)
+				query.PlanPlacement(s, placeRule, w)
 			}
 		})
 	}
@@ -189,5 +189,5 @@
 	s := withVersions(poolState(4, 3), "s0", "m/v0")
 	s = withVersions(s, "s1", "m/v1", "m/v2")
 	s = withVersions(s, "s2", "m/v1", "m/v2")
-	assert.Equal(t, len(query.Place(s, placeRule, query.Wants{Loads: 3})), 0)
+	assert.Equal(t, len(query.PlanPlacement(s, placeRule, query.PlacementDemand{MaxLoads: 3})), 0)
 }
--- a/core/query/plan.go
+++ b/core/query/plan.go
@@ -31,15 +31,15 @@
 	return p.Versions[len(p.Versions)-1]
 }
 
-// Choose returns the cheapest allowed version, or cascade of versions, whose lower bound of quality
+// ChoosePlan returns the cheapest allowed version, or cascade of versions, whose lower bound of quality
 // meets the kind's target; the error is a value.Refusal.
 //
 // If no version is known to meet the target, it returns the one with the best lower bound. A
 // session that is pinned to an allowed version stays on it.
-func Choose(s state.State, a Admitted, r value.Request, now time.Time) (Plan, error) {
+func ChoosePlan(s state.State, a Admitted, r value.Request, now time.Time) (Plan, error) {
 	c := chooser{state: &s, kind: a.Kind, request: r, now: now}
-	c.menu, _ = s.Menu(a.Kind.Name)
-	c.granted = s.Granted(a.Account.Name, a.Kind.Name)
+	c.menu, _ = s.Candidates(a.Kind.Name)
+	c.granted = s.AllowedCandidates(a.Account.Name, a.Kind.Name)
 	if p, ok := c.pinnedPlan(); ok {
 		return p, nil
 	}
@@ -60,7 +60,7 @@
 // chooser holds the inputs of one call of Choose.
 type chooser struct {
 	state   *state.State
-	menu    state.Menu
+	menu    state.CandidateSet
 	granted []bool
 	kind    value.Kind
 	request value.Request
@@ -93,7 +93,7 @@
 	p = c.considerCascade(p)
 	p = c.considerExploration(p)
 	p = c.applyStage(p)
-	p.Candidates = len(c.menu.Offers)
+	p.Candidates = len(c.menu.Candidates)
 	if c.request.Pinned != "" && c.state.Withdrawn(c.request.Pinned) {
 		p.Reason = value.ReasonVersionRetired
 	}
@@ -104,7 +104,7 @@
 func (c *chooser) cheapest() (Plan, bool) {
 	found := -1
 	var lowest int64
-	for i := range c.menu.Offers {
+	for i := range c.menu.Candidates {
 		// Offers are sorted by their usual cost, so that the more expensive checks are rarely
 		// reached.
 		if cost := c.cost(i); found < 0 || cost < lowest {
@@ -123,7 +123,7 @@
 func (c *chooser) bestLowerBound() (Plan, bool) {
 	found := -1
 	var highest float64
-	for i := range c.menu.Offers {
+	for i := range c.menu.Candidates {
 		if lower := c.lowerBound(i); (found < 0 || lower > highest) && c.eligible(i) {
 			found, highest = i, lower
 		}
@@ -136,9 +136,9 @@
 
 func (c *chooser) singleVersion(i int, reason value.Reason) Plan {
 	return Plan{
-		Versions:   c.menu.Offers[i].Alone,
+		Versions:   c.menu.Candidates[i].SinglePlan,
 		Reason:     reason,
-		Candidates: len(c.menu.Offers),
+		Candidates: len(c.menu.Candidates),
 		CostMicros: c.cost(i),
 		Quality:    c.lowerBound(i),
 	}
@@ -151,14 +151,14 @@
 // eligible reports whether the version may be chosen for its own estimate: it can take the request,
 // and no roll-out holds it back or has replaced it.
 func (c *chooser) eligible(i int) bool {
-	o := &c.menu.Offers[i]
-	if o.Held || !c.canTake(i) {
+	o := &c.menu.Candidates[i]
+	if o.RollOutOnly || !c.canTake(i) {
 		return false
 	}
 	// Once the roll-out is done, the new version takes the old one's place, if it can take the
 	// request.
-	replaced := o.Next.Percent >= fullPercent && !c.menu.Offers[o.Next.Offer].Held
-	return !replaced || !c.canTake(o.Next.Offer)
+	replaced := o.Replacement.Percent >= fullPercent && !c.menu.Candidates[o.Replacement.Candidate].RollOutOnly
+	return !replaced || !c.canTake(o.Replacement.Candidate)
 }
 
 func (c *chooser) lowerBound(i int) float64 {
@@ -166,9 +166,9 @@
 }
 
 func (c *chooser) qualityBound(i int) policy.Bound {
-	return c.menu.Offers[i].Bound(c.now)
+	return c.menu.Candidates[i].Bound(c.now)
 }
 
 func (c *chooser) cost(i int) int64 {
-	return c.menu.Offers[i].Version.Cost(c.request.InputTokens, c.request.MaxTokens)
+	return c.menu.Candidates[i].Version.Cost(c.request.InputTokens, c.request.MaxTokens)
 }
--- a/core/query/plan_measure_test.go
+++ b/core/query/plan_measure_test.go
@@ -73,7 +73,7 @@
 		b.Fatal(err)
 	}
 	planOnce := func() {
-		if _, err := query.Choose(s, a, r, now); err != nil {
+		if _, err := query.ChoosePlan(s, a, r, now); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/core/query/plan_test.go
+++ b/core/query/plan_test.go
@@ -46,7 +46,7 @@
 }
 
 func installed(d value.Document) state.State {
-	s, _ := cmds.InstallConfig{Accepted: value.Accepted{Document: d, Revision: 1}}.Apply(state.New(value.Instance{ID: "a"}), start)
+	s, _ := cmds.InstallConfig{Accepted: value.AcceptedDocument{Document: d, Revision: 1}}.Apply(state.New(value.Instance{ID: "a"}), start)
 	return s
 }
 
@@ -61,7 +61,7 @@
 	t.Helper()
 	a, err := query.Admit(s, r, start)
 	assert.NilError(t, err)
-	p, err := query.Choose(s, a, r, now)
+	p, err := query.ChoosePlan(s, a, r, now)
 	assert.NilError(t, err)
 	return p
 }
@@ -87,7 +87,7 @@
 		isRejected := (i+1)*rejected/n > i*rejected/n
 		s = s.WithRating(value.Rating{Kind: kind, Version: v, Accepted: !isRejected, At: at})
 	}
-	return s.WithMenu(kind)
+	return s.WithCandidates(kind)
 }
 
 func TestChoosesCheapestVersionWhoseLowerBoundMeetsTarget(t *testing.T) {
@@ -159,6 +159,6 @@
 	d.ClientAccounts[0] = d.ClientAccounts[0].WithVersions()
 	a, err := query.Admit(installed(d), request("spelling", 1), start)
 	assert.NilError(t, err)
-	_, err = query.Choose(installed(d), a, request("spelling", 1), start)
+	_, err = query.ChoosePlan(installed(d), a, request("spelling", 1), start)
 	assert.ErrorContains(t, err, string(value.ReasonNoVersion))
 }
--- a/core/query/promote.go
+++ b/core/query/promote.go
@@ -10,9 +10,9 @@
 // value.ChangeRefused.
 //
 // An empty digest asks for the document in force in trial.
-func Promote(trial, production value.Standing, digest string) (string, error) {
+func Promote(trial, production value.CurrentRecord, digest string) (string, error) {
 	if trial.Revision == 0 {
-		return "", value.ChangeRefused{Reason: value.ReasonNothingKept, Detail: "no document was accepted in trial"}
+		return "", value.ChangeRefused{Reason: value.ReasonNothingStored, Detail: "no document was accepted in trial"}
 	}
 	accepted := trial.Change.Digest
 	if digest != "" && digest != accepted {
--- a/core/query/queue.go
+++ b/core/query/queue.go
@@ -41,8 +41,8 @@
 	return draftWeight
 }
 
-// Entry returns the queue entry of a request, with the item that represents it there.
-func Entry[V any](a Admitted, t Target, l Length, item V) policy.Entry[value.AccountName, Lane, V] {
+// NewQueueEntry returns the queue entry of a request, with the item that represents it there.
+func NewQueueEntry[V any](a Admitted, t Target, l DurationEstimate, item V) policy.Entry[value.AccountName, Lane, V] {
 	return policy.Entry[value.AccountName, Lane, V]{
 		Group:       a.Account.Name,
 		GroupWeight: accountWeight(a.Account),
@@ -69,8 +69,8 @@
 	PerSecond float64
 }
 
-// LineOf returns the state of the queue for a request with the given throughput of its target.
-func LineOf[V any](s state.State, q policy.Fair[value.AccountName, Lane, V], a Admitted, perSecond float64) QueueState {
+// QueueStateOf returns the state of the queue for a request with the given throughput of its target.
+func QueueStateOf[V any](s state.State, q policy.FairQueue[value.AccountName, Lane, V], a Admitted, perSecond float64) QueueState {
 	rank := a.Kind.Priority.Rank()
 	queue := QueueState{
 		Waiting:   q.GroupLen(a.Account.Name),
@@ -85,29 +85,29 @@
 	return queue
 }
 
-// Wait decides whether the request may wait for capacity; the error is a value.Refusal with NotRun
+// CheckWait decides whether the request may wait for capacity; the error is a value.Refusal with NotRun
 // set.
 //
 // Each client account has a part of the queue in proportion to its share, so that one account's
 // demand cannot fill the part of another. The servers' capacity is not divided: it is always used
 // in full.
-func Wait(s state.State, a Admitted, r value.Request, l Length, queue QueueState, now time.Time) error {
+func CheckWait(s state.State, a Admitted, r value.Request, l DurationEstimate, queue QueueState, now time.Time) error {
 	estimate := queue.expectedWait(accountWeight(a.Account))
 	if queue.Waiting >= queueLimit(s, a.Account) {
 		return refuseWithRetryAfter(value.ReasonQueueFull, "queue of the client account is full", estimate)
 	}
-	if remaining := r.Deadline.Sub(now); estimate+l.Run > remaining {
-		detail := fmt.Sprintf("expected wait of %s and run of %s pass the deadline in %s", estimate, l.Run, remaining)
-		return refuseWithRetryAfter(value.ReasonOverloaded, detail, estimate+l.Run-remaining)
+	if remaining := r.Deadline.Sub(now); estimate+l.Duration > remaining {
+		detail := fmt.Sprintf("expected wait of %s and run of %s pass the deadline in %s", estimate, l.Duration, remaining)
+		return refuseWithRetryAfter(value.ReasonOverloaded, detail, estimate+l.Duration-remaining)
 	}
 	return nil
 }
 
-// StillUseful checks whether a request that has waited can still be answered before its deadline;
+// CheckDeadline checks whether a request that has waited can still be answered before its deadline;
 // the error is a value.Refusal.
-func StillUseful(r value.Request, l Length, now time.Time) error {
-	if remaining := r.Deadline.Sub(now); l.Run > remaining {
-		return refuseWithRetryAfter(value.ReasonOverloaded, "deadline is too near for a run", l.Run)
+func CheckDeadline(r value.Request, l DurationEstimate, now time.Time) error {
+	if remaining := r.Deadline.Sub(now); l.Duration > remaining {
+		return refuseWithRetryAfter(value.ReasonOverloaded, "deadline is too near for a run", l.Duration)
 	}
 	return nil
 }
--- a/core/query/report.go
+++ b/core/query/report.go
@@ -14,7 +14,7 @@
 	Revision int64
 	// Newest is the newest configuration revision that the instance knows of.
 	Newest   int64
-	Fleet    []Standing
+	Fleet    []InstanceStatus
 	RollOuts []value.Progress
 }
 
@@ -25,7 +25,7 @@
 		Self:     s.Self.ID,
 		Digest:   s.Config.Digest,
 		Revision: s.Self.Revision,
-		Newest:   s.Newest,
+		Newest:   s.NewestKnown,
 	}
 	for _, i := range fleet {
 		status.Fleet = append(status.Fleet, standingOf(s, i, now))
--- a/core/query/report_test.go
+++ b/core/query/report_test.go
@@ -14,11 +14,11 @@
 
 func TestReportStatesHowLongEachInstanceHasLagged(t *testing.T) {
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	accepted := value.Accepted{Document: value.Document{RollOuts: []value.RollOut{{Name: "r"}}}, Revision: 9}
+	accepted := value.AcceptedDocument{Document: value.Document{RollOuts: []value.RollOut{{Name: "r"}}}, Revision: 9}
 	s, _ := cmds.InstallConfig{Accepted: accepted}.Apply(state.New(value.Instance{ID: "a"}), start)
 	fleet := []value.Instance{
 		s.Self,
-		value.Instance{ID: "b"}.WithRevision(4).WithLagging(start.Add(time.Minute)),
+		value.Instance{ID: "b"}.WithRevision(4).WithLaggingSince(start.Add(time.Minute)),
 		value.Instance{ID: "c"}.WithRevision(9),
 	}
 	got := query.Report(s, fleet, start.Add(5*time.Minute))
--- a/core/query/route.go
+++ b/core/query/route.go
@@ -34,12 +34,12 @@
 // Route picks a backend server for the target; the error is a value.Refusal, whose reason is
 // Overloaded if the servers that could take the target have no capacity at present.
 func Route(s state.State, t Target, loads Loads, rnd policy.Rand, now time.Time) (Choice, error) {
-	if Retired(s, t) {
+	if IsWithdrawn(s, t) {
 		return Choice{}, refuse(value.ReasonVersionRetired, "version "+string(t.Version)+" is withdrawn")
 	}
 	servers := Servers(s, t)
 	r := router{state: s, target: t, loads: loads, now: now}
-	sampler := policy.Sample[value.BackendServer]{Tries: sampleSize, Score: r.score}
+	sampler := policy.RandomChoice[value.BackendServer]{Tries: sampleSize, Score: r.score}
 	b, ok := sampler.Pick(servers, rnd)
 	if ok {
 		return r.preferPrefix(b, servers), nil
@@ -59,8 +59,8 @@
 	return Choice{}, refuse(value.ReasonNoServer, "no backend server can take the request")
 }
 
-// Retired reports whether the target's version has been withdrawn, so that it receives no new work.
-func Retired(s state.State, t Target) bool {
+// IsWithdrawn reports whether the target's version has been withdrawn, so that it receives no new work.
+func IsWithdrawn(s state.State, t Target) bool {
 	return t.Version != "" && s.Withdrawn(t.Version)
 }
 
@@ -90,27 +90,27 @@
 // Servers returns the live backend servers that carry the target; the slice must not be changed.
 func Servers(s state.State, t Target) []value.BackendServer {
 	if t.Version != "" {
-		return s.Carriers(t.Version)
+		return s.VersionServers(t.Version)
 	}
 	service, ok := s.Service(t.Service)
 	if !ok {
 		return nil
 	}
-	return s.Members(service.Pool)
+	return s.PoolServers(service.Pool)
 }
 
-// Takes reports whether the given server can take the target now.
-func Takes(s state.State, t Target, b value.BackendServer, loads Loads, now time.Time) (Choice, bool) {
+// ChooseServer reports whether the given server can take the target now.
+func ChooseServer(s state.State, t Target, b value.BackendServer, loads Loads, now time.Time) (Choice, bool) {
 	if b.State != value.ServerLive || !servesTarget(s, t, b) {
 		return Choice{}, false
 	}
 	r := router{state: s, target: t, loads: loads, now: now}
-	return Choice{Server: b, Candidates: 1, Reason: value.ReasonPlaceFreed}, r.score(b) < policy.Never
+	return Choice{Server: b, Candidates: 1, Reason: value.ReasonCapacityFreed}, r.score(b) < policy.Excluded
 }
 
 func servesTarget(s state.State, t Target, b value.BackendServer) bool {
 	if t.Version != "" {
-		return b.Carries(t.Version)
+		return b.HasVersion(t.Version)
 	}
 	service, ok := s.Service(t.Service)
 	return ok && service.Pool == b.Pool
@@ -134,11 +134,11 @@
 
 func (r *router) score(b value.BackendServer) float64 {
 	if slices.Contains(r.target.Tried, b.ID) {
-		return policy.Never
+		return policy.Excluded
 	}
 	l := r.loads(b.ID)
-	if l.Ejected.After(r.now) && !r.includeEjected {
-		return policy.Never
+	if l.EjectedUntil.After(r.now) && !r.includeEjected {
+		return policy.Excluded
 	}
 	if b.Pool != r.pool.Name {
 		r.pool, _ = r.state.Pool(b.Pool)
@@ -146,7 +146,7 @@
 	}
 	if r.pool.MaxInFlight > 0 && !hasCapacity(r.limits, l, r.target.Long) {
 		r.saturated = true
-		return policy.Never
+		return policy.Excluded
 	}
 	cost := expectedWait(l, r.now)
 	if b.FailureDomain != r.state.Self.FailureDomain {
@@ -159,10 +159,10 @@
 // time to first token and the queue length. The queue length in the server's own report counts less
 // the older it is, because reports arrive late.
 func expectedWait(l value.Load, now time.Time) float64 {
-	estimate := max(l.FirstToken.Aged(estimateHalfLife, now), l.OldestWait(now), minEstimate)
+	estimate := max(l.FirstToken.MeanAt(estimateHalfLife, now), l.OldestWait(now), minEstimate)
 	queue := float64(l.InFlight + 1)
 	if l.ReportedQueue > 0 {
-		age := now.Sub(l.Reported)
+		age := now.Sub(l.ReportedAt)
 		queue += float64(l.ReportedQueue) * max(0, 1-float64(age)/float64(reportMaxAge))
 	}
 	return float64(estimate) * queue
@@ -172,8 +172,8 @@
 // pool's warm-up period after the server became live or its ejection ended.
 func (r *router) warmUp(b value.BackendServer, l value.Load) float64 {
 	since := b.Since
-	if l.Ejected.After(since) {
-		since = l.Ejected
+	if l.EjectedUntil.After(since) {
+		since = l.EjectedUntil
 	}
 	age := r.now.Sub(since)
 	if r.pool.SlowStart <= 0 || age >= r.pool.SlowStart {
@@ -190,7 +190,7 @@
 		return c
 	}
 	maxScore := affinityBound * r.score(b)
-	start := state.Position(servers, r.target.Prefix)
+	start := state.RingIndex(servers, r.target.Prefix)
 	for i := range min(affinityTries, len(servers)) {
 		candidate := servers[(start+i)%len(servers)]
 		if r.score(candidate) <= maxScore {
--- a/core/query/route_measure_test.go
+++ b/core/query/route_measure_test.go
@@ -16,7 +16,7 @@
 
 // routingState returns a state with the given number of servers in four failure domains.
 func routingState(servers int) state.State {
-	s, _ := cmds.InstallConfig{Accepted: value.Accepted{Revision: 1, Document: value.Document{
+	s, _ := cmds.InstallConfig{Accepted: value.AcceptedDocument{Revision: 1, Document: value.Document{
 		ClientAccounts: []value.ClientAccount{{Name: "a", Share: 1, Versions: []value.VersionKey{routedVersion}, Kinds: []value.KindName{"k"}}},
 		Models:         []value.Model{{Name: "llm", Versions: []value.Version{{Name: "small", OutputMicros: 1000, Quality: 0.9, QualityWeight: 1000, Pool: "p"}}}},
 		Kinds:          []value.Kind{{Name: "k", Model: "llm", QualityTarget: 0.8, Priority: value.PriorityInteractive, Idempotent: true, MaxAttempts: 3}},
@@ -42,7 +42,7 @@
 func sampledLoads(servers int, now time.Time) query.Loads {
 	loads := make(map[value.ServerID]value.Load, servers)
 	for i := range servers {
-		l := value.Load{}.WithStart(false, now).WithFirst(query.FirstSmooth, now, now, time.Duration(100+i%50)*time.Millisecond)
+		l := value.Load{}.WithStart(false, now).WithFirstByte(query.FirstTokenSmoothing, now, now, time.Duration(100+i%50)*time.Millisecond)
 		loads[value.ServerID(fmt.Sprint("s", i))] = l
 	}
 	return func(id value.ServerID) value.Load { return loads[id] }
@@ -78,7 +78,7 @@
 			for range b.N {
 				a, err := query.Admit(s, r, now)
 				failOnError(b, err)
-				p, err := query.Choose(s, a, r, now)
+				p, err := query.ChoosePlan(s, a, r, now)
 				failOnError(b, err)
 				_, err = query.Route(s, query.Target{Version: p.Last()}, loads, rnd, now)
 				failOnError(b, err)
--- a/core/query/route_test.go
+++ b/core/query/route_test.go
@@ -22,7 +22,7 @@
 
 func (s observedLoads) observeFirstToken(id value.ServerID, after time.Duration) {
 	for range 4 {
-		s[id] = s[id].WithFirst(query.FirstSmooth, noon, noon, after)
+		s[id] = s[id].WithFirstByte(query.FirstTokenSmoothing, noon, noon, after)
 	}
 }
 
@@ -144,7 +144,7 @@
 }
 
 func TestLimiterBacksOffUnderLatencyAndRecovers(t *testing.T) {
-	c := policy.LimiterConfig{First: 8, Least: 1, Most: 32, Tolerance: 2, Backoff: 0.7, Drift: 0.002}
+	c := policy.LimiterConfig{Initial: 8, Min: 1, Max: 32, Tolerance: 2, Backoff: 0.7, Drift: 0.002}
 	var l policy.Limiter
 	for range 200 {
 		l = l.WithSample(c, 50*time.Millisecond, l.Limit(c))
@@ -161,7 +161,7 @@
 }
 
 func TestLimiterDoesNotGrowWithoutDemand(t *testing.T) {
-	c := policy.LimiterConfig{First: 8, Least: 1, Most: 32, Tolerance: 2, Backoff: 0.7, Drift: 0.002}
+	c := policy.LimiterConfig{Initial: 8, Min: 1, Max: 32, Tolerance: 2, Backoff: 0.7, Drift: 0.002}
 	var l policy.Limiter
 	for range 1000 {
 		l = l.WithSample(c, 50*time.Millisecond, 1)
@@ -170,7 +170,7 @@
 }
 
 func TestFairQueueServesByWeightAndLosesNothing(t *testing.T) {
-	var q policy.Fair[string, string, string]
+	var q policy.FairQueue[string, string, string]
 	for i := range 30 {
 		for g, w := range map[string]float64{"a": 1, "b": 2} {
 			q = q.With(policy.Entry[string, string, string]{Group: g, GroupWeight: w, Lane: "l", LaneWeight: 1, Cost: 1, Item: fmt.Sprint(g, i)})
--- a/core/query/settle.go
+++ b/core/query/settle.go
@@ -22,12 +22,12 @@
 	OutcomeForgotten Outcome = "Forgotten"
 )
 
-// Settle returns the outcome of a change, given the current record.
+// OutcomeOf returns the outcome of a change, given the current record.
 //
 // At most one change can replace a revision. If the change that replaced the expected revision is
 // another one, this change never takes effect. The outcome is also valid for a record that was read
 // from an older state.
-func Settle(current value.Standing, change value.Change) Outcome {
+func OutcomeOf(current value.CurrentRecord, change value.Change) Outcome {
 	if current.Revision < change.Expect {
 		return OutcomeBehind
 	}
@@ -40,7 +40,7 @@
 	if current.Change.Expect == change.Expect {
 		return OutcomeConflict
 	}
-	for _, c := range current.Trail {
+	for _, c := range current.History {
 		if c.ID == change.ID {
 			return OutcomeOvertaken
 		}
--- a/core/query/share.go
+++ b/core/query/share.go
@@ -13,8 +13,8 @@
 	Stream    bool
 }
 
-// Shares reports whether the request may share the attempt of another one with the same question.
-func Shares(k value.Kind, r value.Request) bool {
+// CanShare reports whether the request may share the attempt of another one with the same question.
+func CanShare(k value.Kind, r value.Request) bool {
 	return k.Share && k.Idempotent && r.Question != 0
 }
 
--- a/core/query/words.go
+++ b/core/query/words.go
@@ -33,7 +33,7 @@
 	value.ReasonVersionRetired: "the session's version has been withdrawn",
 	value.ReasonLeastLoaded:    "it had the least work of those compared",
 	value.ReasonPrefix:         "it has the prompt's leading part cached",
-	value.ReasonPlaceFreed:     "a place became free",
+	value.ReasonCapacityFreed:  "a place became free",
 	value.ReasonOutlier:        "it was much slower than its like",
 	value.ReasonBudgetSpent:    "the budget of retries was spent",
 	value.ReasonHedged:         "the first token was late",
@@ -68,7 +68,7 @@
 	value.ReasonBackend:         "the backend server failed",
 	value.ReasonCanceled:        "the caller went away",
 	value.ReasonBadRequest:      "the request could not be understood",
-	value.ReasonBillNotKept:     "its bill could not be kept",
+	value.ReasonBillNotStored:   "its bill could not be kept",
 	value.ReasonNoConfiguration: "no document is in force yet",
 }
 
--- a/core/relay/age.go
+++ b/core/relay/age.go
@@ -19,17 +19,17 @@
 	var known []OrderAge
 	for _, p := range s.rollOuts {
 		if p.AgeKnown {
-			known = append(known, OrderAge{Service: p.Order.Service, Revision: p.Order.Revision, Age: now.Sub(p.Seen)})
+			known = append(known, OrderAge{Service: p.Order.Service, Revision: p.Order.Revision, Age: now.Sub(p.OrderedAt)})
 		}
 	}
 	return known
 }
 
-// AgeUnknown reports whether the age of some unfinished roll-out's order is only estimated, since
+// HasUnknownOrderAge reports whether the age of some unfinished roll-out's order is only estimated, since
 // the instance was not running, or not connected to the store, when the order was given.
-func (s State) AgeUnknown() bool {
+func (s State) HasUnknownOrderAge() bool {
 	for _, p := range s.rollOuts {
-		if p.Order.Target != "" && !p.AgeKnown && !p.Phase().Final() {
+		if p.Order.Target != "" && !p.AgeKnown && !p.Phase().IsFinal() {
 			return true
 		}
 	}
@@ -38,7 +38,7 @@
 
 // WithOrderAges returns a state in which orders of unknown age have the ages reported by others.
 func (s State) WithOrderAges(reported []OrderAge, at time.Time) State {
-	plans := make(map[ServiceName]Plan, len(s.rollOuts))
+	plans := make(map[ServiceName]RollOutState, len(s.rollOuts))
 	for n, p := range s.rollOuts {
 		for _, age := range reported {
 			if age.Service == n && age.Revision == p.Order.Revision && !p.AgeKnown {
@@ -51,8 +51,8 @@
 	return s
 }
 
-func (p Plan) withOrderTime(at time.Time, known bool) Plan {
-	p.Seen, p.AgeKnown = at, known
+func (p RollOutState) withOrderTime(at time.Time, known bool) RollOutState {
+	p.OrderedAt, p.AgeKnown = at, known
 	return p
 }
 
@@ -60,7 +60,7 @@
 // that run its target release: they were started for the order, and single ones may have restarted
 // since. The estimate depends on the wall clocks of several machines, so ages reported by other
 // instances replace it.
-func (p Plan) estimatedOrderTime(servers []Server, at time.Time) time.Time {
+func (p RollOutState) estimatedOrderTime(servers []Server, at time.Time) time.Time {
 	var startTimes []time.Time
 	for _, server := range servers {
 		if server.Release == p.Order.Target && !server.Born.IsZero() {
--- a/core/relay/age_test.go
+++ b/core/relay/age_test.go
@@ -23,9 +23,9 @@
 	return change
 }
 
-func engineRollOut(t *testing.T, state relay.State) relay.Plan {
+func engineRollOut(t *testing.T, state relay.State) relay.RollOutState {
 	t.Helper()
-	rollOut, ok := state.Plan("engine")
+	rollOut, ok := state.RollOut("engine")
 	assert.Assert(t, ok)
 	return rollOut
 }
@@ -33,7 +33,7 @@
 func TestOrderAgesReportsOrderObservedWhenGiven(t *testing.T) {
 	state := relay.New(relay.Member{}).WithFeed(fullFeed(5, config(1, 5)), start, grace)
 	state = state.WithFeed(feedAfter(5, 6, orderAt(6)), start, grace)
-	assert.Assert(t, !state.AgeUnknown())
+	assert.Assert(t, !state.HasUnknownOrderAge())
 	state = state.WithFeed(feedAfter(6, 7, serverAdded("a", 7)), start.Add(3*time.Second), grace)
 	assert.DeepEqual(t, state.OrderAges(start.Add(4*time.Second)),
 		[]relay.OrderAge{{Service: "engine", Revision: 6, Age: 4 * time.Second}})
@@ -41,16 +41,16 @@
 
 func TestRestartedInstanceTakesOrderAgeFromPeers(t *testing.T) {
 	restarted := relay.New(relay.Member{}).WithFeed(fullFeed(7, orderAt(6)), start, grace)
-	assert.Assert(t, restarted.AgeUnknown())
+	assert.Assert(t, restarted.HasUnknownOrderAge())
 	assert.Equal(t, len(restarted.OrderAges(start)), 0, "an estimated age must not be reported")
 	reported := []relay.OrderAge{{Service: "engine", Revision: 6, Age: 9 * time.Second}}
 	state := restarted.WithOrderAges(reported, start.Add(time.Second))
-	assert.Equal(t, engineRollOut(t, state).Seen, start.Add(-8*time.Second))
-	assert.Assert(t, !state.AgeUnknown())
+	assert.Equal(t, engineRollOut(t, state).OrderedAt, start.Add(-8*time.Second))
+	assert.Assert(t, !state.HasUnknownOrderAge())
 	state = state.WithOrderAges([]relay.OrderAge{{Service: "engine", Revision: 6, Age: time.Second}}, start)
-	assert.Equal(t, engineRollOut(t, state).Seen, start.Add(-8*time.Second), "a known age is not replaced")
+	assert.Equal(t, engineRollOut(t, state).OrderedAt, start.Add(-8*time.Second), "a known age is not replaced")
 	earlierOrder := []relay.OrderAge{{Service: "engine", Revision: 3, Age: 90 * time.Second}}
-	assert.Assert(t, restarted.WithOrderAges(earlierOrder, start).AgeUnknown(), "an earlier order's age doesn't count")
+	assert.Assert(t, restarted.WithOrderAges(earlierOrder, start).HasUnknownOrderAge(), "an earlier order's age doesn't count")
 }
 
 func TestOrderAgeIsEstimatedFromServerStartsWithoutPeers(t *testing.T) {
@@ -59,18 +59,18 @@
 		startedServer("b", 7, "v2", start.Add(-6*time.Second)),
 		startedServer("c", 8, "v2", start.Add(-5*time.Second)),
 		startedServer("d", 9, "v2", start.Add(-time.Second))), start, grace)
-	assert.Equal(t, engineRollOut(t, state).Seen, start.Add(-5*time.Second))
+	assert.Equal(t, engineRollOut(t, state).OrderedAt, start.Add(-5*time.Second))
 	longRunning := relay.New(relay.Member{}).WithFeed(fullFeed(9, orderAt(6), startedServer("b", 7, "v2", start.Add(-time.Hour))), start, grace)
-	assert.Equal(t, engineRollOut(t, longRunning).Seen, start.Add(-rollOutTime))
+	assert.Equal(t, engineRollOut(t, longRunning).OrderedAt, start.Add(-rollOutTime))
 	noServers := relay.New(relay.Member{}).WithFeed(fullFeed(9, orderAt(6)), start, grace)
-	assert.Equal(t, engineRollOut(t, noServers).Seen, start)
+	assert.Equal(t, engineRollOut(t, noServers).OrderedAt, start)
 }
 
 func TestOrderReceivedAfterStoreOutageHasUnknownAge(t *testing.T) {
 	state := relay.New(relay.Member{}).WithFeed(fullFeed(5, config(1, 5)), start, grace).WithStoreUnreachable(start)
 	recovered := start.Add(5 * time.Second)
-	assert.Assert(t, state.WithFeed(feedAfter(5, 6, orderAt(6)), recovered, grace).AgeUnknown())
-	assert.Assert(t, state.WithStoreRecovered(recovered).WithFeed(feedAfter(5, 6, orderAt(6)), recovered, grace).AgeUnknown())
+	assert.Assert(t, state.WithFeed(feedAfter(5, 6, orderAt(6)), recovered, grace).HasUnknownOrderAge())
+	assert.Assert(t, state.WithStoreRecovered(recovered).WithFeed(feedAfter(5, 6, orderAt(6)), recovered, grace).HasUnknownOrderAge())
 	later := recovered.Add(time.Second)
-	assert.Assert(t, !state.WithStoreRecovered(recovered).WithFeed(feedAfter(5, 6, orderAt(6)), later, grace).AgeUnknown())
+	assert.Assert(t, !state.WithStoreRecovered(recovered).WithFeed(feedAfter(5, 6, orderAt(6)), later, grace).HasUnknownOrderAge())
 }
--- a/core/relay/cmds/cmds_test.go
+++ b/core/relay/cmds/cmds_test.go
@@ -15,30 +15,30 @@
 func namesOf(effects []relay.Effect) []string {
 	var names []string
 	for _, e := range effects {
-		names = append(names, e.(relay.Decided).What)
+		names = append(names, e.(relay.RecordDecision).What)
 	}
 	return names
 }
 
 func TestStoreOutageIsLoggedOnceAtStartAndEnd(t *testing.T) {
-	state, effects := cmds.StoreAway{Cause: "timeout"}.Apply(relay.New(relay.Member{}), now)
+	state, effects := cmds.StoreUnreachable{Cause: "timeout"}.Apply(relay.New(relay.Member{}), now)
 	assert.DeepEqual(t, namesOf(effects), []string{"StoreLost"})
-	state, effects = cmds.StoreAway{Cause: "timeout"}.Apply(state, now.Add(time.Second))
+	state, effects = cmds.StoreUnreachable{Cause: "timeout"}.Apply(state, now.Add(time.Second))
 	assert.Equal(t, len(effects), 0)
-	assert.Equal(t, state.Away, now)
+	assert.Equal(t, state.StoreUnreachableSince, now)
 	feed := relay.Feed{Whole: true, Revision: 4}
-	fromPeer, effects := cmds.Learn{Feed: feed, From: "other"}.Apply(state, now.Add(time.Second))
+	fromPeer, effects := cmds.ApplyFeed{Feed: feed, From: "other"}.Apply(state, now.Add(time.Second))
 	assert.DeepEqual(t, namesOf(effects), []string{"ImageRead"})
-	assert.Assert(t, !fromPeer.Away.IsZero(), "a feed from another instance doesn't end the outage")
-	state, effects = cmds.Learn{Feed: feed, From: "store", Direct: true}.Apply(state, now.Add(2*time.Second))
+	assert.Assert(t, !fromPeer.StoreUnreachableSince.IsZero(), "a feed from another instance doesn't end the outage")
+	state, effects = cmds.ApplyFeed{Feed: feed, From: "store", FromStore: true}.Apply(state, now.Add(2*time.Second))
 	assert.DeepEqual(t, namesOf(effects), []string{"StoreRegained", "ImageRead"})
-	assert.Equal(t, state.Back, now.Add(2*time.Second))
-	_, effects = cmds.Learn{Feed: relay.Feed{After: 4, Revision: 4}, Direct: true}.Apply(state, now.Add(3*time.Second))
+	assert.Equal(t, state.StoreRecoveredAt, now.Add(2*time.Second))
+	_, effects = cmds.ApplyFeed{Feed: relay.Feed{After: 4, Revision: 4}, FromStore: true}.Apply(state, now.Add(3*time.Second))
 	assert.Equal(t, len(effects), 0)
 }
 
 func TestEachNewChangeIsLoggedOnce(t *testing.T) {
-	state, _ := cmds.Learn{Feed: relay.Feed{Whole: true, Revision: 1}}.Apply(relay.New(relay.Member{}), now)
+	state, _ := cmds.ApplyFeed{Feed: relay.Feed{Whole: true, Revision: 1}}.Apply(relay.New(relay.Member{}), now)
 	changes := []relay.Change{
 		{Key: "c", Revision: 2, Entry: relay.Entry{Config: &relay.Config{Version: 7}}},
 		{Key: "s", Revision: 3, Entry: relay.Entry{Server: &relay.Server{ID: "s"}}},
@@ -49,11 +49,11 @@
 		{Key: "o", Revision: 8, Entry: relay.Entry{Duty: &relay.Duty{Service: "a", Holder: "n"}}},
 	}
 	feed := relay.Feed{After: 1, Revision: 8, Changes: changes}
-	state, effects := cmds.Learn{Feed: feed}.Apply(state, now)
+	state, effects := cmds.ApplyFeed{Feed: feed}.Apply(state, now)
 	assert.DeepEqual(t, namesOf(effects), []string{
 		"ConfigInstalled", "ServerReady", "ServerDraining", "EntryGone", "RollOutOrdered", "RollOutProgress", "RollOutHolder",
 	})
-	_, effects = cmds.Learn{Feed: feed}.Apply(state, now)
+	_, effects = cmds.ApplyFeed{Feed: feed}.Apply(state, now)
 	assert.Equal(t, len(effects), 0, "known changes are not logged again")
 }
 
@@ -65,11 +65,11 @@
 }
 
 func TestServersMissingAfterGracePeriodAreLogged(t *testing.T) {
-	state, _ := cmds.Learn{Direct: true, Feed: relay.Feed{Whole: true, Revision: 2, Changes: []relay.Change{
+	state, _ := cmds.ApplyFeed{FromStore: true, Feed: relay.Feed{Whole: true, Revision: 2, Changes: []relay.Change{
 		{Key: "s", Revision: 2, Entry: relay.Entry{Server: &relay.Server{ID: "s", Service: "a"}}},
 	}}}.Apply(relay.New(relay.Member{}), now)
-	state, _ = cmds.StoreAway{}.Apply(state, now)
-	state, _ = cmds.Learn{Direct: true, Grace: time.Second, Feed: relay.Feed{Whole: true, Revision: 3}}.Apply(state, now)
+	state, _ = cmds.StoreUnreachable{}.Apply(state, now)
+	state, _ = cmds.ApplyFeed{FromStore: true, Grace: time.Second, Feed: relay.Feed{Whole: true, Revision: 3}}.Apply(state, now)
 	assert.Equal(t, len(state.Servers("a")), 1)
 	state, effects := cmds.Tick{}.Apply(state, now.Add(2*time.Second))
 	assert.DeepEqual(t, namesOf(effects), []string{"ServersGone"})
@@ -84,13 +84,13 @@
 	// afterOutage returns the state of an instance that could not reach the store from 1 s to 9 s,
 	// and that received the reported feeds at 8 s.
 	afterOutage := func(reported ...relay.Feed) relay.State {
-		state, _ := cmds.Learn{Feed: relay.Feed{Whole: true, Revision: 3, Changes: []relay.Change{added}}, Direct: true, Grace: grace}.Apply(relay.New(relay.Member{}), at(0))
-		state, _ = cmds.StoreAway{Cause: "timeout"}.Apply(state, at(1))
+		state, _ := cmds.ApplyFeed{Feed: relay.Feed{Whole: true, Revision: 3, Changes: []relay.Change{added}}, FromStore: true, Grace: grace}.Apply(relay.New(relay.Member{}), at(0))
+		state, _ = cmds.StoreUnreachable{Cause: "timeout"}.Apply(state, at(1))
 		for _, feed := range reported {
-			state, _ = cmds.Learn{Feed: feed, Grace: grace}.Apply(state, at(8))
+			state, _ = cmds.ApplyFeed{Feed: feed, Grace: grace}.Apply(state, at(8))
 		}
-		state, _ = cmds.Learn{Feed: relay.Feed{After: 3, Revision: 3}, Direct: true, Grace: grace}.Apply(state, at(9))
-		state, _ = cmds.Learn{Feed: removal, Direct: true, Grace: grace}.Apply(state, at(9.5))
+		state, _ = cmds.ApplyFeed{Feed: relay.Feed{After: 3, Revision: 3}, FromStore: true, Grace: grace}.Apply(state, at(9))
+		state, _ = cmds.ApplyFeed{Feed: removal, FromStore: true, Grace: grace}.Apply(state, at(9.5))
 		return state
 	}
 	answered := func(age time.Duration) relay.Feed { return relay.Feed{After: 3, Revision: 3, Served: age} }
--- a/core/relay/cmds/learn.go
+++ b/core/relay/cmds/learn.go
@@ -7,33 +7,33 @@
 	"endivehitch/core/relay"
 )
 
-// Learn takes in a feed from the store or from another instance; an older feed adds no entries.
-type Learn struct {
+// ApplyFeed takes in a feed from the store or from another instance; an older feed adds no entries.
+type ApplyFeed struct {
 	Feed relay.Feed
 	// From names the sender.
 	From string
-	// Direct is set when this instance read the feed from the store itself.
-	Direct bool
+	// FromStore is set when this instance read the feed from the store itself.
+	FromStore bool
 	// Grace is how long, after a store outage, a server whose entry vanished in it stays in use.
 	Grace time.Duration
 }
 
 // Apply returns the state that includes the feed, and a log line for each change and for the end of
 // an outage.
-func (c Learn) Apply(state relay.State, now time.Time) (relay.State, []relay.Effect) {
+func (c ApplyFeed) Apply(state relay.State, now time.Time) (relay.State, []relay.Effect) {
 	var decisions []relay.Effect
-	if c.Direct && !state.Away.IsZero() {
-		decisions = append(decisions, relay.Decided{
-			What: "StoreRegained", Revision: state.Revision, Detail: "after " + now.Sub(state.Away).Round(time.Millisecond).String(),
+	if c.FromStore && !state.StoreUnreachableSince.IsZero() {
+		decisions = append(decisions, relay.RecordDecision{
+			What: "StoreRegained", Revision: state.Revision, Detail: "after " + now.Sub(state.StoreUnreachableSince).Round(time.Millisecond).String(),
 		})
 		state = state.WithStoreRecovered(now)
 	}
-	if c.Direct {
+	if c.FromStore {
 		state = state.WithStoreAnswered(now)
 	} else if c.Feed.Served > 0 {
 		state = state.WithStoreAnswered(now.Add(-c.Feed.Served))
 	}
-	if !c.Direct && c.Feed.Back > 0 {
+	if !c.FromStore && c.Feed.Back > 0 {
 		state = state.WithReportedRecovery(now.Add(-c.Feed.Back))
 	}
 	updated := state.WithFeed(c.Feed, now, c.Grace)
@@ -42,15 +42,15 @@
 
 // decisions returns the log lines about the feed: one for a new configuration, and one for each
 // other change or, for a full snapshot, one for all.
-func (c Learn) decisions(before, after relay.State) []relay.Effect {
+func (c ApplyFeed) decisions(before, after relay.State) []relay.Effect {
 	var decisions []relay.Effect
 	if after.ConfigRevision != before.ConfigRevision {
-		decisions = append(decisions, relay.Decided{
+		decisions = append(decisions, relay.RecordDecision{
 			What: "ConfigInstalled", Subject: fmt.Sprint(after.Config.Version), Revision: after.ConfigRevision, Detail: c.From,
 		})
 	}
 	if c.Feed.Whole {
-		return append(decisions, relay.Decided{What: "ImageRead", Revision: after.Revision, Detail: c.From})
+		return append(decisions, relay.RecordDecision{What: "ImageRead", Revision: after.Revision, Detail: c.From})
 	}
 	for _, change := range c.Feed.Changes {
 		if decision, ok := decisionOf(change); ok && change.Revision > before.Revision {
@@ -62,21 +62,21 @@
 }
 
 // decisionOf returns the log line about one change; it reports false for an entry that isn't logged.
-func decisionOf(change relay.Change) (relay.Decided, bool) {
+func decisionOf(change relay.Change) (relay.RecordDecision, bool) {
 	switch entry := change.Entry; {
 	case change.Gone:
-		return relay.Decided{What: "EntryGone", Subject: change.Key}, true
+		return relay.RecordDecision{What: "EntryGone", Subject: change.Key}, true
 	case entry.Server != nil && entry.Server.Draining:
-		return relay.Decided{What: "ServerDraining", Subject: string(entry.Server.ID)}, true
+		return relay.RecordDecision{What: "ServerDraining", Subject: string(entry.Server.ID)}, true
 	case entry.Server != nil:
-		return relay.Decided{What: "ServerReady", Subject: string(entry.Server.ID), Detail: " " + string(entry.Server.Service) + " " + string(entry.Server.Release)}, true
+		return relay.RecordDecision{What: "ServerReady", Subject: string(entry.Server.ID), Detail: " " + string(entry.Server.Service) + " " + string(entry.Server.Release)}, true
 	case entry.RollOut != nil:
-		return relay.Decided{What: "RollOutOrdered", Subject: string(entry.RollOut.Service), Detail: " " + string(entry.RollOut.Target)}, true
+		return relay.RecordDecision{What: "RollOutOrdered", Subject: string(entry.RollOut.Service), Detail: " " + string(entry.RollOut.Target)}, true
 	case entry.Progress != nil:
-		return relay.Decided{What: "RollOutProgress", Subject: string(entry.Progress.Service), Detail: fmt.Sprintf(" %s phase %d", entry.Progress.Target, entry.Progress.Phase)}, true
+		return relay.RecordDecision{What: "RollOutProgress", Subject: string(entry.Progress.Service), Detail: fmt.Sprintf(" %s phase %d", entry.Progress.Target, entry.Progress.Phase)}, true
 	case entry.Duty != nil:
-		return relay.Decided{What: "RollOutHolder", Subject: string(entry.Duty.Service), Detail: " " + string(entry.Duty.Holder)}, true
+		return relay.RecordDecision{What: "RollOutHolder", Subject: string(entry.Duty.Service), Detail: " " + string(entry.Duty.Holder)}, true
 	}
-	var none relay.Decided
+	var none relay.RecordDecision
 	return none, false
 }
--- a/core/relay/cmds/tick.go
+++ b/core/relay/cmds/tick.go
@@ -15,7 +15,7 @@
 func (Tick) Apply(state relay.State, now time.Time) (relay.State, []relay.Effect) {
 	updated := state.WithoutExpired(now)
 	if expired := state.Missing() - updated.Missing(); expired > 0 {
-		return updated, []relay.Effect{relay.Decided{
+		return updated, []relay.Effect{relay.RecordDecision{
 			What: "ServersGone", Revision: state.Revision, Detail: strconv.Itoa(expired) + " entries were not written again after the store outage",
 		}}
 	}
--- a/core/relay/effect.go
+++ b/core/relay/effect.go
@@ -5,8 +5,8 @@
 	effect()
 }
 
-// Decided asks for a log line about a change of the control state.
-type Decided struct {
+// RecordDecision asks for a log line about a change of the control state.
+type RecordDecision struct {
 	// What names the decision, such as ServerReady.
 	What string
 	// Subject identifies the record that the decision is about, or is empty.
@@ -16,4 +16,4 @@
 	Detail   string
 }
 
-func (Decided) effect() {}
+func (RecordDecision) effect() {}
--- a/core/relay/gain.go
+++ b/core/relay/gain.go
@@ -1,8 +1,8 @@
 package relay
 
-// Gain estimates how much higher one model's confidence is than a smaller one's for the same
+// ConfidenceGain estimates how much higher one model's confidence is than a smaller one's for the same
 // requests; confidences are from 0 to 100. The zero value holds no observations.
-type Gain struct {
+type ConfidenceGain struct {
 	sum    float64
 	weight float64
 }
@@ -18,7 +18,7 @@
 
 // With returns a gain that includes one more request, with the confidences of the smaller and the
 // larger model's answers to it.
-func (g Gain) With(smaller, larger int) Gain {
+func (g ConfidenceGain) With(smaller, larger int) ConfidenceGain {
 	if g.weight >= maxGainWeight {
 		remaining := (maxGainWeight - 1) / g.weight
 		g.sum, g.weight = g.sum*remaining, g.weight*remaining
@@ -29,6 +29,6 @@
 }
 
 // Value returns the estimated gain, from -100 to 100.
-func (g Gain) Value() float64 {
+func (g ConfidenceGain) Value() float64 {
 	return (g.sum + priorGain*priorWeight) / (g.weight + priorWeight)
 }
--- a/core/relay/gain_test.go
+++ b/core/relay/gain_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestGainTracksRecentConfidences(t *testing.T) {
-	var gain relay.Gain
+	var gain relay.ConfidenceGain
 	untried := gain.Value()
 	assert.Assert(t, untried > 0, "an untried model has a positive gain, so that it is tried")
 	for range 200 {
--- a/core/relay/load.go
+++ b/core/relay/load.go
@@ -26,10 +26,10 @@
 	Report Report
 	// Reported is when the report was made.
 	Reported time.Time
-	// Heard is when this instance last received anything from the server.
-	Heard time.Time
-	// First is the smoothed time until an answer's first byte.
-	First policy.Smooth
+	// LastReceived is when this instance last received anything from the server.
+	LastReceived time.Time
+	// TimeToFirstByte is the smoothed time until an answer's first byte.
+	TimeToFirstByte policy.DecayingMean
 	// FailureRate is the smoothed share of failures, from 0 to 1, as of FailureRateAt.
 	FailureRate   float64
 	FailureRateAt time.Time
@@ -70,10 +70,10 @@
 	return l
 }
 
-// WithFirst returns a copy in which an attempt has received its first byte after the elapsed time.
-func (l Load) WithFirst(config policy.SmoothConfig, work, elapsed time.Duration, at time.Time) Load {
+// WithFirstByte returns a copy in which an attempt has received its first byte after the elapsed time.
+func (l Load) WithFirstByte(config policy.DecayingMeanConfig, work, elapsed time.Duration, at time.Time) Load {
 	l.Work = max(0, l.Work-work)
-	l.First = l.First.With(config, elapsed, at)
+	l.TimeToFirstByte = l.TimeToFirstByte.With(config, elapsed, at)
 	return l
 }
 
@@ -83,9 +83,9 @@
 	return l
 }
 
-// WithHeard returns a copy that records that the server has sent something.
-func (l Load) WithHeard(at time.Time) Load {
-	l.Heard = at
+// WithReceived returns a copy that records that the server has sent something.
+func (l Load) WithReceived(at time.Time) Load {
+	l.LastReceived = at
 	return l
 }
 
--- a/core/relay/query/admit.go
+++ b/core/relay/query/admit.go
@@ -41,7 +41,7 @@
 		}
 	}
 	if !known && !route.Open {
-		return Admitted{}, relay.Refusal{Reason: relay.ReasonNoKey, NotRun: true, Detail: "no client account holds the key"}
+		return Admitted{}, relay.Refusal{Reason: relay.ReasonUnknownKey, NotRun: true, Detail: "no client account holds the key"}
 	}
 	return admitted, nil
 }
--- a/core/relay/query/again.go
+++ b/core/relay/query/again.go
@@ -25,15 +25,15 @@
 	EndedDropped
 )
 
-// Sends counts the attempts of one request.
-type Sends struct {
+// RequestAttempts counts the attempts of one request.
+type RequestAttempts struct {
 	// All counts every attempt, and Run those that a server may have run.
 	All int
 	Run int
 }
 
 // With returns counts that include an attempt with the ending.
-func (n Sends) With(ending Ending) Sends {
+func (n RequestAttempts) With(ending Ending) RequestAttempts {
 	n.All++
 	if ending != EndedUnsent && ending != EndedNotRun {
 		n.Run++
@@ -48,20 +48,20 @@
 	maxUnrunAttempts = 4
 )
 
-// Again reports whether the request may be retried at another server after an attempt with the
+// MayRetry reports whether the request may be retried at another server after an attempt with the
 // ending, which the counts include.
-func Again(route relay.Route, ending Ending, sends Sends, left time.Duration) bool {
+func MayRetry(route relay.Route, ending Ending, sends RequestAttempts, left time.Duration) bool {
 	if left < minTimeLeft || sends.Run >= max(1, route.Attempts) || sends.All-sends.Run > maxUnrunAttempts {
 		return false
 	}
 	if ending == EndedUnsent || ending == EndedNotRun {
 		return true
 	}
-	return route.Repeat != relay.RepeatNever
+	return route.Repeat != relay.RetryNever
 }
 
-// Verdict returns the final answer to a request whose last attempt, with the ending, isn't retried.
-func Verdict(ending Ending, sends Sends, left time.Duration) relay.Refusal {
+// FinalRefusal returns the final answer to a request whose last attempt, with the ending, isn't retried.
+func FinalRefusal(ending Ending, sends RequestAttempts, left time.Duration) relay.Refusal {
 	switch {
 	case sends.Run == 0 && left < minTimeLeft:
 		return relay.Refusal{Reason: relay.ReasonTimeout, NotRun: true, RetryAfter: otherInstanceRetryAfter, Detail: "no server took the request in time"}
@@ -70,7 +70,7 @@
 	case left < minTimeLeft || ending == EndedSlow:
 		return relay.Refusal{Reason: relay.ReasonTimeout, Detail: "the answer did not come in time"}
 	}
-	return relay.Refusal{Reason: relay.ReasonUnknown, Detail: "the server's answer was lost"}
+	return relay.Refusal{Reason: relay.ReasonOutcomeUnknown, Detail: "the server's answer was lost"}
 }
 
 // saturatedRetryAfter is how long a caller should wait when no server had a free slot.
--- a/core/relay/query/judge.go
+++ b/core/relay/query/judge.go
@@ -23,8 +23,8 @@
 // Judge returns the roll-out's next phase, from the tallies of all instances together, and the
 // counts that it is based on. A release is reverted when its share of failed or of slow answers is
 // significantly higher than that of the previous release, the baseline.
-func Judge(state relay.State, rollOut relay.Plan, tallies []relay.Tally, now time.Time) (relay.Phase, string) {
-	if rollOut.Phase().Final() {
+func Judge(state relay.State, rollOut relay.RollOutState, tallies []relay.Tally, now time.Time) (relay.Phase, string) {
+	if rollOut.Phase().IsFinal() {
 		return rollOut.Phase(), ""
 	}
 	previous, hasTarget := releases(state, rollOut.Order.Service, rollOut.Order.Target)
@@ -34,7 +34,7 @@
 	if isWorse(candidate.Failed, candidate.Runs, baseline.Failed, baseline.Runs) || isWorse(candidate.Slow, candidate.Runs, baseline.Slow, baseline.Runs) {
 		return relay.PhaseReverted, detail
 	}
-	elapsed := now.Sub(rollOut.Seen).Seconds() / max(rollOut.Order.Within.Seconds(), 1)
+	elapsed := now.Sub(rollOut.OrderedAt).Seconds() / max(rollOut.Order.Within.Seconds(), 1)
 	if hasTarget && elapsed >= completeAt && (candidate.Runs >= minRuns || baseline.Runs == 0) {
 		return relay.PhaseCompleted, detail
 	}
--- a/core/relay/query/patience.go
+++ b/core/relay/query/patience.go
@@ -21,7 +21,7 @@
 	maxWaitObjectives = 2
 )
 
-// Patience returns the rest of the silence timeout of an attempt that another server could take
+// SilenceTimeout returns the rest of the silence timeout of an attempt that another server could take
 // over; the attempt should be given up when it is zero or negative. begun is set once the caller has
 // received a part of the answer, serverSilent is how long this instance has received nothing from
 // the server on any attempt, and silent how long this attempt has been silent; sole is set when this
@@ -29,7 +29,7 @@
 //
 // A busy server is slow for all requests, and starting one over elsewhere adds to the load, so only
 // a server that seems to be dead is given up early.
-func Patience(route relay.Route, begun, sole bool, serverSilent, silent time.Duration) time.Duration {
+func SilenceTimeout(route relay.Route, begun, sole bool, serverSilent, silent time.Duration) time.Duration {
 	if !route.Stream {
 		return route.Objective*4/5 - silent
 	}
--- a/core/relay/query/pick.go
+++ b/core/relay/query/pick.go
@@ -12,8 +12,8 @@
 // LoadLookup returns what the instance has observed of a backend server.
 type LoadLookup func(relay.ServerID) relay.Load
 
-// Want is what a request requires of a server.
-type Want struct {
+// Criteria is what a request requires of a server.
+type Criteria struct {
 	Service relay.ServiceName
 	// Release is the release that must run the request; empty means any.
 	Release relay.Release
@@ -23,8 +23,8 @@
 	Shared string
 	// SharedTokens is the length of all parts up to that one.
 	SharedTokens int
-	// ReadTime is the model's prefill time per prompt token.
-	ReadTime time.Duration
+	// PrefillTime is the model's prefill time per prompt token.
+	PrefillTime time.Duration
 }
 
 // Choice is the chosen server, with what led to the choice.
@@ -32,9 +32,9 @@
 	Server relay.Server
 	// Candidates is the number of eligible servers.
 	Candidates int
-	// Home is set when the server is one of those expected to have the shared part in their prefix
+	// HasCacheAffinity is set when the server is one of those expected to have the shared part in their prefix
 	// cache.
-	Home bool
+	HasCacheAffinity bool
 	// Score is the server's score; lower is better. For engines it is in milliseconds.
 	Score float64
 }
@@ -65,27 +65,27 @@
 	warmUpFactor = 2.0
 )
 
-// Pick chooses the server with the lowest score among a few candidates; it reports false when no
+// SelectServer chooses the server with the lowest score among a few candidates; it reports false when no
 // server is eligible.
-func Pick(state relay.State, want Want, loads LoadLookup, rnd policy.Rand, now time.Time) (Choice, bool) {
+func SelectServer(state relay.State, want Criteria, loads LoadLookup, rnd policy.Rand, now time.Time) (Choice, bool) {
 	service, _ := state.Service(want.Service)
 	p := selector{state: state, want: want, loads: loads, now: now, engine: service.Engine}
 	p.scan()
 	if p.eligible == 0 {
 		return Choice{}, false
 	}
-	best, score := relay.Server{}, policy.Never
+	best, score := relay.Server{}, policy.Excluded
 	for _, server := range p.candidates(rnd) {
 		if v := p.score(server); v < score {
 			best, score = server, v
 		}
 	}
-	return Choice{Server: best, Candidates: p.eligible, Home: p.hasAffinity(best.ID), Score: score}, true
+	return Choice{Server: best, Candidates: p.eligible, HasCacheAffinity: p.hasAffinity(best.ID), Score: score}, true
 }
 
 type selector struct {
 	state  relay.State
-	want   Want
+	want   Criteria
 	loads  LoadLookup
 	now    time.Time
 	engine bool
@@ -201,7 +201,7 @@
 func (p *selector) timeToFirstEvent(server relay.Server, load relay.Load) float64 {
 	wait := msPerRequest*p.occupancy(server, load)*float64(max(1, server.Slots)) + milliseconds(load.Work)
 	if p.want.Shared != "" {
-		prefill := milliseconds(time.Duration(p.want.SharedTokens) * p.want.ReadTime)
+		prefill := milliseconds(time.Duration(p.want.SharedTokens) * p.want.PrefillTime)
 		switch server.ID {
 		case p.affinity[0]:
 		case p.affinity[1]:
--- a/core/relay/query/pick_test.go
+++ b/core/relay/query/pick_test.go
@@ -18,13 +18,13 @@
 	rnd := rand.New(rand.NewPCG(1, 1))
 	loads := func(relay.ServerID) relay.Load { return relay.Load{} }
 	for range 50 {
-		c, ok := query.Pick(state, query.Want{Service: "engine", Tried: []relay.ServerID{"a"}}, loads, rnd, now)
+		c, ok := query.SelectServer(state, query.Criteria{Service: "engine", Tried: []relay.ServerID{"a"}}, loads, rnd, now)
 		assert.Assert(t, ok)
 		assert.Equal(t, c.Server.ID, relay.ServerID("b"))
-		c, _ = query.Pick(state, query.Want{Service: "engine", Release: "v1"}, loads, rnd, now)
+		c, _ = query.SelectServer(state, query.Criteria{Service: "engine", Release: "v1"}, loads, rnd, now)
 		assert.Equal(t, c.Server.ID, relay.ServerID("a"))
 	}
-	_, ok := query.Pick(state, query.Want{Service: "engine", Tried: []relay.ServerID{"a", "b"}}, loads, rnd, now)
+	_, ok := query.SelectServer(state, query.Criteria{Service: "engine", Tried: []relay.ServerID{"a", "b"}}, loads, rnd, now)
 	assert.Assert(t, !ok)
 	ejected := func(id relay.ServerID) relay.Load {
 		if id == "a" {
@@ -32,9 +32,9 @@
 		}
 		return relay.Load{}
 	}
-	c, _ := query.Pick(state, query.Want{Service: "engine"}, ejected, rnd, now)
+	c, _ := query.SelectServer(state, query.Criteria{Service: "engine"}, ejected, rnd, now)
 	assert.Equal(t, c.Server.ID, relay.ServerID("b"))
-	c, ok = query.Pick(state, query.Want{Service: "engine", Release: "v1"}, ejected, rnd, now)
+	c, ok = query.SelectServer(state, query.Criteria{Service: "engine", Release: "v1"}, ejected, rnd, now)
 	assert.Assert(t, ok, "an ejected server is better than none")
 	assert.Equal(t, c.Server.ID, relay.ServerID("a"))
 }
@@ -47,7 +47,7 @@
 	chosen := func(at time.Time) int {
 		n := 0
 		for range 200 {
-			c, ok := query.Pick(state, query.Want{Service: "engine"}, func(relay.ServerID) relay.Load { return relay.Load{} }, rnd, at)
+			c, ok := query.SelectServer(state, query.Criteria{Service: "engine"}, func(relay.ServerID) relay.Load { return relay.Load{} }, rnd, at)
 			assert.Assert(t, ok)
 			if c.Server.ID == "cold" {
 				n++
@@ -63,7 +63,7 @@
 		}
 		return relay.Load{}
 	}
-	c, _ := query.Pick(state, query.Want{Service: "engine", Tried: nil}, busy, rnd, now.Add(time.Second))
+	c, _ := query.SelectServer(state, query.Criteria{Service: "engine", Tried: nil}, busy, rnd, now.Add(time.Second))
 	assert.Equal(t, c.Server.ID, relay.ServerID("cold"), "a full server is worse than one that is warming up")
 }
 
@@ -75,11 +75,11 @@
 	state := stateOf(entries...)
 	rnd := rand.New(rand.NewPCG(1, 1))
 	idle := func(relay.ServerID) relay.Load { return relay.Load{} }
-	want := query.Want{Service: "engine", Shared: "menu", SharedTokens: 6000, ReadTime: 20 * time.Microsecond}
-	first, _ := query.Pick(state, want, idle, rnd, now)
-	assert.Assert(t, first.Home)
+	want := query.Criteria{Service: "engine", Shared: "menu", SharedTokens: 6000, PrefillTime: 20 * time.Microsecond}
+	first, _ := query.SelectServer(state, want, idle, rnd, now)
+	assert.Assert(t, first.HasCacheAffinity)
 	for range 30 {
-		again, _ := query.Pick(state, want, idle, rnd, now)
+		again, _ := query.SelectServer(state, want, idle, rnd, now)
 		assert.Equal(t, again.Server.ID, first.Server.ID)
 	}
 	busy := func(id relay.ServerID) relay.Load {
@@ -88,6 +88,6 @@
 		}
 		return relay.Load{}
 	}
-	whenBusy, _ := query.Pick(state, want, busy, rnd, now)
+	whenBusy, _ := query.SelectServer(state, want, busy, rnd, now)
 	assert.Assert(t, whenBusy.Server.ID != first.Server.ID)
 }
--- a/core/relay/query/query_test.go
+++ b/core/relay/query/query_test.go
@@ -46,8 +46,8 @@
 		path  string
 		want  relay.Reason
 	}{
-		"unknown key":      {state, "other", "/a/x", relay.ReasonNoKey},
-		"no key":           {state, "", "/a/x", relay.ReasonNoKey},
+		"unknown key":      {state, "other", "/a/x", relay.ReasonUnknownKey},
+		"no key":           {state, "", "/a/x", relay.ReasonUnknownKey},
 		"no route":         {state, "k", "/b/x", relay.ReasonNoRoute},
 		"no configuration": {relay.New(relay.Member{}), "k", "/a/x", relay.ReasonNoConfig},
 	}
@@ -62,24 +62,24 @@
 
 func TestAgainFollowsEndingAndRetryRule(t *testing.T) {
 	endings := []query.Ending{query.EndedUnsent, query.EndedNotRun, query.EndedUnknown, query.EndedFailed, query.EndedSlow}
-	for _, repeat := range []relay.Repeat{relay.RepeatNever, relay.RepeatFreely, relay.RepeatResumed} {
+	for _, repeat := range []relay.RetryRule{relay.RetryNever, relay.RetryAlways, relay.RetryResuming} {
 		for _, ending := range endings {
 			route := relay.Route{Repeat: repeat, Attempts: 3}
 			notRun := ending == query.EndedUnsent || ending == query.EndedNotRun
-			want := notRun || repeat != relay.RepeatNever
-			assert.Equal(t, query.Again(route, ending, query.Sends{}.With(ending), time.Second), want, "%v %v", repeat, ending)
-			assert.Assert(t, !query.Again(route, ending, query.Sends{}.With(ending), time.Millisecond), "no time is left")
+			want := notRun || repeat != relay.RetryNever
+			assert.Equal(t, query.MayRetry(route, ending, query.RequestAttempts{}.With(ending), time.Second), want, "%v %v", repeat, ending)
+			assert.Assert(t, !query.MayRetry(route, ending, query.RequestAttempts{}.With(ending), time.Millisecond), "no time is left")
 		}
 	}
-	route := relay.Route{Repeat: relay.RepeatFreely, Attempts: 2}
-	assert.Assert(t, !query.Again(route, query.EndedFailed, query.Sends{All: 2, Run: 2}, time.Second), "attempts are used up")
+	route := relay.Route{Repeat: relay.RetryAlways, Attempts: 2}
+	assert.Assert(t, !query.MayRetry(route, query.EndedFailed, query.RequestAttempts{All: 2, Run: 2}, time.Second), "attempts are used up")
 }
 
 func TestVerdictSaysNotRunOnlyWhenNoServerRanIt(t *testing.T) {
 	for run := range 3 {
 		for _, ending := range []query.Ending{query.EndedUnsent, query.EndedNotRun, query.EndedUnknown, query.EndedFailed, query.EndedSlow} {
 			for _, left := range []time.Duration{0, time.Second} {
-				refusal := query.Verdict(ending, query.Sends{All: run + 1, Run: run}, left)
+				refusal := query.FinalRefusal(ending, query.RequestAttempts{All: run + 1, Run: run}, left)
 				assert.Equal(t, refusal.NotRun, run == 0)
 				assert.Equal(t, refusal.RetryAfter > 0, refusal.NotRun, "a time to retry is given exactly when no server ran the request")
 			}
@@ -88,51 +88,51 @@
 }
 
 func TestPatienceEndsAfterSilenceOfServerOrAttempt(t *testing.T) {
-	stream := relay.Route{Stream: true, Repeat: relay.RepeatResumed, Objective: 2 * time.Second, Gap: time.Second}
-	assert.Assert(t, query.Patience(stream, false, false, 0, 0) > 0)
-	assert.Assert(t, query.Patience(stream, false, false, 2*time.Second, 2*time.Second) <= 0, "the server seems to be dead")
-	assert.Assert(t, query.Patience(stream, false, true, 2*time.Second, 2*time.Second) > 0, "one silent attempt is weak evidence of a dead server")
-	assert.Assert(t, query.Patience(stream, false, false, 0, 2*time.Second) > 0, "the server answers other attempts")
-	assert.Assert(t, query.Patience(stream, false, true, 5*time.Second, 5*time.Second) <= 0, "the wait for a sole attempt is bounded too")
-	plain := relay.Route{Repeat: relay.RepeatFreely, Objective: time.Second}
-	assert.Assert(t, query.Patience(plain, false, false, 0, time.Second) <= 0)
+	stream := relay.Route{Stream: true, Repeat: relay.RetryResuming, Objective: 2 * time.Second, Gap: time.Second}
+	assert.Assert(t, query.SilenceTimeout(stream, false, false, 0, 0) > 0)
+	assert.Assert(t, query.SilenceTimeout(stream, false, false, 2*time.Second, 2*time.Second) <= 0, "the server seems to be dead")
+	assert.Assert(t, query.SilenceTimeout(stream, false, true, 2*time.Second, 2*time.Second) > 0, "one silent attempt is weak evidence of a dead server")
+	assert.Assert(t, query.SilenceTimeout(stream, false, false, 0, 2*time.Second) > 0, "the server answers other attempts")
+	assert.Assert(t, query.SilenceTimeout(stream, false, true, 5*time.Second, 5*time.Second) <= 0, "the wait for a sole attempt is bounded too")
+	plain := relay.Route{Repeat: relay.RetryAlways, Objective: time.Second}
+	assert.Assert(t, query.SilenceTimeout(plain, false, false, 0, time.Second) <= 0)
 }
 
 func TestStepUpNeedsDoubtTimeAndAttempts(t *testing.T) {
 	route := relay.Route{Models: []relay.ModelName{"s", "m", "l"}, Attempts: 3, Objective: time.Second}
-	answer := query.Answered{Confidence: 10, Sends: query.Sends{All: 1, Run: 1}, Left: 5 * time.Second, Throttle: 1}
-	untried := func(int, int) relay.Gain { return relay.Gain{} }
+	answer := query.ObservedAnswer{Confidence: 10, Sends: query.RequestAttempts{All: 1, Run: 1}, Left: 5 * time.Second, Throttle: 1}
+	untried := func(int, int) relay.ConfidenceGain { return relay.ConfidenceGain{} }
 	next, ok := query.StepUp(route, answer, untried)
 	assert.Assert(t, ok)
 	assert.Equal(t, next, 2)
-	refuse := func(reason string, change func(*query.Answered)) {
+	refuse := func(reason string, change func(*query.ObservedAnswer)) {
 		changed := answer
 		change(&changed)
 		_, ok := query.StepUp(route, changed, untried)
 		assert.Assert(t, !ok, reason)
 	}
-	refuse("confident answer", func(b *query.Answered) { b.Confidence = 90 })
-	refuse("larger models are throttled", func(b *query.Answered) { b.Throttle = 0.1 })
-	refuse("no confidence reported", func(b *query.Answered) { b.Confidence = -1 })
-	refuse("already the largest model", func(b *query.Answered) { b.Step = 2 })
-	refuse("no attempt left", func(b *query.Answered) { b.Sends.Run = 3 })
-	refuse("no time left", func(b *query.Answered) { b.Left = 100 * time.Millisecond })
-	refuse("confidence not low enough for the largest model, which alone is left", func(b *query.Answered) { b.Step, b.Confidence = 1, 45 })
+	refuse("confident answer", func(b *query.ObservedAnswer) { b.Confidence = 90 })
+	refuse("larger models are throttled", func(b *query.ObservedAnswer) { b.Throttle = 0.1 })
+	refuse("no confidence reported", func(b *query.ObservedAnswer) { b.Confidence = -1 })
+	refuse("already the largest model", func(b *query.ObservedAnswer) { b.Step = 2 })
+	refuse("no attempt left", func(b *query.ObservedAnswer) { b.Sends.Run = 3 })
+	refuse("no time left", func(b *query.ObservedAnswer) { b.Left = 100 * time.Millisecond })
+	refuse("confidence not low enough for the largest model, which alone is left", func(b *query.ObservedAnswer) { b.Step, b.Confidence = 1, 45 })
 }
 
 func TestStepUpAsksSmallestModelExpectedToBeConfident(t *testing.T) {
 	route := relay.Route{Models: []relay.ModelName{"s", "m", "l"}, Attempts: 3, Objective: time.Second}
-	var helps, useless relay.Gain
+	var helps, useless relay.ConfidenceGain
 	for range 50 {
 		helps, useless = helps.With(40, 60), useless.With(40, 40)
 	}
-	ask := func(confidence int, g relay.Gain) (int, bool) {
-		answer := query.Answered{Confidence: confidence, Sends: query.Sends{All: 1, Run: 1}, Left: 5 * time.Second, Throttle: 1}
-		return query.StepUp(route, answer, func(int, int) relay.Gain { return g })
+	ask := func(confidence int, g relay.ConfidenceGain) (int, bool) {
+		answer := query.ObservedAnswer{Confidence: confidence, Sends: query.RequestAttempts{All: 1, Run: 1}, Left: 5 * time.Second, Throttle: 1}
+		return query.StepUp(route, answer, func(int, int) relay.ConfidenceGain { return g })
 	}
 	for _, c := range []struct {
 		confidence int
-		gain       relay.Gain
+		gain       relay.ConfidenceGain
 		step       int
 		dropped    bool
 	}{{48, helps, 1, true}, {35, helps, 1, true}, {20, helps, 2, true}, {70, helps, 1, false}, {35, useless, 2, true}, {48, useless, 2, false}} {
@@ -165,11 +165,11 @@
 	route := relay.Route{Targets: []relay.Target{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}}
 	count := make(map[relay.ServiceName]int)
 	for i := range uint64(1000) {
-		count[query.Spread(route, i)]++
+		count[query.SelectTarget(route, i)]++
 	}
 	assert.Equal(t, count["a"], 900)
 	assert.Equal(t, count["b"], 100)
-	assert.Equal(t, query.Spread(relay.Route{}, 1), relay.ServiceName(""))
+	assert.Equal(t, query.SelectTarget(relay.Route{}, 1), relay.ServiceName(""))
 }
 
 func TestPriorityPutsFirstModelBeforeLargerOnes(t *testing.T) {
@@ -200,7 +200,7 @@
 		{"caller's own limit ends before the instance", leaving, "long", 6 * time.Second, 500 * time.Millisecond, true},
 		{"request without deadline", leaving, "endless", 3 * time.Second, 0, false},
 	} {
-		_, err := query.Admit(c.state, relay.Request{Host: c.host, Path: "/", Arrived: now.Add(c.after), Patience: c.patience})
+		_, err := query.Admit(c.state, relay.Request{Host: c.host, Path: "/", Arrived: now.Add(c.after), CallerTimeout: c.patience})
 		assert.Equal(t, err == nil, c.accepted, c.name)
 		var r relay.Refusal
 		if errors.As(err, &r) {
--- a/core/relay/query/reader.go
+++ b/core/relay/query/reader.go
@@ -17,11 +17,11 @@
 	return reader, reader.Name != "" && reader.Name != state.Self.Name
 }
 
-// Teller returns the instance from which one that doesn't read the store itself requests updates:
+// UpdateSource returns the instance from which one that doesn't read the store itself requests updates:
 // its own reader on even turns, and the readers of the other failure domains in rotation on odd
 // ones. So a reader that is cut off from the store without noticing delays updates by one turn at
 // most.
-func Teller(state relay.State, turn int, suspected func(relay.MemberName) bool) relay.Member {
+func UpdateSource(state relay.State, turn int, suspected func(relay.MemberName) bool) relay.Member {
 	own := readerOf(state, state.Self.Domain, suspected)
 	others := otherDomains(state)
 	if turn%2 == 0 || len(others) == 0 {
--- a/core/relay/query/reader_test.go
+++ b/core/relay/query/reader_test.go
@@ -63,11 +63,11 @@
 	own, _ := query.Reader(state, none)
 	asked := make(map[relay.MemberName]bool)
 	for turn := range 4 {
-		m := query.Teller(state, turn, none)
+		m := query.UpdateSource(state, turn, none)
 		assert.Equal(t, m.Name == own.Name, turn%2 == 0)
 		asked[m.Name] = true
 	}
 	assert.Equal(t, len(asked), 3, "each failure domain's reader is asked in turn")
 	alone := stateOf(member("n1", "d1"), member("n2", "d1"))
-	assert.Equal(t, query.Teller(alone, 1, none).Domain, relay.FailureDomain("d1"))
+	assert.Equal(t, query.UpdateSource(alone, 1, none).Domain, relay.FailureDomain("d1"))
 }
--- a/core/relay/query/release.go
+++ b/core/relay/query/release.go
@@ -27,14 +27,14 @@
 
 // TrafficShare returns the share of the service's traffic, from 0 to 1, that the roll-out's release
 // receives in a fleet of so many instances.
-func TrafficShare(rollOut relay.Plan, members int, now time.Time) float64 {
+func TrafficShare(rollOut relay.RollOutState, members int, now time.Time) float64 {
 	switch rollOut.Phase() {
 	case relay.PhaseCompleted:
 		return 1
 	case relay.PhaseReverted:
 		return 0
 	}
-	elapsed := now.Sub(rollOut.Seen).Seconds() / max(rollOut.Order.Within.Seconds(), 1)
+	elapsed := now.Sub(rollOut.OrderedAt).Seconds() / max(rollOut.Order.Within.Seconds(), 1)
 	switch {
 	case elapsed < canaryEnd:
 		return max(minCanaryShare, canaryShare/float64(1+members/canaryFleet))
@@ -48,15 +48,15 @@
 
 // IsCanary reports whether the roll-out is in its canary period, in which sessions keep their
 // release.
-func IsCanary(rollOut relay.Plan, now time.Time) bool {
-	return now.Sub(rollOut.Seen) < time.Duration(canaryEnd*float64(rollOut.Order.Within))
+func IsCanary(rollOut relay.RollOutState, now time.Time) bool {
+	return now.Sub(rollOut.OrderedAt) < time.Duration(canaryEnd*float64(rollOut.Order.Within))
 }
 
 // Release returns the release that must run a request of the service, or empty for any. The last
 // release is the one that the request's session ran on; uniform is a number that is uniformly
 // distributed over requests and stands in for the session's hash when there is no session.
 func Release(state relay.State, service relay.ServiceName, session string, last relay.Release, uniform uint64, now time.Time) relay.Release {
-	rollOut, ok := state.Plan(service)
+	rollOut, ok := state.RollOut(service)
 	if !ok || rollOut.Order.Target == "" {
 		return ""
 	}
--- a/core/relay/query/release_test.go
+++ b/core/relay/query/release_test.go
@@ -41,7 +41,7 @@
 
 func TestTrafficShareStaysSmallDuringCanary(t *testing.T) {
 	state := rollOut(now, 7, relay.PhaseUnderWay)
-	plan, _ := state.Plan("engine")
+	plan, _ := state.RollOut("engine")
 	for at := range 10 {
 		assert.Assert(t, query.TrafficShare(plan, 7, now.Add(time.Duration(at)*time.Second)) <= 0.1)
 	}
@@ -50,7 +50,7 @@
 
 func TestJudgeComparesReleaseWithBaseline(t *testing.T) {
 	state := rollOut(now, 7, relay.PhaseUnderWay)
-	plan, _ := state.Plan("engine")
+	plan, _ := state.RollOut("engine")
 	tally := func(r relay.Release, runs, failed, slow int) relay.Tally {
 		return relay.Tally{Service: "engine", Release: r, Runs: runs, Failed: failed, Slow: slow}
 	}
--- a/core/relay/query/slope_test.go
+++ b/core/relay/query/slope_test.go
@@ -30,11 +30,11 @@
 		state := fleetOf(n)
 		rnd := rand.New(rand.NewPCG(1, 1))
 		loads := func(relay.ServerID) relay.Load { return relay.Load{} }
-		w := query.Want{Service: "engine", Shared: "5c1e07a2", SharedTokens: 6000, ReadTime: 20 * time.Microsecond}
+		w := query.Criteria{Service: "engine", Shared: "5c1e07a2", SharedTokens: 6000, PrefillTime: 20 * time.Microsecond}
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				query.Pick(state, w, loads, rnd, now)
+				query.SelectServer(state, w, loads, rnd, now)
 			}
 		})
 	}
--- a/core/relay/query/spread.go
+++ b/core/relay/query/spread.go
@@ -2,9 +2,9 @@
 
 import "endivehitch/core/relay"
 
-// Spread returns the service that receives the request, in proportion to the weights of the route's
+// SelectTarget returns the service that receives the request, in proportion to the weights of the route's
 // targets; uniform is a number that is uniformly distributed over requests.
-func Spread(route relay.Route, uniform uint64) relay.ServiceName {
+func SelectTarget(route relay.Route, uniform uint64) relay.ServiceName {
 	total := 0
 	for _, t := range route.Targets {
 		total += max(0, t.Weight)
--- a/core/relay/query/step.go
+++ b/core/relay/query/step.go
@@ -6,14 +6,14 @@
 	"endivehitch/core/relay"
 )
 
-// Answered is what the router knows of a model's answer before the caller has received any of it.
-type Answered struct {
+// ObservedAnswer is what the router knows of a model's answer before the caller has received any of it.
+type ObservedAnswer struct {
 	// Step is the answering model's position among the route's models.
 	Step int
 	// Confidence is the model's confidence in its answer, from 0 to 100; negative if not reported.
 	Confidence int
 	// Sends counts the request's attempts, this one included.
-	Sends Sends
+	Sends RequestAttempts
 	// Left is the time left until the request's deadline.
 	Left time.Duration
 	// Throttle is the present value of the service's relay.Throttle, from 0 to 1.
@@ -32,7 +32,7 @@
 )
 
 // GainLookup returns the confidence gain between the models at two steps of a route.
-type GainLookup func(from, to int) relay.Gain
+type GainLookup func(from, to int) relay.ConfidenceGain
 
 // largerModelRankOffset is added to the rank of attempts at larger models: they are less urgent.
 const largerModelRankOffset = 3
@@ -48,7 +48,7 @@
 
 // StepUp returns the position of the larger model to escalate to, and whether the answer is dropped
 // for that model's. It is the smallest one expected to reach goodConfidence, or else the largest.
-func StepUp(route relay.Route, answer Answered, gains GainLookup) (int, bool) {
+func StepUp(route relay.Route, answer ObservedAnswer, gains GainLookup) (int, bool) {
 	if answer.Step >= len(route.Models)-1 || answer.Confidence < 0 || answer.Sends.Run >= route.Attempts {
 		return 0, false
 	}
--- a/core/relay/refusal.go
+++ b/core/relay/refusal.go
@@ -7,17 +7,17 @@
 
 // The reasons why a request is refused or fails.
 const (
-	ReasonNoConfig   Reason = "NoConfiguration"
-	ReasonNoRoute    Reason = "NoRoute"
-	ReasonNoKey      Reason = "UnknownKey"
-	ReasonLeaving    Reason = "InstanceLeaving"
-	ReasonNoServer   Reason = "NoServer"
-	ReasonSaturated  Reason = "NoRoom"
-	ReasonUnknown    Reason = "OutcomeUnknown"
-	ReasonTimeout    Reason = "Timeout"
-	ReasonTooLarge   Reason = "TooLarge"
-	ReasonMalformed  Reason = "Malformed"
-	ReasonCallerLeft Reason = "CallerLeft"
+	ReasonNoConfig       Reason = "NoConfiguration"
+	ReasonNoRoute        Reason = "NoRoute"
+	ReasonUnknownKey     Reason = "UnknownKey"
+	ReasonLeaving        Reason = "InstanceLeaving"
+	ReasonNoServer       Reason = "NoServer"
+	ReasonSaturated      Reason = "NoRoom"
+	ReasonOutcomeUnknown Reason = "OutcomeUnknown"
+	ReasonTimeout        Reason = "Timeout"
+	ReasonTooLarge       Reason = "TooLarge"
+	ReasonMalformed      Reason = "Malformed"
+	ReasonCallerLeft     Reason = "CallerLeft"
 )
 
 // Refusal is a final answer of the router itself; its NotRun is set when no backend server has run
--- a/core/relay/request.go
+++ b/core/relay/request.go
@@ -22,8 +22,8 @@
 	Key string
 	// Arrived is when the request's head was completely read.
 	Arrived time.Time
-	// Patience is how long the caller waits for the answer; zero means that it gave no limit.
-	Patience time.Duration
+	// CallerTimeout is how long the caller waits for the answer; zero means that it gave no limit.
+	CallerTimeout time.Duration
 	// Model is the model that the caller asks for.
 	Model ModelName
 	// Prompt lists the prompt's parts in order; the last is specific to the request or its session.
@@ -40,7 +40,7 @@
 // Deadline returns when the answer is due: after the caller's limit or the route's timeout,
 // whichever is shorter; the zero time means no deadline.
 func (q Request) Deadline(route Route) time.Time {
-	timeout := q.Patience
+	timeout := q.CallerTimeout
 	if route.Timeout > 0 && (timeout == 0 || route.Timeout < timeout) {
 		timeout = route.Timeout
 	}
--- a/core/relay/route.go
+++ b/core/relay/route.go
@@ -22,17 +22,17 @@
 	MemberName string
 )
 
-// Repeat is a route's rule for retries of requests that a server may have run.
-type Repeat int
+// RetryRule is a route's rule for retries of requests that a server may have run.
+type RetryRule int
 
 // The retry rules.
 const (
-	// RepeatNever is for requests that may run at most once.
-	RepeatNever Repeat = iota
-	// RepeatFreely is for idempotent requests, which may run any number of times.
-	RepeatFreely
-	// RepeatResumed is for streams that another attempt may continue where the previous one stopped.
-	RepeatResumed
+	// RetryNever is for requests that may run at most once.
+	RetryNever RetryRule = iota
+	// RetryAlways is for idempotent requests, which may run any number of times.
+	RetryAlways
+	// RetryResuming is for streams that another attempt may continue where the previous one stopped.
+	RetryResuming
 )
 
 // Target is a service that receives a share of a route's requests.
@@ -47,7 +47,7 @@
 	Name   RouteName
 	Host   string
 	Prefix string
-	Repeat Repeat
+	Repeat RetryRule
 	// Stream is set when answers are event streams.
 	Stream bool
 	// Timeout bounds the time until the final answer; zero means no bound.
@@ -67,8 +67,8 @@
 	Targets []Target
 }
 
-// Cascade reports whether the route is a model cascade, in which the router chooses the model.
-func (r Route) Cascade() bool {
+// IsCascade reports whether the route is a model cascade, in which the router chooses the model.
+func (r Route) IsCascade() bool {
 	return len(r.Models) > 0
 }
 
--- a/core/relay/server.go
+++ b/core/relay/server.go
@@ -75,8 +75,8 @@
 	PhaseReverted
 )
 
-// Final reports whether the phase can't change any more for the same order.
-func (p Phase) Final() bool {
+// IsFinal reports whether the phase can't change any more for the same order.
+func (p Phase) IsFinal() bool {
 	return p == PhaseCompleted || p == PhaseReverted
 }
 
--- a/core/relay/state.go
+++ b/core/relay/state.go
@@ -23,13 +23,13 @@
 	Leaving      bool
 	LeavingSince time.Time
 	LeavesBy     time.Time
-	// Away is the time since which the store has been unreachable; zero means that it is reachable.
-	Away time.Time
-	// Back is when the store last became reachable again after an outage that may have affected all
+	// StoreUnreachableSince is the time since which the store has been unreachable; zero means that it is reachable.
+	StoreUnreachableSince time.Time
+	// StoreRecoveredAt is when the store last became reachable again after an outage that may have affected all
 	// instances and servers; zero means that there was none.
-	Back time.Time
-	// Served is when the store last answered this instance or, as peers report, another one.
-	Served time.Time
+	StoreRecoveredAt time.Time
+	// StoreAnsweredAt is when the store last answered this instance or, as peers report, another one.
+	StoreAnsweredAt time.Time
 
 	entries map[string]Change
 	// missing holds, by key, the end of the grace period of entries whose removal is in doubt.
@@ -42,16 +42,16 @@
 	keys         map[string]Account
 	servers      map[ServiceName][]Server
 	byID         map[ServerID]*Server
-	rollOuts     map[ServiceName]Plan
+	rollOuts     map[ServiceName]RollOutState
 	duties       map[ServiceName]Duty
 	members      []Member
 }
 
-// Plan is a roll-out's order together with its progress.
-type Plan struct {
+// RollOutState is a roll-out's order together with its progress.
+type RollOutState struct {
 	Order RollOut
-	// Seen is when the order was given; it is an estimate unless AgeKnown is set.
-	Seen time.Time
+	// OrderedAt is when the order was given; it is an estimate unless AgeKnown is set.
+	OrderedAt time.Time
 	// AgeKnown is set when this instance, or a peer that reported it, observed the order being
 	// given.
 	AgeKnown bool
@@ -61,7 +61,7 @@
 }
 
 // Phase returns the phase of the current order; progress of an earlier order doesn't count.
-func (p Plan) Phase() Phase {
+func (p RollOutState) Phase() Phase {
 	if p.Progress.Target != p.Order.Target || p.ProgressRevision < p.Order.Revision {
 		return PhaseNone
 	}
@@ -109,14 +109,14 @@
 	return *v, true
 }
 
-// Plan returns the roll-out of the service.
-func (s State) Plan(n ServiceName) (Plan, bool) {
+// RollOut returns the roll-out of the service.
+func (s State) RollOut(n ServiceName) (RollOutState, bool) {
 	p, ok := s.rollOuts[n]
 	return p, ok
 }
 
-// Plans returns the roll-outs of all services; the map must not be changed.
-func (s State) Plans() map[ServiceName]Plan {
+// RollOuts returns the roll-outs of all services; the map must not be changed.
+func (s State) RollOuts() map[ServiceName]RollOutState {
 	return s.rollOuts
 }
 
@@ -158,8 +158,8 @@
 
 // WithStoreUnreachable returns a state in which the store is unreachable; an outage keeps its start.
 func (s State) WithStoreUnreachable(at time.Time) State {
-	if s.Away.IsZero() {
-		s.Away = at
+	if s.StoreUnreachableSince.IsZero() {
+		s.StoreUnreachableSince = at
 	}
 	return s
 }
@@ -171,29 +171,29 @@
 // WithStoreRecovered returns a state in which the store is reachable again. An outage that affected
 // only this instance leaves Back as it was, since the servers could renew their entries meanwhile.
 func (s State) WithStoreRecovered(at time.Time) State {
-	if s.Away.IsZero() {
+	if s.StoreUnreachableSince.IsZero() {
 		return s
 	}
-	onlyThisInstance := s.Served.After(s.Away) && at.Sub(s.Served) < storeAnswerLifetime
-	s.Away = time.Time{}
+	onlyThisInstance := s.StoreAnsweredAt.After(s.StoreUnreachableSince) && at.Sub(s.StoreAnsweredAt) < storeAnswerLifetime
+	s.StoreUnreachableSince = time.Time{}
 	if !onlyThisInstance {
-		s.Back = at
+		s.StoreRecoveredAt = at
 	}
 	return s
 }
 
 // WithStoreAnswered returns a state that records that the store answered some instance at the time.
 func (s State) WithStoreAnswered(at time.Time) State {
-	if at.After(s.Served) {
-		s.Served = at
+	if at.After(s.StoreAnsweredAt) {
+		s.StoreAnsweredAt = at
 	}
 	return s
 }
 
 // WithReportedRecovery returns a state with a recovery of the store that another instance reported.
 func (s State) WithReportedRecovery(at time.Time) State {
-	if at.After(s.Back) {
-		s.Back = at
+	if at.After(s.StoreRecoveredAt) {
+		s.StoreRecoveredAt = at
 	}
 	return s
 }
@@ -227,7 +227,7 @@
 	}
 	updated.Revision = feed.Revision
 	// Changes delayed by an outage may contain orders that were given at any time during it.
-	observed := !feed.Whole && s.Away.IsZero() && !s.Back.Equal(at)
+	observed := !feed.Whole && s.StoreUnreachableSince.IsZero() && !s.StoreRecoveredAt.Equal(at)
 	return updated.indexed().withOrderTimes(s.rollOuts, observed, at)
 }
 
@@ -275,7 +275,7 @@
 		return s
 	}
 	if existed && s.isRemovalInDoubt(previous, at, grace) {
-		s.missing[change.Key] = s.Back.Add(grace)
+		s.missing[change.Key] = s.StoreRecoveredAt.Add(grace)
 		return s
 	}
 	delete(s.entries, change.Key)
@@ -295,10 +295,10 @@
 // server writes its entry again soon after the store has recovered. While this instance can't reach
 // the store, removals reported by other instances count, since the store has served them.
 func (s State) isRemovalInDoubt(removed Change, at time.Time, grace time.Duration) bool {
-	if removed.Entry.Server == nil || removed.Entry.Server.Draining || s.Back.IsZero() {
+	if removed.Entry.Server == nil || removed.Entry.Server.Draining || s.StoreRecoveredAt.IsZero() {
 		return false
 	}
-	return s.Away.IsZero() && at.Sub(s.Back) < grace
+	return s.StoreUnreachableSince.IsZero() && at.Sub(s.StoreRecoveredAt) < grace
 }
 
 // WithoutExpired returns a state without the removed entries whose grace period has ended; none
@@ -306,7 +306,7 @@
 func (s State) WithoutExpired(at time.Time) State {
 	var expired []string
 	for key, until := range s.missing {
-		if s.Away.IsZero() && at.After(until) {
+		if s.StoreUnreachableSince.IsZero() && at.After(until) {
 			expired = append(expired, key)
 		}
 	}
@@ -324,7 +324,7 @@
 // indexed returns a state whose lookup tables are rebuilt from its entries.
 func (s State) indexed() State {
 	s.servers, s.byID = make(map[ServiceName][]Server), make(map[ServerID]*Server, len(s.byID))
-	s.rollOuts, s.members = make(map[ServiceName]Plan), nil
+	s.rollOuts, s.members = make(map[ServiceName]RollOutState), nil
 	s.duties = make(map[ServiceName]Duty)
 	for _, c := range s.entries {
 		switch e := c.Entry; {
@@ -357,12 +357,12 @@
 
 // withOrderTimes sets when each order was given: as before if it was known, at the time if it was
 // observed being given, and estimated otherwise.
-func (s State) withOrderTimes(previous map[ServiceName]Plan, observed bool, at time.Time) State {
+func (s State) withOrderTimes(previous map[ServiceName]RollOutState, observed bool, at time.Time) State {
 	for n, p := range s.rollOuts {
 		known, ok := previous[n]
 		switch {
 		case ok && known.Order.Revision == p.Order.Revision:
-			s.rollOuts[n] = p.withOrderTime(known.Seen, known.AgeKnown)
+			s.rollOuts[n] = p.withOrderTime(known.OrderedAt, known.AgeKnown)
 		case observed:
 			s.rollOuts[n] = p.withOrderTime(at, true)
 		default:
--- a/core/relay/state_test.go
+++ b/core/relay/state_test.go
@@ -141,12 +141,12 @@
 	}
 	progress := relay.Change{Key: "progress", Revision: 7, Entry: relay.Entry{Progress: &relay.Progress{Service: "engine", Target: "v2", Phase: relay.PhaseReverted}}}
 	state := relay.New(relay.Member{}).WithFeed(fullFeed(7, orderFor("v2", 6), progress), start, grace)
-	rollOut, _ := state.Plan("engine")
+	rollOut, _ := state.RollOut("engine")
 	assert.Equal(t, rollOut.Phase(), relay.PhaseReverted)
 	state = state.WithFeed(feedAfter(7, 8, orderFor("v2", 8)), start.Add(time.Second), grace)
-	rollOut, _ = state.Plan("engine")
+	rollOut, _ = state.RollOut("engine")
 	assert.Equal(t, rollOut.Phase(), relay.PhaseNone)
-	assert.Equal(t, rollOut.Seen, start.Add(time.Second))
+	assert.Equal(t, rollOut.OrderedAt, start.Add(time.Second))
 }
 
 func TestWithFeedDoesNotChangeOriginalState(t *testing.T) {
--- a/core/state/effect.go
+++ b/core/state/effect.go
@@ -7,10 +7,10 @@
 	effect()
 }
 
-// Decided logs and counts a control decision.
-type Decided struct {
-	// What names the decision, such as ServerGone.
-	What string
+// RecordDecision logs and counts a control decision.
+type RecordDecision struct {
+	// Event names the decision, such as ServerGone.
+	Event string
 	// Subject identifies what the decision is about.
 	Subject string
 	Reason  value.Reason
@@ -18,40 +18,40 @@
 	Detail string
 }
 
-// Announce sends peers the configuration that is now in force.
-type Announce struct {
-	Config value.Accepted
+// AnnounceConfig sends peers the configuration that is now in force.
+type AnnounceConfig struct {
+	Config value.AcceptedDocument
 }
 
-// Behind fetches a newer configuration revision from the instance that has it.
-type Behind struct {
+// FetchConfig fetches a newer configuration revision from the instance that has it.
+type FetchConfig struct {
 	Revision int64
 	Source   value.Instance
 }
 
-// Farewell sends peers the departure notice of this instance at once.
-type Farewell struct{}
+// SendDepartureNotice sends peers the departure notice of this instance at once.
+type SendDepartureNotice struct{}
 
-func (Decided) effect()  {}
-func (Announce) effect() {}
-func (Behind) effect()   {}
-func (Farewell) effect() {}
+func (RecordDecision) effect()      {}
+func (AnnounceConfig) effect()      {}
+func (FetchConfig) effect()         {}
+func (SendDepartureNotice) effect() {}
 
-// KeepProgress stores a roll-out's position in the key-value service.
+// StoreProgress stores a roll-out's position in the key-value service.
 //
 // The worker then installs the stored position with an InstallProgress command. It is another one
 // where the service already has a position that this one does not supersede.
-type KeepProgress struct {
+type StoreProgress struct {
 	Progress value.Progress
 }
 
-// KeepWithdrawal stores a version's withdrawal in the key-value service, from which the other
+// StoreWithdrawal stores a version's withdrawal in the key-value service, from which the other
 // instances learn it.
 //
 // The worker then installs the stored withdrawal with an InstallWithdrawal command.
-type KeepWithdrawal struct {
+type StoreWithdrawal struct {
 	Withdrawal value.Withdrawal
 }
 
-func (KeepProgress) effect()   {}
-func (KeepWithdrawal) effect() {}
+func (StoreProgress) effect()   {}
+func (StoreWithdrawal) effect() {}
--- a/core/state/members.go
+++ b/core/state/members.go
@@ -56,8 +56,8 @@
 	return s.membership.owners
 }
 
-// Domain returns the instances of the failure domain that may own hash slots.
-func (s State) Domain(d value.FailureDomain) policy.Rendezvous[value.InstanceID] {
+// DomainOwners returns the instances of the failure domain that may own hash slots.
+func (s State) DomainOwners(d value.FailureDomain) policy.Rendezvous[value.InstanceID] {
 	r, ok := s.membership.domains.Get(d)
 	if !ok {
 		return newAssignment(1)
@@ -65,13 +65,13 @@
 	return r
 }
 
-// Unsettled returns the instances that are suspected, leaving or gone.
-func (s State) Unsettled() policy.Table[value.InstanceID, struct{}] {
+// NotLive returns the instances that are suspected, leaving or gone.
+func (s State) NotLive() policy.Table[value.InstanceID, struct{}] {
 	return s.membership.notLive
 }
 
-// Rumours returns the updates that gossip still has to send: by instance, the number of messages left.
-func (s State) Rumours() policy.Table[value.InstanceID, int] {
+// PendingUpdates returns the updates that gossip still has to send: by instance, the number of messages left.
+func (s State) PendingUpdates() policy.Table[value.InstanceID, int] {
 	return s.membership.pendingUpdates
 }
 
@@ -112,12 +112,12 @@
 
 // WithNewest returns a state that knows that the configuration revision exists.
 func (s State) WithNewest(revision int64, now time.Time) State {
-	if revision <= s.Newest {
+	if revision <= s.NewestKnown {
 		return s
 	}
-	s.Newest = revision
-	if revision > s.Self.Revision && s.Self.Lagging.IsZero() {
-		s = s.WithSelf(s.Self.WithLagging(now))
+	s.NewestKnown = revision
+	if revision > s.Self.Revision && s.Self.LaggingSince.IsZero() {
+		s = s.WithSelf(s.Self.WithLaggingSince(now))
 	}
 	return s
 }
@@ -128,16 +128,16 @@
 		return s
 	}
 	self := s.Self.WithRevision(revision)
-	s.Newest = max(s.Newest, revision)
-	if s.Newest == revision {
-		self = self.WithLagging(time.Time{})
+	s.NewestKnown = max(s.NewestKnown, revision)
+	if s.NewestKnown == revision {
+		self = self.WithLaggingSince(time.Time{})
 	}
 	return s.WithSelf(self)
 }
 
 // WithRejected returns a state in which entries of the revision could not be decoded; zero means none.
 func (s State) WithRejected(revision int64) State {
-	s.Rejected = revision
+	s.RejectedRevision = revision
 	return s
 }
 
--- a/core/state/menu_measure_test.go
+++ b/core/state/menu_measure_test.go
@@ -33,7 +33,7 @@
 		a.Name = value.AccountName(fmt.Sprint("a", i))
 		d.ClientAccounts = append(d.ClientAccounts, a)
 	}
-	return state.New(value.Instance{ID: "a"}).WithConfig(value.Accepted{Document: d, Revision: 1})
+	return state.New(value.Instance{ID: "a"}).WithConfig(value.AcceptedDocument{Document: d, Revision: 1})
 }
 
 // BenchmarkMeasureMenu reports the time that the control goroutine needs to apply a rating, a step of a
@@ -43,7 +43,7 @@
 		for _, accounts := range []int{10, 100, 1000} {
 			s := menuState(versions, accounts)
 			steps := map[string]func(){
-				"us/rating":   func() { s.WithRating(value.Rating{Kind: "k1", Version: "llm/v1"}).WithMenu("k1") },
+				"us/rating":   func() { s.WithRating(value.Rating{Kind: "k1", Version: "llm/v1"}).WithCandidates("k1") },
 				"us/step":     func() { s.WithProgress(value.Progress{Name: "r", Version: "llm/v1", Phase: value.PhaseDone}) },
 				"us/document": func() { s.WithConfig(s.Config) },
 			}
--- a/core/state/quality.go
+++ b/core/state/quality.go
@@ -22,11 +22,11 @@
 // quality holds the estimates of the versions' quality and what is derived from them.
 type quality struct {
 	estimates   policy.Table[estimateKey, policy.Estimate]
-	menus       policy.Table[value.KindName, Menu]
+	candidates  policy.Table[value.KindName, CandidateSet]
 	grants      map[grantKey][]bool
 	rollOutOnly map[value.VersionKey]bool
 	withdrawn   policy.Table[value.VersionKey, value.Withdrawal]
-	watches     policy.Table[value.RollOutName, Watch]
+	watches     policy.Table[value.RollOutName, RollOutTests]
 }
 
 // estimateKey joins the names of a kind of request and of a version.
@@ -42,14 +42,14 @@
 	kind    value.KindName
 }
 
-// Menu returns the candidate versions and cascades for the kind of request.
-func (s State) Menu(k value.KindName) (Menu, bool) {
-	return s.quality.menus.Get(k)
+// Candidates returns the candidate versions and cascades for the kind of request.
+func (s State) Candidates(k value.KindName) (CandidateSet, bool) {
+	return s.quality.candidates.Get(k)
 }
 
-// Granted returns for each of the kind's offers whether the account may use it; the slice must not be
+// AllowedCandidates returns for each of the kind's offers whether the account may use it; the slice must not be
 // changed.
-func (s State) Granted(a value.AccountName, k value.KindName) []bool {
+func (s State) AllowedCandidates(a value.AccountName, k value.KindName) []bool {
 	return s.quality.grants[grantKey{account: a, kind: k}]
 }
 
@@ -75,7 +75,7 @@
 	if v, ok := s.versions.Get(w.Version); ok {
 		s.versions = s.versions.With(w.Version, v.WithWithdrawn(true))
 	}
-	return s.withAllMenus()
+	return s.withAllCandidates()
 }
 
 // WithRating returns a state whose estimates include the rating; the rating of an unknown kind or
@@ -91,13 +91,13 @@
 	return s
 }
 
-// WithMenu returns a state in which the menu of the kind is computed from the present estimates.
-func (s State) WithMenu(name value.KindName) State {
+// WithCandidates returns a state in which the menu of the kind is computed from the present estimates.
+func (s State) WithCandidates(name value.KindName) State {
 	k, ok := s.kinds.Get(name)
 	if !ok || k.Model == "" {
 		return s
 	}
-	s.quality.menus = s.quality.menus.With(name, s.menuOf(k))
+	s.quality.candidates = s.quality.candidates.With(name, s.candidateSetOf(k))
 	return s
 }
 
@@ -123,7 +123,7 @@
 			s.versions = s.versions.With(k, v.WithWithdrawn(true))
 		}
 	}
-	return s.withAllMenus()
+	return s.withAllCandidates()
 }
 
 // estimateFor returns the version's estimate, with the quality that the document states as its prior.
@@ -135,21 +135,21 @@
 	return estimateConfig.NewEstimate(v.Quality, weight)
 }
 
-// withAllMenus computes all menus, and the grants only if the offers of some menu have changed.
-func (s State) withAllMenus() State {
+// withAllCandidates computes all menus, and the grants only if the offers of some menu have changed.
+func (s State) withAllCandidates() State {
 	s.quality.rollOutOnly = s.rollOutOnlyVersions()
-	menus := make(map[value.KindName]Menu)
+	menus := make(map[value.KindName]CandidateSet)
 	unchanged := s.quality.grants != nil
 	for _, k := range s.Config.Document.Kinds {
 		if k.Model == "" {
 			continue
 		}
-		m := s.menuOf(k)
-		old, _ := s.quality.menus.Get(k.Name)
-		unchanged = unchanged && slices.EqualFunc(old.Offers, m.Offers, func(a, b Offer) bool { return a.Key == b.Key })
+		m := s.candidateSetOf(k)
+		old, _ := s.quality.candidates.Get(k.Name)
+		unchanged = unchanged && slices.EqualFunc(old.Candidates, m.Candidates, func(a, b Candidate) bool { return a.Key == b.Key })
 		menus[k.Name] = m
 	}
-	s.quality.menus = policy.NewTable(menus)
+	s.quality.candidates = policy.NewTable(menus)
 	if unchanged {
 		return s
 	}
@@ -158,20 +158,20 @@
 
 func (s State) withGrants() State {
 	s.quality.grants = make(map[grantKey][]bool)
-	for k, m := range s.quality.menus.All() {
+	for k, m := range s.quality.candidates.All() {
 		for _, a := range s.Config.Document.ClientAccounts {
 			if a.MaySend(k) {
-				s.quality.grants[grantKey{account: a.Name, kind: k}] = allowedOffers(a, m)
+				s.quality.grants[grantKey{account: a.Name, kind: k}] = allowedCandidates(a, m)
 			}
 		}
 	}
 	return s
 }
 
-func allowedOffers(a value.ClientAccount, m Menu) []bool {
-	list := make([]bool, len(m.Offers))
-	for i := range m.Offers {
-		list[i] = slices.Contains(a.Versions, m.Offers[i].Key)
+func allowedCandidates(a value.ClientAccount, m CandidateSet) []bool {
+	list := make([]bool, len(m.Candidates))
+	for i := range m.Candidates {
+		list[i] = slices.Contains(a.Versions, m.Candidates[i].Key)
 	}
 	return list
 }
--- a/core/state/rollout.go
+++ b/core/state/rollout.go
@@ -34,7 +34,7 @@
 func (s State) Position(r value.RollOut) value.Progress {
 	p, ok := s.rollOuts.Get(r.Name)
 	if !ok {
-		return steps.Plan(r)
+		return steps.NewProgress(r)
 	}
 	return p
 }
@@ -50,7 +50,7 @@
 	}
 	for _, r := range s.Config.Document.RollOuts {
 		if _, known := s.rollOuts.Get(r.Name); !known && r.ToKey() == k {
-			list = append(list, steps.Plan(r))
+			list = append(list, steps.NewProgress(r))
 		}
 	}
 	return list
--- a/core/state/server.go
+++ b/core/state/server.go
@@ -57,11 +57,11 @@
 	return s
 }
 
-// Position returns the index in a list of servers at which the search for the server of a hash starts.
+// RingIndex returns the index in a list of servers at which the search for the server of a hash starts.
 //
 // The lists are sorted by the hashes of the servers' identifiers, as on a consistent-hashing ring, so
 // that adding or removing a server moves only the hashes between it and its neighbour.
-func Position(list []value.BackendServer, hash uint64) int {
+func RingIndex(list []value.BackendServer, hash uint64) int {
 	i, _ := slices.BinarySearchFunc(list, hash, func(b value.BackendServer, h uint64) int {
 		return cmp.Compare(hashOf(b.ID), h)
 	})
--- a/core/state/server_test.go
+++ b/core/state/server_test.go
@@ -43,10 +43,10 @@
 		}
 		assert.Equal(t, s.Servers().Len(), len(want))
 		for _, p := range []value.PoolName{"p", "q"} {
-			assertLiveServers(t, s.Members(p), want, func(b value.BackendServer) bool { return b.Pool == p })
+			assertLiveServers(t, s.PoolServers(p), want, func(b value.BackendServer) bool { return b.Pool == p })
 		}
 		for _, v := range []value.VersionKey{"m/1", "m/2"} {
-			assertLiveServers(t, s.Carriers(v), want, func(b value.BackendServer) bool { return b.Carries(v) })
+			assertLiveServers(t, s.VersionServers(v), want, func(b value.BackendServer) bool { return b.HasVersion(v) })
 		}
 	})
 }
--- a/core/state/slope_test.go
+++ b/core/state/slope_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-func accepted(accounts int) value.Accepted {
+func accepted(accounts int) value.AcceptedDocument {
 	var d value.Document
 	m := value.Model{Name: "model"}
 	var keys []value.VersionKey
@@ -75,7 +75,7 @@
 			Versions: keys[i%30 : i%30+8], Kinds: []value.KindName{"draft"},
 		})
 	}
-	return value.Accepted{Document: d, Revision: 1}
+	return value.AcceptedDocument{Document: d, Revision: 1}
 }
 
 func heap() int64 {
--- a/core/state/state.go
+++ b/core/state/state.go
@@ -12,11 +12,11 @@
 	// Self is the instance that the state belongs to.
 	Self value.Instance
 	// Config is the document in force.
-	Config value.Accepted
-	// Newest is the newest configuration revision that the instance knows to exist.
-	Newest int64
-	// Rejected is the latest revision with entries that could not be decoded; zero means none.
-	Rejected int64
+	Config value.AcceptedDocument
+	// NewestKnown is the newest configuration revision that the instance knows to exist.
+	NewestKnown int64
+	// RejectedRevision is the latest revision with entries that could not be decoded; zero means none.
+	RejectedRevision int64
 	// Leaving is set once the instance is shutting down.
 	Leaving bool
 	// LastTick is the time of the latest Tick command, which checks membership time-outs.
@@ -77,15 +77,15 @@
 	return s.servers
 }
 
-// Carriers returns the live backend servers that have the version loaded; the slice must not be
+// VersionServers returns the live backend servers that have the version loaded; the slice must not be
 // changed.
-func (s State) Carriers(k value.VersionKey) []value.BackendServer {
+func (s State) VersionServers(k value.VersionKey) []value.BackendServer {
 	servers, _ := s.versionServers.Get(k)
 	return servers
 }
 
-// Members returns the live backend servers of the pool; the slice must not be changed.
-func (s State) Members(p value.PoolName) []value.BackendServer {
+// PoolServers returns the live backend servers of the pool; the slice must not be changed.
+func (s State) PoolServers(p value.PoolName) []value.BackendServer {
 	servers, _ := s.poolServers.Get(p)
 	return servers
 }
@@ -117,11 +117,11 @@
 	if p.Phase == value.PhaseWithdrawn {
 		return s.WithWithdrawal(value.Withdrawal{Version: p.Version, Reason: value.Reason(p.Reason), At: p.Since})
 	}
-	return s.withAllMenus()
+	return s.withAllCandidates()
 }
 
 // WithConfig returns a state with the accepted document in force.
-func (s State) WithConfig(a value.Accepted) State {
+func (s State) WithConfig(a value.AcceptedDocument) State {
 	s.Config = a
 	s = s.WithSelf(s.Self.WithDigest(a.Digest)).WithRevision(a.Revision)
 	s.accounts = byName(a.Document.ClientAccounts, func(c value.ClientAccount) value.AccountName { return c.Name })
--- a/core/state/watch.go
+++ b/core/state/watch.go
@@ -16,24 +16,24 @@
 	changeHorizonTrials = 1000
 )
 
-// Watch holds the tests of a roll-out's new version with the trials observed so far.
-type Watch struct {
+// RollOutTests holds the tests of a roll-out's new version with the trials observed so far.
+type RollOutTests struct {
 	// Tests are the sequential tests of the roll-out's limits.
-	Tests policy.Watch[value.Reason]
+	Tests policy.SequentialTest[value.Reason]
 	// Ratings counts the ratings of the stage in force.
 	Ratings int
 	// Epoch is the roll-out's epoch in which Ratings were counted.
 	Epoch int64
 }
 
-// Watch returns the tests of the roll-out's new version. Other limits in the plan start the tests anew,
+// RollOutTests returns the tests of the roll-out's new version. Other limits in the plan start the tests anew,
 // and a new epoch restarts the count of ratings.
-func (s State) Watch(r value.RollOut) Watch {
+func (s State) RollOutTests(r value.RollOut) RollOutTests {
 	w, ok := s.quality.watches.Get(r.Name)
 	limits := limitsOf(r)
 	if !ok || !slices.Equal(w.Tests.Config().Limits, limits) {
-		config := policy.WatchConfig[value.Reason]{Limits: limits, FalseAlarm: falseAlarmProbability, Horizon: changeHorizonTrials}
-		w = Watch{Tests: config.New()}
+		config := policy.SequentialTestConfig[value.Reason]{Limits: limits, FalseAlarm: falseAlarmProbability, Horizon: changeHorizonTrials}
+		w = RollOutTests{Tests: config.New()}
 	}
 	if p := s.Position(r); p.Epoch != w.Epoch {
 		w.Epoch = p.Epoch
@@ -42,16 +42,16 @@
 	return w
 }
 
-// Watches reports whether this instance decides for the fleet whether to withdraw the version: it owns
+// DecidesWithdrawal reports whether this instance decides for the fleet whether to withdraw the version: it owns
 // the version's hash slot, or knows no owner.
-func (s State) Watches(k value.VersionKey) bool {
+func (s State) DecidesWithdrawal(k value.VersionKey) bool {
 	owner, ok := s.Owners().Owner(SlotOf(string(k)))
 	return !ok || owner == s.Self.ID
 }
 
-// WithRuns returns a state in which the roll-out's tests count the attempts of its new version.
-func (s State) WithRuns(r value.RollOut, runs value.Runs) State {
-	w := s.Watch(r)
+// WithAttemptCounts returns a state in which the roll-out's tests count the attempts of its new version.
+func (s State) WithAttemptCounts(r value.RollOut, runs value.AttemptCounts) State {
+	w := s.RollOutTests(r)
 	w.Tests = w.Tests.
 		With(value.ReasonErrorRate, runs.Total, runs.Failed).
 		With(value.ReasonSlowRate, runs.Total, runs.Slow).
@@ -61,8 +61,8 @@
 
 // WithRollOutRating returns a state in which the roll-out's tests count a rating of its new version.
 func (s State) WithRollOutRating(r value.RollOut, rating value.Rating) State {
-	w := s.Watch(r)
-	w.Tests = w.Tests.WithWeighed(value.ReasonQuality, !rating.Accepted, s.ratingWeight(rating))
+	w := s.RollOutTests(r)
+	w.Tests = w.Tests.WithWeighted(value.ReasonQuality, !rating.Accepted, s.ratingWeight(rating))
 	w.Ratings++
 	return s.withWatch(r, w)
 }
@@ -77,25 +77,25 @@
 	return min(k.RatingFloor/r.Rate, 1)
 }
 
-func (s State) withWatch(r value.RollOut, w Watch) State {
+func (s State) withWatch(r value.RollOut, w RollOutTests) State {
 	s.quality.watches = s.quality.watches.With(r.Name, w)
 	return s
 }
 
 // limitsOf returns the limits that the roll-out's plan sets.
-func limitsOf(r value.RollOut) []policy.Limit[value.Reason] {
-	var limits []policy.Limit[value.Reason]
+func limitsOf(r value.RollOut) []policy.SignalLimit[value.Reason] {
+	var limits []policy.SignalLimit[value.Reason]
 	if r.MaxErrorRate > 0 {
-		limits = append(limits, policy.Limit[value.Reason]{Signal: value.ReasonErrorRate, Max: r.MaxErrorRate})
+		limits = append(limits, policy.SignalLimit[value.Reason]{Signal: value.ReasonErrorRate, Max: r.MaxErrorRate})
 	}
 	if r.MinQuality > 0 {
-		limits = append(limits, policy.Limit[value.Reason]{Signal: value.ReasonQuality, Max: 1 - r.MinQuality})
+		limits = append(limits, policy.SignalLimit[value.Reason]{Signal: value.ReasonQuality, Max: 1 - r.MinQuality})
 	}
 	if r.SlowAfter > 0 {
-		limits = append(limits, policy.Limit[value.Reason]{Signal: value.ReasonSlowRate, Max: r.MaxSlowRate})
+		limits = append(limits, policy.SignalLimit[value.Reason]{Signal: value.ReasonSlowRate, Max: r.MaxSlowRate})
 	}
 	if r.CostAbove > 0 {
-		limits = append(limits, policy.Limit[value.Reason]{Signal: value.ReasonCostlyRate, Max: r.MaxCostlyRate})
+		limits = append(limits, policy.SignalLimit[value.Reason]{Signal: value.ReasonCostlyRate, Max: r.MaxCostlyRate})
 	}
 	return limits
 }
--- a/core/steps/order.go
+++ b/core/steps/order.go
@@ -24,11 +24,11 @@
 	Stage int
 }
 
-// Obey returns the position after the order and whether it differs from the present one.
+// ApplyOrder returns the position after the order and whether it differs from the present one.
 //
 // An order whose target position is already reached changes nothing, so that it may be repeated. The
 // error is value.ChangeRefused where the present position does not allow the order.
-func Obey(r value.RollOut, p value.Progress, o Order, now time.Time) (value.Progress, bool, error) {
+func ApplyOrder(r value.RollOut, p value.Progress, o Order, now time.Time) (value.Progress, bool, error) {
 	if isReached(r, p, o) {
 		return p, false, nil
 	}
@@ -62,7 +62,7 @@
 		if p.Stage != o.Stage {
 			return p, fmt.Errorf("stage %d is not the one to be left", o.Stage)
 		}
-		return Skip(r, p, now)
+		return ForceAdvance(r, p, now)
 	case VerbWithdraw:
 		return Withdraw(p, value.ReasonOperator, now)
 	}
