--- a/core/steps/steps.go
+++ b/core/steps/steps.go
@@ -45,14 +45,14 @@
 	return fmt.Sprintf("roll-out %s: next step is not due: %s", e.Name, e.Condition)
 }
 
-// Seen is what has been measured in the present stage.
-type Seen struct {
+// StageMeasurements is what has been measured in the present stage.
+type StageMeasurements struct {
 	// Ratings counts the new version's ratings in this stage.
 	Ratings int
 }
 
-// Plan returns the position of a roll-out that has not been started.
-func Plan(r value.RollOut) value.Progress {
+// NewProgress returns the position of a roll-out that has not been started.
+func NewProgress(r value.RollOut) value.Progress {
 	return value.Progress{Name: r.Name, Version: r.ToKey(), Phase: value.PhasePlanned}
 }
 
@@ -70,17 +70,17 @@
 
 // Advance returns the position at the next stage or, after the last one, at the end. The error is
 // NotDue while the present stage's conditions are not met.
-func Advance(r value.RollOut, p value.Progress, seen Seen, now time.Time) (value.Progress, error) {
+func Advance(r value.RollOut, p value.Progress, seen StageMeasurements, now time.Time) (value.Progress, error) {
 	if p.Phase == value.PhaseStaged {
 		if err := checkConditions(r, p, seen, now); err != nil {
 			return p, err
 		}
 	}
-	return Skip(r, p, now)
+	return ForceAdvance(r, p, now)
 }
 
-// Skip is like Advance, but does not check the stage's conditions; it serves an operator's order.
-func Skip(r value.RollOut, p value.Progress, now time.Time) (value.Progress, error) {
+// ForceAdvance is like Advance, but does not check the stage's conditions; it serves an operator's order.
+func ForceAdvance(r value.RollOut, p value.Progress, now time.Time) (value.Progress, error) {
 	last := p.Stage+1 >= len(r.Stages)
 	event := eventAdvance
 	if last {
@@ -114,7 +114,7 @@
 	return limit > 0 && now.Sub(p.Since) > limit
 }
 
-func checkConditions(r value.RollOut, p value.Progress, seen Seen, now time.Time) error {
+func checkConditions(r value.RollOut, p value.Progress, seen StageMeasurements, now time.Time) error {
 	if p.Stage >= len(r.Stages) {
 		return nil
 	}
--- a/core/value/change.go
+++ b/core/value/change.go
@@ -29,37 +29,37 @@
 	return c
 }
 
-// Standing is the current record of an environment in the key-value service, without the document's
+// CurrentRecord is the current record of an environment in the key-value service, without the document's
 // bytes.
-type Standing struct {
+type CurrentRecord struct {
 	// Revision is zero where there is no record.
 	Revision int64
 	// Change is the change that created the revision.
 	Change Change
-	// Trail is the change history: the stored earlier changes, the latest first.
-	Trail []Change
+	// History is the change history: the stored earlier changes, the latest first.
+	History []Change
 }
 
-// Applied is a change with the revision that it created.
-type Applied struct {
+// AppliedChange is a change with the revision that it created.
+type AppliedChange struct {
 	Change   Change
 	Revision int64
-	// Overtaken reports that a later change has already replaced it.
-	Overtaken bool
+	// Superseded reports that a later change has already replaced it.
+	Superseded bool
 }
 
 // ChangeConflict is the error of a change that expected another revision than the current one.
 type ChangeConflict struct {
-	Mine    Change
-	Present Standing
+	Attempted Change
+	Current   CurrentRecord
 }
 
 // Error describes the rejected change and the current record.
 func (c ChangeConflict) Error() string {
-	p := c.Present
+	p := c.Current
 	return fmt.Sprintf(
 		"conflict: change %s by %s (digest %s) expected revision %d, but revision %d stands: change %s by %s at %s (digest %s)",
-		c.Mine.ID, c.Mine.Who, digestPrefix(c.Mine.Digest), c.Mine.Expect,
+		c.Attempted.ID, c.Attempted.Who, digestPrefix(c.Attempted.Digest), c.Attempted.Expect,
 		p.Revision, p.Change.ID, p.Change.Who, p.Change.At.UTC().Format(time.RFC3339), digestPrefix(p.Change.Digest),
 	)
 }
@@ -100,12 +100,12 @@
 const (
 	ReasonNotInTrial     Reason = "NotAcceptedInTrial"
 	ReasonAlreadyInForce Reason = "AlreadyInForce"
-	ReasonNothingKept    Reason = "NothingKept"
+	ReasonNothingStored  Reason = "NothingKept"
 	ReasonUnknownRollOut Reason = "UnknownRollOut"
 	ReasonWrongPhase     Reason = "WrongPhase"
 	ReasonNotOperator    Reason = "NotAnOperator"
 	ReasonUnknownRequest Reason = "UnknownRequest"
-	ReasonDamaged        Reason = "DigestDoesNotMatch"
+	ReasonDigestMismatch Reason = "DigestDoesNotMatch"
 )
 
 // digestPrefixLength is the number of digits that a text shows of a digest, enough to tell documents
--- a/core/value/decision.go
+++ b/core/value/decision.go
@@ -32,7 +32,7 @@
 	ReasonAdmitted       Reason = "Admitted"
 	ReasonWaiting        Reason = "WaitingForCapacity"
 	ReasonPrefix         Reason = "PrefixCached"
-	ReasonPlaceFreed     Reason = "PlaceBecameFree"
+	ReasonCapacityFreed  Reason = "PlaceBecameFree"
 	ReasonOutlier        Reason = "OutlierAmongPeers"
 	ReasonBudgetSpent    Reason = "RetryBudgetSpent"
 	ReasonHedged         Reason = "FirstTokenLate"
--- a/core/value/document.go
+++ b/core/value/document.go
@@ -25,8 +25,8 @@
 	BodyBytes int64
 }
 
-// Accepted is a validated document with the revision at which the key-value service stores it.
-type Accepted struct {
+// AcceptedDocument is a validated document with the revision at which the key-value service stores it.
+type AcceptedDocument struct {
 	Document Document
 	// Digest identifies the document's bytes, as a hexadecimal SHA-256 sum.
 	Digest string
@@ -35,6 +35,6 @@
 }
 
 // WithDocument returns a copy that holds another document at another revision.
-func (a Accepted) WithDocument(d Document, digest string, revision int64) Accepted {
-	return Accepted{Document: d, Digest: digest, Revision: revision}
+func (a AcceptedDocument) WithDocument(d Document, digest string, revision int64) AcceptedDocument {
+	return AcceptedDocument{Document: d, Digest: digest, Revision: revision}
 }
--- a/core/value/instance.go
+++ b/core/value/instance.go
@@ -23,8 +23,8 @@
 	// suspicion or to announce that it is leaving.
 	Incarnation int64
 	State       InstanceState
-	// Seen is when this process last received a message from the instance.
-	Seen time.Time
+	// LastContact is when this process last received a message from the instance.
+	LastContact time.Time
 	// Since is when this process learned of the instance's present state.
 	Since time.Time
 	// Listed reports whether the platform's instance list contains the instance.
@@ -33,9 +33,9 @@
 	Revision int64
 	// Digest identifies the document in force.
 	Digest string
-	// Lagging is since when the instance has known of a revision that it does not have in force
+	// LaggingSince is since when the instance has known of a revision that it does not have in force
 	// completely; zero means that it is up to date.
-	Lagging time.Time
+	LaggingSince time.Time
 }
 
 // WithState returns a copy in another state.
@@ -56,9 +56,9 @@
 	return i
 }
 
-// WithLagging returns a copy that has been behind since the given time; zero means up to date.
-func (i Instance) WithLagging(since time.Time) Instance {
-	i.Lagging = since
+// WithLaggingSince returns a copy that has been behind since the given time; zero means up to date.
+func (i Instance) WithLaggingSince(since time.Time) Instance {
+	i.LaggingSince = since
 	return i
 }
 
@@ -74,9 +74,9 @@
 	return i
 }
 
-// WithSeen returns a copy from which a message was last received at the given time.
-func (i Instance) WithSeen(at time.Time) Instance {
-	i.Seen = at
+// WithLastContact returns a copy from which a message was last received at the given time.
+func (i Instance) WithLastContact(at time.Time) Instance {
+	i.LastContact = at
 	return i
 }
 
--- a/core/value/judge.go
+++ b/core/value/judge.go
@@ -17,33 +17,33 @@
 	AcceptBad float64
 }
 
-// Present reports whether there is a judge that accepts acceptable answers more often than others.
-func (j Judge) Present() bool {
+// IsUsable reports whether there is a judge that accepts acceptable answers more often than others.
+func (j Judge) IsUsable() bool {
 	return j.AcceptGood > j.AcceptBad
 }
 
-// Accepts returns the expected share of answers that the judge accepts from a version of the quality.
-func (j Judge) Accepts(quality float64) float64 {
+// AcceptanceRate returns the expected share of answers that the judge accepts from a version of the quality.
+func (j Judge) AcceptanceRate(quality float64) float64 {
 	return quality*j.AcceptGood + (1-quality)*j.AcceptBad
 }
 
 // Quality returns the expected quality of a cascade from the qualities of its two steps.
 func (j Judge) Quality(first, second float64) float64 {
-	return first*j.AcceptGood + (1-j.Accepts(first))*second
+	return first*j.AcceptGood + (1-j.AcceptanceRate(first))*second
 }
 
-// Spread returns the margin by which a cascade's quality may lie below Quality, from the margins of
+// QualityMargin returns the margin by which a cascade's quality may lie below Quality, from the margins of
 // its two steps. The errors of the steps are taken as independent and are propagated to first order.
-func (j Judge) Spread(first, second, firstMargin, secondMargin float64) float64 {
+func (j Judge) QualityMargin(first, second, firstMargin, secondMargin float64) float64 {
 	firstSlope := j.AcceptGood - second*(j.AcceptGood-j.AcceptBad)
-	secondSlope := 1 - j.Accepts(first)
+	secondSlope := 1 - j.AcceptanceRate(first)
 	return math.Hypot(firstSlope*firstMargin, secondSlope*secondMargin)
 }
 
 // Cost returns the expected cost in micro-units of currency of a cascade from the costs of its steps
 // and the quality of its first one.
 func (j Judge) Cost(first, second int64, quality float64) int64 {
-	return first + j.CostMicros + int64((1-j.Accepts(quality))*float64(second))
+	return first + j.CostMicros + int64((1-j.AcceptanceRate(quality))*float64(second))
 }
 
 // WithLatency returns a copy with another expected time to a verdict.
--- a/core/value/load.go
+++ b/core/value/load.go
@@ -14,20 +14,20 @@
 	InFlight int
 	// Long counts those of them that are expected to take long.
 	Long int
-	// Waiting holds the start times of the attempts that wait for the first part, oldest first.
-	Waiting []time.Time
+	// WaitingSince holds the start times of the attempts that wait for the first part, oldest first.
+	WaitingSince []time.Time
 	// FirstToken is the smoothed time to the first part, scaled to a typical request.
-	FirstToken policy.Smooth
+	FirstToken policy.DecayingMean
 	// Failures counts consecutive failures since the last first part or ejection.
 	Failures int
 	// Ejections counts consecutive ejections since the server last recovered.
 	Ejections int
-	// Ejected is the end of the latest ejection; zero means that the server was never ejected.
-	Ejected time.Time
+	// EjectedUntil is the end of the latest ejection; zero means that the server was never ejected.
+	EjectedUntil time.Time
 	// ReportedQueue is the queue length in the server's latest load report.
 	ReportedQueue int
-	// Reported is the time of that report.
-	Reported time.Time
+	// ReportedAt is the time of that report.
+	ReportedAt time.Time
 	// Limiter bounds this instance's concurrent requests at the server.
 	Limiter policy.Limiter
 }
@@ -38,7 +38,7 @@
 	if long {
 		l.Long++
 	}
-	l.Waiting = append(slices.Clip(l.Waiting), at)
+	l.WaitingSince = append(slices.Clip(l.WaitingSince), at)
 	return l
 }
 
@@ -51,9 +51,9 @@
 	return l.withoutWaiting(started)
 }
 
-// WithFirst returns a copy that counts the first part of the attempt started at the given time. The
+// WithFirstByte returns a copy that counts the first part of the attempt started at the given time. The
 // delay after is scaled to a typical request.
-func (l Load) WithFirst(c policy.SmoothConfig, started, at time.Time, after time.Duration) Load {
+func (l Load) WithFirstByte(c policy.DecayingMeanConfig, started, at time.Time, after time.Duration) Load {
 	l = l.withoutWaiting(started)
 	l.FirstToken = l.FirstToken.With(c, after, at)
 	l.Failures = 0
@@ -68,7 +68,7 @@
 
 // WithEjection returns a copy that is ejected until the given time.
 func (l Load) WithEjection(until time.Time) Load {
-	l.Ejected = until
+	l.EjectedUntil = until
 	l.Ejections++
 	l.Failures = 0
 	return l
@@ -88,26 +88,26 @@
 
 // WithReport returns a copy with the load report, unless the present one is newer.
 func (l Load) WithReport(queue int, at time.Time) Load {
-	if at.Before(l.Reported) {
+	if at.Before(l.ReportedAt) {
 		return l
 	}
 	l.ReportedQueue = queue
-	l.Reported = at
+	l.ReportedAt = at
 	return l
 }
 
 // OldestWait returns the longest time that an attempt has been waiting for the first part.
 func (l Load) OldestWait(now time.Time) time.Duration {
-	if len(l.Waiting) == 0 {
+	if len(l.WaitingSince) == 0 {
 		return 0
 	}
-	return now.Sub(l.Waiting[0])
+	return now.Sub(l.WaitingSince[0])
 }
 
 func (l Load) withoutWaiting(started time.Time) Load {
-	i := slices.IndexFunc(l.Waiting, started.Equal)
+	i := slices.IndexFunc(l.WaitingSince, started.Equal)
 	if i >= 0 {
-		l.Waiting = slices.Delete(slices.Clone(l.Waiting), i, i+1)
+		l.WaitingSince = slices.Delete(slices.Clone(l.WaitingSince), i, i+1)
 	}
 	return l
 }
--- a/core/value/pool.go
+++ b/core/value/pool.go
@@ -56,8 +56,8 @@
 	return b
 }
 
-// Carries reports whether the server has the version loaded.
-func (b BackendServer) Carries(v VersionKey) bool {
+// HasVersion reports whether the server has the version loaded.
+func (b BackendServer) HasVersion(v VersionKey) bool {
 	for _, loaded := range b.Versions {
 		if loaded == v {
 			return true
--- a/core/value/rating.go
+++ b/core/value/rating.go
@@ -18,8 +18,8 @@
 	return r
 }
 
-// Runs counts finished attempts of one version, and those that count against it in a roll-out.
-type Runs struct {
+// AttemptCounts counts finished attempts of one version, and those that count against it in a roll-out.
+type AttemptCounts struct {
 	Version VersionKey
 	// Total counts all finished attempts, failed ones included.
 	Total int
@@ -31,8 +31,8 @@
 	Costly int
 }
 
-// WithRun returns a copy that counts one more attempt.
-func (r Runs) WithRun(failed, slow, costly bool) Runs {
+// WithAttempt returns a copy that counts one more attempt.
+func (r AttemptCounts) WithAttempt(failed, slow, costly bool) AttemptCounts {
 	r.Total++
 	r.Failed += boolToInt(failed)
 	r.Slow += boolToInt(slow)
@@ -40,8 +40,8 @@
 	return r
 }
 
-// WithRuns returns a copy that adds the other counts, for the version that they name.
-func (r Runs) WithRuns(other Runs) Runs {
+// WithCounts returns a copy that adds the other counts, for the version that they name.
+func (r AttemptCounts) WithCounts(other AttemptCounts) AttemptCounts {
 	other.Total += r.Total
 	other.Failed += r.Failed
 	other.Slow += r.Slow
--- a/core/value/refusal.go
+++ b/core/value/refusal.go
@@ -22,7 +22,7 @@
 	ReasonStillRunning    Reason = "StillRunning"
 	ReasonOutcomeUnknown  Reason = "OutcomeUnknown"
 	ReasonJournalDown     Reason = "JournalUnavailable"
-	ReasonBillNotKept     Reason = "BillNotKept"
+	ReasonBillNotStored   Reason = "BillNotKept"
 	ReasonLeaving         Reason = "InstanceLeaving"
 	ReasonBackend         Reason = "BackendFailed"
 	ReasonCanceled        Reason = "CallerGone"
--- a/io/admin/admin_test.go
+++ b/io/admin/admin_test.go
@@ -54,7 +54,7 @@
 	return route.Client{Base: server.URL, Key: "key", HTTP: server.Client()}, store
 }
 
-func apply(t *testing.T, c route.Client, id value.ChangeID, expect int64) (value.Applied, error) {
+func apply(t *testing.T, c route.Client, id value.ChangeID, expect int64) (value.AppliedChange, error) {
 	t.Helper()
 	data, err := os.ReadFile("../../examples/vadodara.yaml")
 	assert.NilError(t, err)
@@ -70,9 +70,9 @@
 	_, err = apply(t, c, "two", 0)
 	var conflict value.ChangeConflict
 	assert.Assert(t, errors.As(err, &conflict), "%v", err)
-	assert.Equal(t, conflict.Present.Revision, one.Revision)
-	assert.Equal(t, conflict.Present.Change, one.Change)
-	assert.Equal(t, conflict.Mine.ID, value.ChangeID("two"))
+	assert.Equal(t, conflict.Current.Revision, one.Revision)
+	assert.Equal(t, conflict.Current.Change, one.Change)
+	assert.Equal(t, conflict.Attempted.ID, value.ChangeID("two"))
 
 	_, err = cmds.SendApply(t.Context(), c, cmds.ApplyOrder{Environment: trial, Change: "x", Document: []byte("Nam: x\n")})
 	var faults conf.Faults
--- a/io/admin/cmds/apply.go
+++ b/io/admin/cmds/apply.go
@@ -34,9 +34,9 @@
 //
 // The error is conf.Faults, value.ChangeConflict, value.ChangeRefused,
 // value.ChangeUnavailable or value.ChangeUnknown.
-func Apply(ctx context.Context, c Config, who string, o ApplyOrder) (value.Applied, error) {
+func Apply(ctx context.Context, c Config, who string, o ApplyOrder) (value.AppliedChange, error) {
 	if _, err := conf.Parse(o.Document); err != nil {
-		return value.Applied{}, fmt.Errorf("check document: %w", err)
+		return value.AppliedChange{}, fmt.Errorf("check document: %w", err)
 	}
 	change := value.Change{ID: o.Change, Who: who, At: c.Now(), Expect: o.Expect, Digest: conf.Digest(o.Document)}
 	return write(ctx, c.Store, order{environment: o.Environment, change: change, data: o.Document})
@@ -60,7 +60,7 @@
 }
 
 // SendApply sends the order to an instance.
-func SendApply(ctx context.Context, to route.Client, o ApplyOrder) (value.Applied, error) {
+func SendApply(ctx context.Context, to route.Client, o ApplyOrder) (value.AppliedChange, error) {
 	w := wireApply{Environment: string(o.Environment), Change: string(o.Change), Expect: o.Expect, Document: o.Document}
 	applied, err := route.Call[wireApply, wireApplied](ctx, to, http.MethodPost, applyPath, w)
 	return applied.value(), route.Lost(err, o.Change)
--- a/io/admin/cmds/apply_test.go
+++ b/io/admin/cmds/apply_test.go
@@ -44,7 +44,7 @@
 	return append(data, "# "+word+"\n"...)
 }
 
-func (b bench) apply(who, id string, expect int64, word string) (value.Applied, error) {
+func (b bench) apply(who, id string, expect int64, word string) (value.AppliedChange, error) {
 	o := cmds.ApplyOrder{Environment: trial, Change: value.ChangeID(id), Expect: expect, Document: document(b.t, word)}
 	return cmds.Apply(b.t.Context(), b.Config, who, o)
 }
@@ -81,10 +81,10 @@
 		assert.NilError(t, two)
 		var conflict value.ChangeConflict
 		assert.Assert(t, errorAs(one, &conflict), "%v", one)
-		assert.Assert(t, conflict.Mine.Who != conflict.Present.Change.Who)
+		assert.Assert(t, conflict.Attempted.Who != conflict.Current.Change.Who)
 		winner := b.kept(trial).Standing.Change
-		assert.Equal(t, conflict.Present.Change, winner)
-		for _, part := range []string{"by-asha", "by-mette", "asha", "mette", winner.Digest[:12], conflict.Mine.Digest[:12]} {
+		assert.Equal(t, conflict.Current.Change, winner)
+		for _, part := range []string{"by-asha", "by-mette", "asha", "mette", winner.Digest[:12], conflict.Attempted.Digest[:12]} {
 			assert.Assert(t, strings.Contains(conflict.Error(), part), "%s lacks %s", conflict, part)
 		}
 	})
@@ -106,7 +106,7 @@
 		done := make(chan error, 1)
 		go func() {
 			got, err := b.apply("asha", "one", 0, "one")
-			if err == nil && !got.Overtaken {
+			if err == nil && !got.Superseded {
 				err = fmt.Errorf("not told that another change followed: %+v", got)
 			}
 			done <- err
@@ -157,7 +157,7 @@
 		time.Sleep(time.Minute)
 		got, err := b.apply("asha", "late", 0, "late")
 		assert.NilError(t, err)
-		assert.Equal(t, len(b.kept(trial).Standing.Trail), 0, "it took effect once")
+		assert.Equal(t, len(b.kept(trial).Standing.History), 0, "it took effect once")
 		assert.Equal(t, got.Revision, b.kept(trial).Standing.Revision)
 	})
 }
@@ -172,8 +172,8 @@
 		_, err = b.apply("mette", "three", one.Revision, "three")
 		var conflict value.ChangeConflict
 		assert.Assert(t, errorAs(err, &conflict), "%v", err)
-		assert.Equal(t, conflict.Present.Change.ID, value.ChangeID("two"), "the conflict shows what truly stands")
-		assert.Equal(t, conflict.Present.Revision, two.Revision)
+		assert.Equal(t, conflict.Current.Change.ID, value.ChangeID("two"), "the conflict shows what truly stands")
+		assert.Equal(t, conflict.Current.Revision, two.Revision)
 	})
 }
 
--- a/io/admin/cmds/promote.go
+++ b/io/admin/cmds/promote.go
@@ -36,26 +36,26 @@
 // Promote moves the very bytes that were accepted, or refuses.
 //
 // The error is value.ChangeConflict, value.ChangeRefused, value.ChangeUnavailable or value.ChangeUnknown.
-func Promote(ctx context.Context, c Config, who string, o PromoteOrder) (value.Applied, error) {
+func Promote(ctx context.Context, c Config, who string, o PromoteOrder) (value.AppliedChange, error) {
 	from, err := conf.Load(ctx, c.Store, o.From)
 	if err != nil {
-		return value.Applied{}, unread(err)
+		return value.AppliedChange{}, unread(err)
 	}
 	to, err := conf.Load(ctx, c.Store, o.To)
 	if err != nil {
-		return value.Applied{}, unread(err)
+		return value.AppliedChange{}, unread(err)
 	}
 	change := value.Change{ID: o.Change, Who: who, At: c.Now(), Expect: o.Expect}
 	// A repeated order whose first sending took effect is settled before it is judged anew.
 	w := &writer{order: order{change: change}}
-	switch query.Settle(to.Standing, change) {
+	switch query.OutcomeOf(to.Standing, change) {
 	case query.OutcomeApplied, query.OutcomeOvertaken:
 		r := w.settle(to.Standing)
 		return r.applied, r.err
 	}
 	digest, err := query.Promote(from.Standing, to.Standing, o.Digest)
 	if err != nil {
-		return value.Applied{}, fmt.Errorf("promote from %s to %s: %w", o.From, o.To, err)
+		return value.AppliedChange{}, fmt.Errorf("promote from %s to %s: %w", o.From, o.To, err)
 	}
 	return write(ctx, c.Store, order{environment: o.To, change: change.WithDigest(digest), data: from.Bytes})
 }
@@ -87,7 +87,7 @@
 }
 
 // SendPromote sends the order to an instance.
-func SendPromote(ctx context.Context, to route.Client, o PromoteOrder) (value.Applied, error) {
+func SendPromote(ctx context.Context, to route.Client, o PromoteOrder) (value.AppliedChange, error) {
 	w := wirePromote{From: string(o.From), To: string(o.To), Change: string(o.Change), Expect: o.Expect, Digest: o.Digest}
 	applied, err := route.Call[wirePromote, wireApplied](ctx, to, http.MethodPost, promotePath, w)
 	return applied.value(), route.Lost(err, o.Change)
--- a/io/admin/cmds/promote_test.go
+++ b/io/admin/cmds/promote_test.go
@@ -22,7 +22,7 @@
 	return errors.As(err, into)
 }
 
-func (b bench) promote(id string, expect int64, digest string) (value.Applied, error) {
+func (b bench) promote(id string, expect int64, digest string) (value.AppliedChange, error) {
 	o := cmds.PromoteOrder{From: trial, To: production, Change: value.ChangeID(id), Expect: expect, Digest: digest}
 	return cmds.Promote(b.t.Context(), b.Config, "mette", o)
 }
@@ -37,7 +37,7 @@
 func TestPromoteMovesTheVeryBytes(t *testing.T) {
 	run(t, func(t *testing.T, b bench) {
 		_, err := b.promote("early", 0, "")
-		assert.Equal(t, reasonOf(t, err), value.ReasonNothingKept)
+		assert.Equal(t, reasonOf(t, err), value.ReasonNothingStored)
 		one, err := b.apply("asha", "one", 0, "one")
 		assert.NilError(t, err)
 		moved, err := b.promote("p1", 0, one.Change.Digest)
@@ -86,6 +86,6 @@
 		_, err = b.store.Swap(t.Context(), plat.Swap{Key: e.Key, Expect: e.Revision, Value: damaged})
 		assert.NilError(t, err)
 		_, err = b.promote("p1", 0, "")
-		assert.Equal(t, reasonOf(t, err), value.ReasonDamaged)
+		assert.Equal(t, reasonOf(t, err), value.ReasonDigestMismatch)
 	})
 }
--- a/io/admin/cmds/rollout.go
+++ b/io/admin/cmds/rollout.go
@@ -75,7 +75,7 @@
 	if err != nil {
 		return value.Progress{}, true, err
 	}
-	next, changed, err := steps.Obey(plan, was, o.Order, c.Now())
+	next, changed, err := steps.ApplyOrder(plan, was, o.Order, c.Now())
 	if err != nil || !changed {
 		return next, true, err
 	}
@@ -129,7 +129,7 @@
 // positionOf returns where the roll-out stands, which is at its beginning while nothing is kept.
 func positionOf(plan value.RollOut, e plat.Entry) (value.Progress, error) {
 	if e.Revision == 0 {
-		return steps.Plan(plan), nil
+		return steps.NewProgress(plan), nil
 	}
 	p, err := conf.DecodeProgress(e)
 	if err != nil {
@@ -137,7 +137,7 @@
 	}
 	if p.Version != plan.ToKey() {
 		// The name was used before for another version; the new plan begins after the old one's last epoch.
-		fresh := steps.Plan(plan)
+		fresh := steps.NewProgress(plan)
 		fresh.Epoch = p.Epoch
 		return fresh, nil
 	}
--- a/io/admin/cmds/wire.go
+++ b/io/admin/cmds/wire.go
@@ -19,7 +19,7 @@
 	Overtaken bool
 }
 
-func toWire(a value.Applied) wireApplied {
+func toWire(a value.AppliedChange) wireApplied {
 	return wireApplied{
 		Change:    string(a.Change.ID),
 		Who:       a.Change.Who,
@@ -27,15 +27,15 @@
 		Expect:    a.Change.Expect,
 		Digest:    a.Change.Digest,
 		Revision:  a.Revision,
-		Overtaken: a.Overtaken,
+		Overtaken: a.Superseded,
 	}
 }
 
-func (w wireApplied) value() value.Applied {
-	return value.Applied{
-		Change:    value.Change{ID: value.ChangeID(w.Change), Who: w.Who, At: w.At, Expect: w.Expect, Digest: w.Digest},
-		Revision:  w.Revision,
-		Overtaken: w.Overtaken,
+func (w wireApplied) value() value.AppliedChange {
+	return value.AppliedChange{
+		Change:     value.Change{ID: value.ChangeID(w.Change), Who: w.Who, At: w.At, Expect: w.Expect, Digest: w.Digest},
+		Revision:   w.Revision,
+		Superseded: w.Overtaken,
 	}
 }
 
--- a/io/admin/cmds/write.go
+++ b/io/admin/cmds/write.go
@@ -40,12 +40,12 @@
 	// sent is set once the key-value service may have received the change.
 	sent bool
 	// present is what was last seen to stand.
-	present value.Standing
+	present value.CurrentRecord
 }
 
 // result ends the attempts at a change.
 type result struct {
-	applied value.Applied
+	applied value.AppliedChange
 	err     error
 }
 
@@ -54,7 +54,7 @@
 // It is sent again only after reading back that it has not taken effect. An
 // earlier sending that is still under way does no harm: both expect the same
 // revision, so that at most one takes effect.
-func write(ctx context.Context, store plat.Store, o order) (value.Applied, error) {
+func write(ctx context.Context, store plat.Store, o order) (value.AppliedChange, error) {
 	w := &writer{store: store, order: o}
 	pause := pauses
 	for range writeTries {
@@ -66,7 +66,7 @@
 		}
 		pause = pause.WithFailure()
 	}
-	return value.Applied{}, w.giveUp()
+	return value.AppliedChange{}, w.giveUp()
 }
 
 // giveUp says what is certain of a change after the last attempt.
@@ -75,7 +75,7 @@
 	case w.sent:
 		return value.ChangeUnknown{Change: w.order.change.ID, Detail: "the key-value service gave no answer"}
 	case w.present.Revision > 0 && w.present.Revision < w.order.change.Expect:
-		return value.ChangeConflict{Mine: w.order.change, Present: w.present}
+		return value.ChangeConflict{Attempted: w.order.change, Current: w.present}
 	}
 	return value.ChangeUnavailable{Detail: "the key-value service was not reached"}
 }
@@ -87,7 +87,7 @@
 		return fatal(err)
 	}
 	w.present = record.Standing
-	if query.Settle(record.Standing, w.order.change) != query.OutcomeOpen {
+	if query.OutcomeOf(record.Standing, w.order.change) != query.OutcomeOpen {
 		return w.settle(record.Standing)
 	}
 	data, err := record.WithChange(w.order.data, w.order.change).Encode()
@@ -97,18 +97,18 @@
 	return w.send(ctx, data)
 }
 
-func (w *writer) settle(present value.Standing) *result {
+func (w *writer) settle(present value.CurrentRecord) *result {
 	mine := w.order.change
-	switch query.Settle(present, mine) {
+	switch query.OutcomeOf(present, mine) {
 	case query.OutcomeApplied:
 		if mine.Digest != "" && mine.Digest != present.Change.Digest {
 			return &result{err: value.ChangeRefused{Reason: value.ReasonKeyReused, Detail: "change " + string(mine.ID) + " was about another document"}}
 		}
-		return &result{applied: value.Applied{Change: present.Change, Revision: present.Revision}}
+		return &result{applied: value.AppliedChange{Change: present.Change, Revision: present.Revision}}
 	case query.OutcomeOvertaken:
-		return &result{applied: value.Applied{Change: mine, Revision: present.Revision, Overtaken: true}}
+		return &result{applied: value.AppliedChange{Change: mine, Revision: present.Revision, Superseded: true}}
 	case query.OutcomeConflict:
-		return &result{err: value.ChangeConflict{Mine: mine, Present: present}}
+		return &result{err: value.ChangeConflict{Attempted: mine, Current: present}}
 	case query.OutcomeForgotten:
 		return w.forgotten(present)
 	}
@@ -116,7 +116,7 @@
 }
 
 // forgotten can't tell a late repetition from a change that was never sent.
-func (w *writer) forgotten(present value.Standing) *result {
+func (w *writer) forgotten(present value.CurrentRecord) *result {
 	detail := fmt.Sprintf("revision %d stands, and the trail of changes no longer reaches back to %d", present.Revision, w.order.change.Expect)
 	return &result{err: value.ChangeUnknown{Change: w.order.change.ID, Detail: detail}}
 }
@@ -125,7 +125,7 @@
 	swap := plat.Swap{Key: conf.DocumentKey(w.order.environment), Expect: w.order.change.Expect, Value: data}
 	revision, err := w.store.Swap(ctx, swap)
 	if err == nil {
-		return &result{applied: value.Applied{Change: w.order.change, Revision: revision}}
+		return &result{applied: value.AppliedChange{Change: w.order.change, Revision: revision}}
 	}
 	var conflict plat.Conflict
 	switch {
@@ -149,7 +149,7 @@
 	if r := w.settle(record.Standing); r != nil {
 		return r
 	}
-	return &result{err: value.ChangeConflict{Mine: w.order.change, Present: record.Standing}}
+	return &result{err: value.ChangeConflict{Attempted: w.order.change, Current: record.Standing}}
 }
 
 // fatal ends the attempts where reading again can't help.
--- a/io/admin/query/audit.go
+++ b/io/admin/query/audit.go
@@ -50,7 +50,7 @@
 			return wireAudit{}, value.ChangeUnavailable{Detail: err.Error()}
 		}
 		a := query.Reconcile(segments, w.Answered)
-		out := wireAudit{Missing: a.Missing, Doubled: a.Doubled, Unknown: a.Unknown}
+		out := wireAudit{Missing: a.Missing, Doubled: a.Duplicated, Unknown: a.Unknown}
 		for _, t := range a.Totals() {
 			out.Totals = append(out.Totals, wireTotal(t))
 		}
--- a/io/admin/query/config.go
+++ b/io/admin/query/config.go
@@ -36,7 +36,7 @@
 			return wireKept{}, value.ChangeUnavailable{Detail: err.Error()}
 		}
 		if r.Standing.Revision == 0 {
-			return wireKept{}, value.ChangeRefused{Reason: value.ReasonNothingKept, Detail: "no document was accepted in " + string(w.Environment)}
+			return wireKept{}, value.ChangeRefused{Reason: value.ReasonNothingStored, Detail: "no document was accepted in " + string(w.Environment)}
 		}
 		c := r.Standing.Change
 		return wireKept{
@@ -58,5 +58,5 @@
 		return conf.Record{}, err
 	}
 	change := value.Change{ID: w.Change, Who: w.Who, At: w.At, Expect: w.Expect, Digest: w.Digest}
-	return conf.Record{Bytes: w.Document, Standing: value.Standing{Revision: w.Revision, Change: change}}, nil
+	return conf.Record{Bytes: w.Document, Standing: value.CurrentRecord{Revision: w.Revision, Change: change}}, nil
 }
--- a/io/admin/query/status.go
+++ b/io/admin/query/status.go
@@ -81,7 +81,7 @@
 			Revision:      f.Instance.Revision,
 			Digest:        f.Instance.Digest,
 			Lag:           f.Lag.String(),
-			Silent:        f.Silent.String(),
+			Silent:        f.SinceLastSeen.String(),
 		})
 	}
 	for _, p := range s.RollOuts {
@@ -105,15 +105,15 @@
 	return s, nil
 }
 
-func (w wireInstance) value() (query.Standing, error) {
+func (w wireInstance) value() (query.InstanceStatus, error) {
 	lag, err := time.ParseDuration(w.Lag)
 	if err != nil {
-		return query.Standing{}, fmt.Errorf("decode lag of %s: %w", w.ID, err)
+		return query.InstanceStatus{}, fmt.Errorf("decode lag of %s: %w", w.ID, err)
 	}
 	silent, err := time.ParseDuration(w.Silent)
 	if err != nil {
-		return query.Standing{}, fmt.Errorf("decode silence of %s: %w", w.ID, err)
+		return query.InstanceStatus{}, fmt.Errorf("decode silence of %s: %w", w.ID, err)
 	}
 	i := value.Instance{ID: w.ID, FailureDomain: w.FailureDomain, State: w.State, Revision: w.Revision, Digest: w.Digest}
-	return query.Standing{Instance: i, Lag: lag, Silent: silent}, nil
+	return query.InstanceStatus{Instance: i, Lag: lag, SinceLastSeen: silent}, nil
 }
--- a/io/admin/route/problem.go
+++ b/io/admin/route/problem.go
@@ -91,8 +91,8 @@
 	case errors.As(err, &faults):
 		return wireProblem{Status: http.StatusUnprocessableEntity, Reason: reasonFaults, Detail: "the document has faults", Faults: toFaults(faults)}
 	case errors.As(err, &conflict):
-		mine := wireChange(conflict.Mine)
-		present := wireStanding{Revision: conflict.Present.Revision, Change: wireChange(conflict.Present.Change)}
+		mine := wireChange(conflict.Attempted)
+		present := wireStanding{Revision: conflict.Current.Revision, Change: wireChange(conflict.Current.Change)}
 		return wireProblem{Status: http.StatusConflict, Reason: reasonConflict, Detail: conflict.Error(), Mine: &mine, Present: &present}
 	case errors.As(err, &refused):
 		return wireProblem{Status: refusedStatus(refused.Reason), Reason: refused.Reason, Detail: refused.Detail}
@@ -108,7 +108,7 @@
 	switch why {
 	case value.ReasonNotOperator:
 		return http.StatusUnauthorized
-	case value.ReasonUnknownRequest, value.ReasonUnknownRollOut, value.ReasonNothingKept:
+	case value.ReasonUnknownRequest, value.ReasonUnknownRollOut, value.ReasonNothingStored:
 		return http.StatusNotFound
 	}
 	return http.StatusConflict
@@ -129,8 +129,8 @@
 		return errors.New(p.Detail)
 	case reasonConflict:
 		if p.Mine != nil && p.Present != nil {
-			present := value.Standing{Revision: p.Present.Revision, Change: value.Change(p.Present.Change)}
-			return value.ChangeConflict{Mine: value.Change(*p.Mine), Present: present}
+			present := value.CurrentRecord{Revision: p.Present.Revision, Change: value.Change(p.Present.Change)}
+			return value.ChangeConflict{Attempted: value.Change(*p.Mine), Current: present}
 		}
 	}
 	return value.ChangeRefused{Reason: p.Reason, Detail: p.Detail}
--- a/io/bills/bills.go
+++ b/io/bills/bills.go
@@ -183,7 +183,7 @@
 }
 
 func refusal(detail string) value.Refusal {
-	return value.Refusal{Reason: value.ReasonBillNotKept, Detail: detail}
+	return value.Refusal{Reason: value.ReasonBillNotStored, Detail: detail}
 }
 
 // append gives the bill its place; a request that was billed lately has its place already.
--- a/io/bills/bills_test.go
+++ b/io/bills/bills_test.go
@@ -84,7 +84,7 @@
 				time.Sleep(3 * flushTime)
 				assert.NilError(t, a.Flush(t.Context()))
 				got := r.audit(200)
-				assert.Assert(t, got.Clean(), "missing %d, doubled %d, unknown %d", len(got.Missing), len(got.Doubled), len(got.Unknown))
+				assert.Assert(t, got.Clean(), "missing %d, doubled %d, unknown %d", len(got.Missing), len(got.Duplicated), len(got.Unknown))
 				assert.Equal(t, len(got.Charges), 200)
 			})
 		})
@@ -144,7 +144,7 @@
 			err := a.Keep(t.Context(), bill(i))
 			var refusal value.Refusal
 			assert.Assert(t, errors.As(err, &refusal), "%v", err)
-			assert.Equal(t, refusal.Reason, value.ReasonBillNotKept)
+			assert.Equal(t, refusal.Reason, value.ReasonBillNotStored)
 			assert.Assert(t, !refusal.NotRun)
 		}
 		assert.Assert(t, !a.Ready(), "the backlog is bounded")
@@ -175,7 +175,7 @@
 		got := r.audit(2)
 		assert.Equal(t, len(got.Charges), 2)
 		assert.Equal(t, got.Charges[1].CostMicros, bill(1).CostMicros, "the earlier bill counts")
-		assert.DeepEqual(t, got.Doubled, []value.RequestID{bill(1).Request})
+		assert.DeepEqual(t, got.Duplicated, []value.RequestID{bill(1).Request})
 		assert.Equal(t, len(got.Missing)+len(got.Unknown), 0)
 	})
 }
--- a/io/carry/board.go
+++ b/io/carry/board.go
@@ -18,7 +18,7 @@
 )
 
 // firstByteConfig smooths the observed time until an answer's first byte.
-var firstByteConfig = policy.SmoothConfig{HalfLife: firstByteHalfLife, MaxWeight: firstByteMaxWeight}
+var firstByteConfig = policy.DecayingMeanConfig{HalfLife: firstByteHalfLife, MaxWeight: firstByteMaxWeight}
 
 // loadTable holds the load and health of each server as observed by this instance.
 type loadTable struct {
@@ -29,7 +29,7 @@
 func (t *loadTable) retain(isKnown func(relay.ServerID) bool) {
 	for id, load := range t.All() {
 		if !isKnown(id) && load.InFlight == 0 {
-			t.Drop(id)
+			t.Delete(id)
 		}
 	}
 }
@@ -47,7 +47,7 @@
 }
 
 func (t *loadTable) startAttempt(id relay.ServerID, work time.Duration, at time.Time) *loadTracker {
-	tracker := &loadTracker{cell: t.Of(id), expectedWork: work, started: at}
+	tracker := &loadTracker{cell: t.Cell(id), expectedWork: work, started: at}
 	tracker.cell.Update(func(l relay.Load) relay.Load { return l.WithStart(work) })
 	return tracker
 }
@@ -59,19 +59,19 @@
 	t.firstByteReceived = true
 	t.firstByteTime = at.Sub(t.started)
 	t.cell.Update(func(l relay.Load) relay.Load {
-		return l.WithFirst(firstByteConfig, t.expectedWork, at.Sub(t.started), at)
+		return l.WithFirstByte(firstByteConfig, t.expectedWork, at.Sub(t.started), at)
 	})
 }
 
 // recordActivity records that the server has sent something.
 func (t *loadTracker) recordActivity(at time.Time) {
-	t.cell.Update(func(l relay.Load) relay.Load { return l.WithHeard(at) })
+	t.cell.Update(func(l relay.Load) relay.Load { return l.WithReceived(at) })
 }
 
 // silence returns how long the server has sent nothing on any attempt, counted from this attempt's start
 // at the earliest.
 func (t *loadTracker) silence(at time.Time) time.Duration {
-	last := t.cell.Get().Heard
+	last := t.cell.Get().LastReceived
 	if last.Before(t.started) {
 		last = t.started
 	}
--- a/io/carry/budget.go
+++ b/io/carry/budget.go
@@ -7,8 +7,8 @@
 	"endivehitch/core/relay"
 )
 
-// Repeats limits the attempts of the whole fleet beyond each request's first.
-type Repeats struct {
+// RetryLimits limits the attempts of the whole fleet beyond each request's first.
+type RetryLimits struct {
 	// Window is the length of the sliding window in which the limits apply.
 	Window time.Duration
 	// Ratio is how many further attempts each request allows.
@@ -38,9 +38,9 @@
 
 // budgetLimits returns one instance's limits: the full ratio, since it applies to the instance's own
 // requests, and an equal part of the fleet's allowance.
-func (c *Carrier[H]) budgetLimits() policy.QuotaConfig {
+func (c *Dispatcher[H]) budgetLimits() policy.QuotaConfig {
 	instances := max(1, len(c.config.Snapshot().Members()))
-	limits := c.config.Repeats()
+	limits := c.config.RetryLimits()
 	return policy.QuotaConfig{
 		Window: limits.Window, Ratio: limits.Ratio * fleetLimitShare,
 		Allowance: limits.Allowance * fleetLimitShare / float64(instances), Optional: stepUpShare,
@@ -48,9 +48,9 @@
 }
 
 // spendBudget reports whether the service's budget allows a further attempt, and if so counts it.
-func (c *Carrier[H]) spendBudget(service relay.ServiceName, use budgetUse) bool {
+func (c *Dispatcher[H]) spendBudget(service relay.ServiceName, use budgetUse) bool {
 	bounds, now := c.budgetLimits(), c.config.Now()
-	return c.retryBudgets.Of(service).TryUpdate(func(q policy.Quota) (policy.Quota, bool) {
+	return c.retryBudgets.Cell(service).TryUpdate(func(q policy.Quota) (policy.Quota, bool) {
 		if use == useStepUp {
 			return q.WithOptional(bounds, now)
 		}
@@ -59,7 +59,7 @@
 }
 
 // countFirstAttempt counts the first attempt of a request, which adds Ratio to the budget.
-func (c *Carrier[H]) countFirstAttempt(service relay.ServiceName) {
+func (c *Dispatcher[H]) countFirstAttempt(service relay.ServiceName) {
 	bounds, now := c.budgetLimits(), c.config.Now()
-	c.retryBudgets.Of(service).Update(func(q policy.Quota) policy.Quota { return q.WithFirst(bounds, now) })
+	c.retryBudgets.Cell(service).Update(func(q policy.Quota) policy.Quota { return q.WithFirst(bounds, now) })
 }
--- a/io/carry/carry.go
+++ b/io/carry/carry.go
@@ -16,27 +16,27 @@
 	Record(d Decision)
 }
 
-// What is the kind of a decision about a request.
-type What string
+// DecisionKind is the kind of a decision about a request.
+type DecisionKind string
 
 // The kinds of decisions about a request.
 const (
-	// WhatAnswered means that the complete answer was written to the caller.
-	WhatAnswered What = "Answered"
-	// WhatSteppedUp means that an answer of low confidence was discarded and a larger model is asked.
-	WhatSteppedUp What = "SteppedUp"
-	// WhatRunFailed means that an attempt yielded no answer for the caller.
-	WhatRunFailed What = "RunFailed"
-	// WhatRefused means that the request ended without any server running it.
-	WhatRefused What = "Refused"
-	// WhatFailed means that the request may have run and ended without a complete answer.
-	WhatFailed What = "Failed"
+	// DecisionAnswered means that the complete answer was written to the caller.
+	DecisionAnswered DecisionKind = "Answered"
+	// DecisionSteppedUp means that an answer of low confidence was discarded and a larger model is asked.
+	DecisionSteppedUp DecisionKind = "SteppedUp"
+	// DecisionAttemptFailed means that an attempt yielded no answer for the caller.
+	DecisionAttemptFailed DecisionKind = "RunFailed"
+	// DecisionRefused means that the request ended without any server running it.
+	DecisionRefused DecisionKind = "Refused"
+	// DecisionFailed means that the request may have run and ended without a complete answer.
+	DecisionFailed DecisionKind = "Failed"
 )
 
 // Decision is one decision about a request, with the inputs that led to it.
 type Decision struct {
 	Request string
-	What    What
+	Kind    DecisionKind
 	Route   relay.RouteName
 	Account relay.AccountName
 	Server  relay.ServerID
@@ -59,10 +59,10 @@
 	// Throttle is the factor from 0 to 1 on the confidence threshold for stepping up; 0 means that no
 	// larger model was asked.
 	Throttle float64
-	// First is the time from the send to the answer's first byte; zero means unknown.
-	First time.Duration
-	// Unread is how many prompt tokens the server was expected to process, as it had not cached them.
-	Unread int
+	// FirstByteTime is the time from the send to the answer's first byte; zero means unknown.
+	FirstByteTime time.Duration
+	// PrefillTokens is how many prompt tokens the server was expected to process, as it had not cached them.
+	PrefillTokens int
 	// Elapsed is the time since the request arrived.
 	Elapsed time.Duration
 	// Detail is a message for operators.
@@ -75,14 +75,14 @@
 	Snapshot func() relay.State
 	Now      func() time.Time
 	Recorder Recorder
-	// Repeats returns the limits on retries and step-ups.
-	Repeats func() Repeats
-	// Session is the idle time after which a session expires.
-	Session time.Duration
+	// RetryLimits returns the limits on retries and step-ups.
+	RetryLimits func() RetryLimits
+	// SessionLifetime is the idle time after which a session expires.
+	SessionLifetime time.Duration
 }
 
-// Carrier relays requests to backend servers and the answers to their callers.
-type Carrier[H any] struct {
+// Dispatcher relays requests to backend servers and the answers to their callers.
+type Dispatcher[H any] struct {
 	config Config[H]
 	loads  *loadTable
 	// retryBudgets count the attempts of each service.
@@ -90,13 +90,13 @@
 	sessions        *sessions
 	tallies         *tallies
 	prefillRates    *prefillRates
-	confidenceGains policy.Cell[map[modelPair]relay.Gain]
+	confidenceGains policy.Cell[map[modelPair]relay.ConfidenceGain]
 	// throttles lower the step-up threshold of a service while larger models answer late.
 	throttles policy.Cells[relay.ServiceName, relay.Throttle]
 }
 
 // New returns a carrier, or an error that names what is missing from the configuration.
-func New[H any](c Config[H]) (*Carrier[H], error) {
+func New[H any](c Config[H]) (*Dispatcher[H], error) {
 	switch {
 	case c.Backend == nil:
 		return nil, errors.New("carrier: no backend")
@@ -106,18 +106,18 @@
 		return nil, errors.New("carrier: no clock")
 	case c.Recorder == nil:
 		return nil, errors.New("carrier: no recorder")
-	case c.Repeats == nil:
+	case c.RetryLimits == nil:
 		return nil, errors.New("carrier: no retry limits")
 	}
-	return &Carrier[H]{
-		config: c, loads: new(loadTable), sessions: newSessions(c.Session), tallies: new(tallies),
+	return &Dispatcher[H]{
+		config: c, loads: new(loadTable), sessions: newSessions(c.SessionLifetime), tallies: new(tallies),
 		prefillRates: new(prefillRates),
 	}, nil
 }
 
 // Serve relays the request and its answer. The error is a relay.Refusal as long as nothing was written
 // to the sink, and wraps ErrCut afterwards.
-func (c *Carrier[H]) Serve(ctx context.Context, j Job[H], sink Sink[H]) error {
+func (c *Dispatcher[H]) Serve(ctx context.Context, j Job[H], sink ResponseWriter[H]) error {
 	s := c.config.Snapshot()
 	admitted, err := query.Admit(s, j.Request)
 	if err != nil {
@@ -134,7 +134,7 @@
 }
 
 // Retain discards the load data of servers that are not in the state, and expired sessions.
-func (c *Carrier[H]) Retain(s relay.State) {
+func (c *Dispatcher[H]) Retain(s relay.State) {
 	c.loads.retain(func(id relay.ServerID) bool {
 		_, ok := s.Server(id)
 		return ok
@@ -143,15 +143,15 @@
 }
 
 // Tallies returns this instance's counts of attempts by release.
-func (c *Carrier[H]) Tallies() []relay.Tally {
+func (c *Dispatcher[H]) Tallies() []relay.Tally {
 	return c.tallies.all()
 }
 
-func (c *Carrier[H]) recordRefused(request relay.Request, admitted query.Admitted, s relay.State, err error) {
+func (c *Dispatcher[H]) recordRefused(request relay.Request, admitted query.Admitted, s relay.State, err error) {
 	var refusal relay.Refusal
 	errors.As(err, &refusal)
 	c.config.Recorder.Record(Decision{
-		Request: request.ID, What: WhatRefused, Route: admitted.Route.Name, Account: admitted.Account.Name,
+		Request: request.ID, Kind: DecisionRefused, Route: admitted.Route.Name, Account: admitted.Account.Name,
 		Reason: string(refusal.Reason), Detail: refusal.Detail, Revision: s.Revision,
 		Elapsed: c.config.Now().Sub(request.Arrived),
 	})
--- a/io/carry/carry_test.go
+++ b/io/carry/carry_test.go
@@ -19,11 +19,11 @@
 var errConnectionReset = errors.New("connection reset")
 
 func TestCompleteAnswerIsRelayed(t *testing.T) {
-	h := newHarness(t, plainRoute(relay.RepeatNever), answerOK("done"))
+	h := newHarness(t, plainRoute(relay.RetryNever), answerOK("done"))
 	assert.NilError(t, h.serve(t.Context()))
 	assert.Equal(t, h.writer.body.String(), "done")
 	assert.Equal(t, len(h.backend.sends), 1)
-	assert.DeepEqual(t, h.recorder.kinds, []carry.What{carry.WhatAnswered})
+	assert.DeepEqual(t, h.recorder.kinds, []carry.DecisionKind{carry.DecisionAnswered})
 }
 
 func TestNonRetryableRequestIsResentOnlyIfItDidNotRun(t *testing.T) {
@@ -34,14 +34,14 @@
 		"connection refused":                  {failsWith(carry.ErrUnsent), true},
 		"server declined to run it":           {answerWith(answer{Status: 503, NotRun: true}, "", io.EOF), true},
 		"request for another server":          {answerWith(answer{Status: 421, NotRun: true}, "", io.EOF), true},
-		"answer lost after sending":           {failsWith(carry.ErrLost), false},
+		"answer lost after sending":           {failsWith(carry.ErrAnswerLost), false},
 		"connection reset inside the body":    {answerWith(answer{Status: 200, Signed: true}, "do", errConnectionReset), false},
 		"answer without signature":            {answerWith(answer{Status: 200}, "done", io.EOF), false},
-		"answer in an encoding not asked for": {answerWith(answer{Status: 200, Signed: true, Encoded: true}, "x", io.EOF), false},
+		"answer in an encoding not asked for": {answerWith(answer{Status: 200, Signed: true, UnexpectedEncoding: true}, "x", io.EOF), false},
 		"503 without signature":               {answerWith(answer{Status: 503}, "", io.EOF), false},
 	}
 	for name, c := range cases {
-		h := newHarness(t, plainRoute(relay.RepeatNever), c.first, answerOK("done"))
+		h := newHarness(t, plainRoute(relay.RetryNever), c.first, answerOK("done"))
 		err := h.serve(t.Context())
 		if c.resent {
 			assert.NilError(t, err, name)
@@ -57,7 +57,7 @@
 }
 
 func TestRefusalSaysNotRunWhenEveryServerDeclined(t *testing.T) {
-	h := newHarness(t, plainRoute(relay.RepeatNever), answerWith(answer{Status: 503, NotRun: true}, "", io.EOF))
+	h := newHarness(t, plainRoute(relay.RetryNever), answerWith(answer{Status: 503, NotRun: true}, "", io.EOF))
 	r := h.mustRefuse(h.serve(t.Context()))
 	assert.Assert(t, r.NotRun)
 	assert.Assert(t, r.RetryAfter > 0)
@@ -66,10 +66,10 @@
 
 func TestRetryableRequestIsRetriedOnAnotherServer(t *testing.T) {
 	for _, first := range []func(context.Context, attempt) (*answer, error){
-		failsWith(carry.ErrLost), answerWith(answer{Status: 500, Signed: true}, "oops", io.EOF),
+		failsWith(carry.ErrAnswerLost), answerWith(answer{Status: 500, Signed: true}, "oops", io.EOF),
 		answerWith(answer{Status: 200, Signed: true}, "do", errConnectionReset), answerWith(answer{Status: 200}, "forged", io.EOF),
 	} {
-		h := newHarness(t, plainRoute(relay.RepeatFreely), first, answerOK("done"))
+		h := newHarness(t, plainRoute(relay.RetryAlways), first, answerOK("done"))
 		assert.NilError(t, h.serve(t.Context()))
 		assert.Equal(t, h.writer.body.String(), "done")
 		h.assertNoServerTwice()
@@ -77,12 +77,12 @@
 }
 
 func TestServerErrorIsRelayedOnceRetriesAreExhausted(t *testing.T) {
-	h := newHarness(t, plainRoute(relay.RepeatFreely), answerWith(answer{Status: 500, Signed: true}, "oops", io.EOF))
+	h := newHarness(t, plainRoute(relay.RetryAlways), answerWith(answer{Status: 500, Signed: true}, "oops", io.EOF))
 	assert.NilError(t, h.serve(t.Context()))
 	assert.Equal(t, h.writer.head.Status, 500)
 	assert.Equal(t, h.writer.body.String(), "oops")
 	assert.Equal(t, len(h.backend.sends), 3)
-	h = newHarness(t, plainRoute(relay.RepeatNever), answerWith(answer{Status: 500, Signed: true}, "oops", io.EOF))
+	h = newHarness(t, plainRoute(relay.RetryNever), answerWith(answer{Status: 500, Signed: true}, "oops", io.EOF))
 	assert.NilError(t, h.serve(t.Context()))
 	assert.Equal(t, len(h.backend.sends), 1)
 }
@@ -99,10 +99,10 @@
 func TestBrokenStreamResumesOnAnotherServer(t *testing.T) {
 	for _, half := range []string{"", "id: 2\nda"} {
 		for _, end := range []error{errConnectionReset, io.ErrUnexpectedEOF} {
-			h := newHarness(t, streamRoute(relay.RepeatResumed), streamAnswer(firstEvent+half, end), streamAnswer(secondEvent, io.EOF))
+			h := newHarness(t, streamRoute(relay.RetryResuming), streamAnswer(firstEvent+half, end), streamAnswer(secondEvent, io.EOF))
 			assert.NilError(t, h.serve(t.Context()))
 			assert.Equal(t, h.writer.body.String(), firstEvent+secondEvent)
-			assert.Equal(t, h.backend.sends[1].After, "1")
+			assert.Equal(t, h.backend.sends[1].LastEventID, "1")
 			assert.Equal(t, h.writer.head.Head.name, string(h.backend.sends[0].Server.ID), "the head must be the first server's")
 			h.assertNoServerTwice()
 		}
@@ -110,14 +110,14 @@
 }
 
 func TestStreamEndingInsideAnEventIsReportedAsCut(t *testing.T) {
-	h := newHarness(t, streamRoute(relay.RepeatNever), streamAnswer(firstEvent+"id: 2\nda", io.EOF))
-	assert.ErrorIs(t, h.serve(t.Context()), carry.ErrCut)
+	h := newHarness(t, streamRoute(relay.RetryNever), streamAnswer(firstEvent+"id: 2\nda", io.EOF))
+	assert.ErrorIs(t, h.serve(t.Context()), carry.ErrTruncated)
 	assert.Equal(t, h.writer.body.String(), firstEvent)
 	assert.Equal(t, len(h.backend.sends), 1)
 }
 
 func cascadeRoute() relay.Route {
-	r := streamRoute(relay.RepeatResumed)
+	r := streamRoute(relay.RetryResuming)
 	r.Models = []relay.ModelName{"small", "large"}
 	return r
 }
@@ -140,7 +140,7 @@
 
 func TestFailedStepUpIsRetriedWithTheLargerModel(t *testing.T) {
 	lowConfidence := answerWith(answer{Status: 200, Signed: true, Stream: true, Confidence: 5}, firstEvent, io.EOF)
-	h := newHarness(t, cascadeRoute(), lowConfidence, failsWith(carry.ErrLost), streamAnswer(secondEvent, io.EOF))
+	h := newHarness(t, cascadeRoute(), lowConfidence, failsWith(carry.ErrAnswerLost), streamAnswer(secondEvent, io.EOF))
 	assert.NilError(t, h.serve(t.Context()))
 	assert.Equal(t, h.backend.sends[2].Model, relay.ModelName("large"))
 }
@@ -175,7 +175,7 @@
 func TestSilentServerIsAbandonedWhenRequestMayBeRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
-		h := newHarness(t, streamRoute(relay.RepeatResumed), neverAnswers, streamAnswer(firstEvent, io.EOF))
+		h := newHarness(t, streamRoute(relay.RetryResuming), neverAnswers, streamAnswer(firstEvent, io.EOF))
 		assert.NilError(t, h.serve(t.Context()))
 		assert.Equal(t, h.writer.body.String(), firstEvent)
 		assert.Assert(t, time.Since(began) < 3*time.Second)
@@ -185,7 +185,7 @@
 func TestServerSilentOnSeveralAttemptsIsAbandonedWithinObjective(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const requests = 12
-		h := newHarness(t, streamRoute(relay.RepeatResumed), func(ctx context.Context, r attempt) (*answer, error) {
+		h := newHarness(t, streamRoute(relay.RetryResuming), func(ctx context.Context, r attempt) (*answer, error) {
 			if r.Server.ID == "s1" {
 				return neverAnswers(ctx, r)
 			}
@@ -210,7 +210,7 @@
 func TestNonRetryableRequestWaitsForSilentServerUntilDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
-		h := newHarness(t, plainRoute(relay.RepeatNever), neverAnswers)
+		h := newHarness(t, plainRoute(relay.RetryNever), neverAnswers)
 		r := h.mustRefuse(h.serve(t.Context()))
 		assert.Equal(t, r.Reason, relay.ReasonTimeout)
 		assert.Assert(t, !r.NotRun)
@@ -221,20 +221,20 @@
 
 func TestRouteTimeoutBoundsTheWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := plainRoute(relay.RepeatNever)
+		r := plainRoute(relay.RetryNever)
 		r.Timeout = 3 * time.Second
 		began := time.Now()
 		h := newHarness(t, r, neverAnswers)
 		assert.Equal(t, h.mustRefuse(h.serve(t.Context())).Reason, relay.ReasonTimeout)
 		assert.Equal(t, time.Since(began), 3*time.Second)
-		assert.Assert(t, h.backend.sends[0].Left <= 3*time.Second, "the server must receive the time that is left")
+		assert.Assert(t, h.backend.sends[0].TimeLeft <= 3*time.Second, "the server must receive the time that is left")
 	})
 }
 
 func TestCallerDisconnectCancelsTheAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		h := newHarness(t, plainRoute(relay.RepeatFreely), neverAnswers)
+		h := newHarness(t, plainRoute(relay.RetryAlways), neverAnswers)
 		time.AfterFunc(100*time.Millisecond, cancel)
 		began := time.Now()
 		assert.Equal(t, h.mustRefuse(h.serve(ctx)).Reason, relay.ReasonCallerLeft)
@@ -244,7 +244,7 @@
 }
 
 func TestRetriesStayWithinTheBudget(t *testing.T) {
-	h := newHarness(t, plainRoute(relay.RepeatFreely), failsWith(carry.ErrLost))
+	h := newHarness(t, plainRoute(relay.RetryAlways), failsWith(carry.ErrAnswerLost))
 	const requests = 400
 	for range requests {
 		assert.Assert(t, h.serve(t.Context()) != nil)
@@ -255,14 +255,14 @@
 }
 
 func TestRetryBudgetCoversCrashOfManyServers(t *testing.T) {
-	h := newHarness(t, plainRoute(relay.RepeatFreely), answerOK("done"))
+	h := newHarness(t, plainRoute(relay.RetryAlways), answerOK("done"))
 	for range 100 {
 		assert.NilError(t, h.serve(t.Context()))
 	}
 	h.backend.sends = nil
 	h.backend.answers = make([]func(context.Context, attempt) (*answer, error), 0, 60)
 	for range 30 {
-		h.backend.answers = append(h.backend.answers, failsWith(carry.ErrLost), answerOK("done"))
+		h.backend.answers = append(h.backend.answers, failsWith(carry.ErrAnswerLost), answerOK("done"))
 	}
 	for range 30 {
 		assert.NilError(t, h.serve(t.Context()))
@@ -270,7 +270,7 @@
 }
 
 func TestRefusedConnectionsUseNoRetryBudget(t *testing.T) {
-	h := newHarness(t, plainRoute(relay.RepeatNever), failsWith(carry.ErrUnsent), answerOK("done"))
+	h := newHarness(t, plainRoute(relay.RetryNever), failsWith(carry.ErrUnsent), answerOK("done"))
 	for range 300 {
 		h.backend.sends = nil
 		assert.NilError(t, h.serve(t.Context()))
@@ -278,7 +278,7 @@
 }
 
 func TestOnlyServerAnswersAreCountedInTallies(t *testing.T) {
-	h := newHarness(t, plainRoute(relay.RepeatFreely), failsWith(carry.ErrLost), answerWith(answer{Status: 500, Signed: true}, "", io.EOF), answerOK("done"))
+	h := newHarness(t, plainRoute(relay.RetryAlways), failsWith(carry.ErrAnswerLost), answerWith(answer{Status: 500, Signed: true}, "", io.EOF), answerOK("done"))
 	assert.NilError(t, h.serve(t.Context()))
 	assert.DeepEqual(t, h.carrier.Tallies(), []relay.Tally{{Service: "app", Release: "v1", Runs: 2, Failed: 1}})
 }
--- a/io/carry/gains.go
+++ b/io/carry/gains.go
@@ -20,7 +20,7 @@
 
 // confidenceGain returns how much more confident the larger model is than the smaller one, as observed by
 // this instance; both are indexes in the route's models.
-func (h *requestHandler[H]) confidenceGain(smaller, larger int) relay.Gain {
+func (h *requestHandler[H]) confidenceGain(smaller, larger int) relay.ConfidenceGain {
 	models := h.admitted.Route.Models
 	return h.carrier.confidenceGains.Get()[modelPair{models[smaller], models[larger]}]
 }
@@ -35,8 +35,8 @@
 	}
 	models := a.admitted.Route.Models
 	pair := modelPair{models[a.discarded.step], models[a.step]}
-	a.carrier.confidenceGains.Update(func(all map[modelPair]relay.Gain) map[modelPair]relay.Gain {
-		next := make(map[modelPair]relay.Gain, len(all)+1)
+	a.carrier.confidenceGains.Update(func(all map[modelPair]relay.ConfidenceGain) map[modelPair]relay.ConfidenceGain {
+		next := make(map[modelPair]relay.ConfidenceGain, len(all)+1)
 		maps.Copy(next, all)
 		next[pair] = all[pair].With(a.discarded.confidence, answer.Confidence)
 		return next
--- a/io/carry/life.go
+++ b/io/carry/life.go
@@ -13,18 +13,18 @@
 	"endivehitch/io/clock"
 )
 
-// ErrCut is returned when a part of an answer was written and the rest could not be.
-var ErrCut = errors.New("answer was cut off")
+// ErrTruncated is returned when a part of an answer was written and the rest could not be.
+var ErrTruncated = errors.New("answer was cut off")
 
 // requestHandler serves one request on its caller's goroutine, in one or more attempts.
 type requestHandler[H any] struct {
-	carrier  *Carrier[H]
+	carrier  *Dispatcher[H]
 	job      Job[H]
 	admitted query.Admitted
-	writer   Sink[H]
+	writer   ResponseWriter[H]
 
 	service  relay.ServiceName
-	attempts query.Sends
+	attempts query.RequestAttempts
 	// tried holds the servers that were already asked, which are not selected again.
 	tried []relay.ServerID
 	// step is the index of the current model in the route's models, which start with the smallest.
@@ -43,7 +43,7 @@
 
 func (h *requestHandler[H]) serve(ctx context.Context) error {
 	c := h.carrier
-	h.service = query.Spread(h.admitted.Route, h.requestHash())
+	h.service = query.SelectTarget(h.admitted.Route, h.requestHash())
 	c.countFirstAttempt(h.service)
 	for {
 		ending, done, err := h.tryOnce(ctx)
@@ -94,8 +94,8 @@
 func (h *requestHandler[H]) selectServer(state relay.State, now time.Time) (query.Choice, bool) {
 	request := h.job.Request
 	lastRelease := h.carrier.sessions.release(h.service, request.Session, now)
-	want := query.Want{
-		Service: h.service, Tried: h.tried, ReadTime: h.carrier.prefillRates.timePerToken(h.model()),
+	want := query.Criteria{
+		Service: h.service, Tried: h.tried, PrefillTime: h.carrier.prefillRates.timePerToken(h.model()),
 		Release: query.Release(state, h.service, request.Session, lastRelease, h.requestHash(), now),
 	}
 	if prefix, ok := request.Shared(); ok {
@@ -104,7 +104,7 @@
 			want.SharedTokens += part.Tokens
 		}
 	}
-	choice, ok := query.Pick(state, want, h.carrier.loads.Get, clock.Random{}, now)
+	choice, ok := query.SelectServer(state, want, h.carrier.loads.Get, clock.Random{}, now)
 	if ok {
 		h.carrier.sessions.remember(h.service, request.Session, choice.Server.Release, now)
 	}
@@ -114,7 +114,7 @@
 // model returns the model to ask; it is empty where the route has no cascade and the caller names the
 // model.
 func (h *requestHandler[H]) model() relay.ModelName {
-	if !h.admitted.Route.Cascade() {
+	if !h.admitted.Route.IsCascade() {
 		return ""
 	}
 	return h.admitted.Route.Models[h.step]
@@ -124,7 +124,7 @@
 // prompt when the server is expected to have the parts before it cached.
 func (h *requestHandler[H]) countPrefillTokens(choice query.Choice) int {
 	request := h.job.Request
-	if len(request.Prompt) == 0 || !choice.Home {
+	if len(request.Prompt) == 0 || !choice.HasCacheAffinity {
 		return request.Input
 	}
 	return request.Prompt[len(request.Prompt)-1].Tokens
@@ -148,8 +148,8 @@
 	if ending == query.EndedDropped {
 		return nil
 	}
-	if !query.Again(h.admitted.Route, ending, h.attempts, left) {
-		return h.fail(query.Verdict(ending, h.attempts, left))
+	if !query.MayRetry(h.admitted.Route, ending, h.attempts, left) {
+		return h.fail(query.FinalRefusal(ending, h.attempts, left))
 	}
 	if h.retryPaid {
 		h.retryPaid = false
@@ -160,7 +160,7 @@
 		return nil
 	}
 	if !h.carrier.spendBudget(h.service, useRetry) {
-		refusal := query.Verdict(ending, h.attempts, left)
+		refusal := query.FinalRefusal(ending, h.attempts, left)
 		refusal.Detail = "the retry budget is spent"
 		return h.fail(refusal)
 	}
@@ -181,7 +181,7 @@
 	if h.attempts.All == 0 {
 		return relay.Refusal{Reason: relay.ReasonNoServer, NotRun: true, RetryAfter: time.Second, Detail: "no server of " + string(h.service)}
 	}
-	return query.Verdict(query.EndedUnknown, h.attempts, h.timeLeft(ctx))
+	return query.FinalRefusal(query.EndedUnknown, h.attempts, h.timeLeft(ctx))
 }
 
 // fail records that the request ended without a complete answer, and returns the refusal as the
@@ -189,15 +189,15 @@
 func (h *requestHandler[H]) fail(refusal relay.Refusal) error {
 	h.updateThrottle(false)
 	decision := h.decision
-	decision.What, decision.Reason, decision.Detail = WhatFailed, string(refusal.Reason), refusal.Detail
+	decision.Kind, decision.Reason, decision.Detail = DecisionFailed, string(refusal.Reason), refusal.Detail
 	if refusal.NotRun {
-		decision.What = WhatRefused
+		decision.Kind = DecisionRefused
 	}
 	decision.Elapsed = h.elapsed()
 	decision.Route, decision.Account, decision.Request = h.admitted.Route.Name, h.admitted.Account.Name, h.job.Request.ID
 	h.carrier.config.Recorder.Record(decision)
 	if h.responseStarted {
-		return fmt.Errorf("%w: %w", ErrCut, refusal)
+		return fmt.Errorf("%w: %w", ErrTruncated, refusal)
 	}
 	return refusal
 }
@@ -212,7 +212,7 @@
 	h.decision = Decision{
 		Request: h.job.Request.ID, Route: h.admitted.Route.Name, Account: h.admitted.Account.Name,
 		Server: choice.Server.ID, Release: choice.Server.Release, Model: h.model(), Candidates: choice.Candidates,
-		Score: choice.Score, Revision: state.Revision, Unread: prefillTokens,
+		Score: choice.Score, Revision: state.Revision, PrefillTokens: prefillTokens,
 	}
 	if !load.Reported.IsZero() {
 		h.decision.ReportAge = now.Sub(load.Reported)
@@ -220,9 +220,9 @@
 }
 
 // record passes a decision about the current attempt to the recorder.
-func (h *requestHandler[H]) record(what What, reason string, status int, detail string) {
+func (h *requestHandler[H]) record(what DecisionKind, reason string, status int, detail string) {
 	decision := h.decision
-	decision.What, decision.Reason, decision.Status, decision.Detail = what, reason, status, detail
+	decision.Kind, decision.Reason, decision.Status, decision.Detail = what, reason, status, detail
 	decision.Elapsed = h.elapsed()
 	h.carrier.config.Recorder.Record(decision)
 }
--- a/io/carry/ports.go
+++ b/io/carry/ports.go
@@ -13,28 +13,28 @@
 var (
 	// ErrUnsent is returned when the server cannot have received the request.
 	ErrUnsent = errors.New("request was not sent")
-	// ErrLost is returned when the request was sent but no complete answer head was received.
-	ErrLost = errors.New("answer was lost")
+	// ErrAnswerLost is returned when the request was sent but no complete answer head was received.
+	ErrAnswerLost = errors.New("answer was lost")
 )
 
-// Run is one attempt to send a request to a server; H is the front end's type of message heads.
-type Run[H any] struct {
+// Attempt is one attempt to send a request to a server; H is the front end's type of message heads.
+type Attempt[H any] struct {
 	Server  relay.Server
 	Request relay.Request
 	Account relay.Account
 	// Head and Body are the request's as the caller sent them.
 	Head H
 	Body []byte
-	// Left is how long the server may take.
-	Left time.Duration
+	// TimeLeft is how long the server may take.
+	TimeLeft time.Duration
 	// Model overrides the model named by the caller unless it is empty.
 	Model relay.ModelName
 	// Rank is the priority; 0 is the most urgent.
 	Rank int
-	// After is the ID of the last event that the caller has received; empty means none.
-	After string
-	// Fresh asks for a new connection, since an idle one may have been lost without notice.
-	Fresh bool
+	// LastEventID is the ID of the last event that the caller has received; empty means none.
+	LastEventID string
+	// NewConnection asks for a new connection, since an idle one may have been lost without notice.
+	NewConnection bool
 }
 
 // Answer is a server's answer after its head has been read.
@@ -47,8 +47,8 @@
 	Signed bool
 	// Stream is set when the body is an event stream.
 	Stream bool
-	// Encoded is set when the body has a content encoding that was not asked for.
-	Encoded bool
+	// UnexpectedEncoding is set when the body has a content encoding that was not asked for.
+	UnexpectedEncoding bool
 	// Report is the server's load; it is valid only when Reported is set.
 	Report relay.Report
 	// Reported is set when the answer carries a load report.
@@ -64,13 +64,13 @@
 // Backend sends requests to backend servers.
 type Backend[H any] interface {
 	// Send returns once the answer's head has been read; the error wraps ErrUnsent or ErrLost.
-	Send(ctx context.Context, r Run[H]) (*Answer[H], error)
+	Send(ctx context.Context, r Attempt[H]) (*Answer[H], error)
 }
 
-// Sink writes the answer to the caller.
-type Sink[H any] interface {
-	// Begin writes the answer's head.
-	Begin(a *Answer[H]) error
+// ResponseWriter writes the answer to the caller.
+type ResponseWriter[H any] interface {
+	// WriteHead writes the answer's head.
+	WriteHead(a *Answer[H]) error
 	// Write writes a part of the body and flushes it.
 	Write(b []byte) error
 }
--- a/io/carry/rig_test.go
+++ b/io/carry/rig_test.go
@@ -18,7 +18,7 @@
 type head struct{ name string }
 
 type (
-	attempt = carry.Run[head]
+	attempt = carry.Attempt[head]
 	answer  = carry.Answer[head]
 )
 
@@ -43,7 +43,7 @@
 	body strings.Builder
 }
 
-func (w *responseWriter) Begin(a *answer) error {
+func (w *responseWriter) WriteHead(a *answer) error {
 	w.head = a
 	return nil
 }
@@ -56,13 +56,13 @@
 // recorder stores the kinds of decisions.
 type recorder struct {
 	mu    sync.Mutex
-	kinds []carry.What
+	kinds []carry.DecisionKind
 }
 
 func (r *recorder) Record(d carry.Decision) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.kinds = append(r.kinds, d.What)
+	r.kinds = append(r.kinds, d.Kind)
 }
 
 // harness runs a carrier with three servers of one service against a scripted backend.
@@ -71,17 +71,17 @@
 	backend  *scriptedBackend
 	writer   *responseWriter
 	recorder *recorder
-	carrier  *carry.Carrier[head]
+	carrier  *carry.Dispatcher[head]
 }
 
-func plainRoute(repeat relay.Repeat) relay.Route {
+func plainRoute(repeat relay.RetryRule) relay.Route {
 	return relay.Route{
 		Name: "r", Host: "h", Prefix: "/", Repeat: repeat, Attempts: 3, Timeout: 10 * time.Second,
 		Objective: time.Second, Open: true, Targets: []relay.Target{{Service: "app", Weight: 1}},
 	}
 }
 
-func streamRoute(repeat relay.Repeat) relay.Route {
+func streamRoute(repeat relay.RetryRule) relay.Route {
 	r := plainRoute(repeat)
 	r.Stream, r.Gap, r.Objective = true, time.Second, 2*time.Second
 	return r
@@ -102,8 +102,10 @@
 	var err error
 	h.carrier, err = carry.New(carry.Config[head]{
 		Backend: h.backend, Snapshot: func() relay.State { return s }, Now: time.Now, Recorder: h.recorder,
-		Repeats: func() carry.Repeats { return carry.Repeats{Window: 10 * time.Second, Ratio: 0.9, Allowance: 30} },
-		Session: time.Second,
+		RetryLimits: func() carry.RetryLimits {
+			return carry.RetryLimits{Window: 10 * time.Second, Ratio: 0.9, Allowance: 30}
+		},
+		SessionLifetime: time.Second,
 	})
 	assert.NilError(t, err)
 	return h
@@ -115,7 +117,7 @@
 
 func (h *harness) serveTo(ctx context.Context, w *responseWriter) error {
 	return h.carrier.Serve(ctx, carry.Job[head]{
-		Request: relay.Request{ID: "q", Host: "h", Path: "/x", Arrived: time.Now(), Patience: 8 * time.Second},
+		Request: relay.Request{ID: "q", Host: "h", Path: "/x", Arrived: time.Now(), CallerTimeout: 8 * time.Second},
 	}, w)
 }
 
@@ -177,5 +179,5 @@
 // neverAnswers blocks until the attempt is cancelled.
 func neverAnswers(ctx context.Context, _ attempt) (*answer, error) {
 	<-ctx.Done()
-	return nil, carry.ErrLost
+	return nil, carry.ErrAnswerLost
 }
--- a/io/carry/run.go
+++ b/io/carry/run.go
@@ -65,11 +65,11 @@
 // errSilenceTimeout is the cause with which a watchdog cancels an attempt.
 var errSilenceTimeout = errors.New("no answer in time")
 
-func (a *attempt[H]) buildRun(ctx context.Context) Run[H] {
-	return Run[H]{
+func (a *attempt[H]) buildRun(ctx context.Context) Attempt[H] {
+	return Attempt[H]{
 		Server: a.server, Request: a.job.Request, Account: a.admitted.Account, Head: a.job.Head, Body: a.job.Body,
-		Left: a.timeLeft(ctx), Model: a.model(), Rank: query.Priority(a.admitted.Rank, a.step), After: a.lastEventID,
-		Fresh: a.attempts.Run > 0,
+		TimeLeft: a.timeLeft(ctx), Model: a.model(), Rank: query.Priority(a.admitted.Rank, a.step), LastEventID: a.lastEventID,
+		NewConnection: a.attempts.Run > 0,
 	}
 }
 
@@ -86,7 +86,7 @@
 	}
 	if !errors.Is(context.Cause(ctx), context.Canceled) {
 		a.load.recordFailure(now)
-		a.record(WhatRunFailed, endingName(ending), 0, err.Error())
+		a.record(DecisionAttemptFailed, endingName(ending), 0, err.Error())
 	}
 	return ending
 }
@@ -97,7 +97,7 @@
 	switch {
 	case answer.NotRun:
 		return query.EndedNotRun, false
-	case answer.Encoded, !answer.Signed:
+	case answer.UnexpectedEncoding, !answer.Signed:
 		return query.EndedUnknown, false
 	case answer.Status >= 500:
 		return query.EndedFailed, false
@@ -109,7 +109,7 @@
 // caller when no retry is allowed; in every other case the returned ending decides on a retry.
 func (a *attempt[H]) handleRejected(ctx context.Context, answer *Answer[H], ending query.Ending) (query.Ending, bool, error) {
 	now := a.carrier.config.Now()
-	a.record(WhatRunFailed, endingName(ending), answer.Status, "")
+	a.record(DecisionAttemptFailed, endingName(ending), answer.Status, "")
 	switch ending {
 	case query.EndedNotRun:
 	case query.EndedFailed:
@@ -119,7 +119,7 @@
 		a.load.recordFailure(now)
 	}
 	final := ending == query.EndedFailed && !a.responseStarted
-	if final && !query.Again(a.admitted.Route, ending, a.attempts.With(ending), a.timeLeft(ctx)) {
+	if final && !query.MayRetry(a.admitted.Route, ending, a.attempts.With(ending), a.timeLeft(ctx)) {
 		return a.relayBody(ctx, answer)
 	}
 	return ending, false, nil
@@ -129,10 +129,10 @@
 // model is asked next.
 func (a *attempt[H]) tryStepUp(ctx context.Context, answer *Answer[H]) bool {
 	route := a.admitted.Route
-	if !route.Cascade() || a.responseStarted {
+	if !route.IsCascade() || a.responseStarted {
 		return false
 	}
-	observed := query.Answered{
+	observed := query.ObservedAnswer{
 		Step: a.step, Confidence: answer.Confidence, Sends: a.attempts.With(query.EndedDropped),
 		Left: a.timeLeft(ctx), Throttle: a.carrier.throttles.Get(a.service).Value(),
 	}
@@ -143,8 +143,8 @@
 	a.decision.Throttle = observed.Throttle
 	a.discarded = discardedAnswer{step: a.step, confidence: answer.Confidence}
 	a.load.recordFirstByte(a.carrier.config.Now())
-	a.decision.First = a.load.firstByteTime
-	a.record(WhatSteppedUp, "LowConfidence", answer.Status, "")
+	a.decision.FirstByteTime = a.load.firstByteTime
+	a.record(DecisionSteppedUp, "LowConfidence", answer.Status, "")
 	a.step = next
 	return true
 }
@@ -158,7 +158,7 @@
 	}
 	a.load.recordFirstByte(a.carrier.config.Now())
 	a.responseStarted = true
-	if err := a.writer.Begin(answer); err != nil {
+	if err := a.writer.WriteHead(answer); err != nil {
 		return 0, true, a.failCallerGone(err)
 	}
 	if err := a.writer.Write(body); err != nil {
@@ -166,7 +166,7 @@
 	}
 	if len(body) == bufferedBodyBytes {
 		if err := a.copyBody(answer.Body); err != nil {
-			return 0, true, a.fail(relay.Refusal{Reason: relay.ReasonUnknown, Detail: err.Error()})
+			return 0, true, a.fail(relay.Refusal{Reason: relay.ReasonOutcomeUnknown, Detail: err.Error()})
 		}
 	}
 	if answer.Status < 500 {
@@ -235,8 +235,8 @@
 	if !a.responseStarted {
 		a.responseStarted = true
 		a.updateThrottle(true)
-		a.decision.First = a.load.firstByteTime
-		if err := a.writer.Begin(answer); err != nil {
+		a.decision.FirstByteTime = a.load.firstByteTime
+		if err := a.writer.WriteHead(answer); err != nil {
 			return err
 		}
 	}
@@ -260,8 +260,8 @@
 }
 
 func (a *attempt[H]) recordAnswered(status int) {
-	a.decision.First = a.load.firstByteTime
-	a.record(WhatAnswered, "", status, "")
+	a.decision.FirstByteTime = a.load.firstByteTime
+	a.record(DecisionAnswered, "", status, "")
 }
 
 // endingName returns the reason that is recorded for the ending.
--- a/io/carry/session_test.go
+++ b/io/carry/session_test.go
@@ -29,7 +29,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		const lifetime, requestTime = 5 * time.Second, 7 * time.Second
 		entries := []relay.Entry{
-			{Config: &relay.Config{Version: 1, Routes: []relay.Route{streamRoute(relay.RepeatNever)}, Services: []relay.Service{{Name: "app"}}}},
+			{Config: &relay.Config{Version: 1, Routes: []relay.Route{streamRoute(relay.RetryNever)}, Services: []relay.Service{{Name: "app"}}}},
 			{Server: &relay.Server{ID: "old", Service: "app", Release: "v1", Slots: 4}},
 		}
 		state := func() relay.State {
@@ -41,7 +41,7 @@
 		}
 		s := state()
 		c, err := carry.New(carry.Config[head]{
-			Repeats: func() carry.Repeats { return carry.Repeats{Window: time.Second} },
+			RetryLimits: func() carry.RetryLimits { return carry.RetryLimits{Window: time.Second} },
 			Backend: &scriptedBackend{answers: []func(context.Context, attempt) (*answer, error){
 				func(ctx context.Context, r attempt) (*answer, error) {
 					time.Sleep(requestTime)
@@ -52,7 +52,7 @@
 					return streamAnswer(firstEvent, io.EOF)(ctx, r)
 				},
 			}},
-			Snapshot: func() relay.State { return s }, Now: time.Now, Recorder: new(recorder), Session: lifetime,
+			Snapshot: func() relay.State { return s }, Now: time.Now, Recorder: new(recorder), SessionLifetime: lifetime,
 		})
 		assert.NilError(t, err)
 		next := append(entries,
--- a/io/carry/tally.go
+++ b/io/carry/tally.go
@@ -14,7 +14,7 @@
 const slowFactor = 3
 
 // usualTimeConfig smooths the answer time of each kind of request over all releases.
-var usualTimeConfig = policy.SmoothConfig{HalfLife: 20 * time.Second, MaxWeight: 50}
+var usualTimeConfig = policy.DecayingMeanConfig{HalfLife: 20 * time.Second, MaxWeight: 50}
 
 type releaseKey struct {
 	service relay.ServiceName
@@ -31,7 +31,7 @@
 type tallies struct {
 	mu         sync.Mutex
 	byRelease  map[releaseKey]relay.Tally
-	usualTimes map[usualTimeKey]policy.Smooth
+	usualTimes map[usualTimeKey]policy.DecayingMean
 }
 
 // add counts an attempt. An attempt that failed or was slow does not change the usual time.
@@ -40,7 +40,7 @@
 	defer t.mu.Unlock()
 	if t.byRelease == nil {
 		t.byRelease = make(map[releaseKey]relay.Tally)
-		t.usualTimes = make(map[usualTimeKey]policy.Smooth)
+		t.usualTimes = make(map[usualTimeKey]policy.DecayingMean)
 	}
 	usual := t.usualTimes[kind]
 	slow := !failed && usual.Weight > 5 && took > slowFactor*usual.Mean
--- a/io/carry/watch.go
+++ b/io/carry/watch.go
@@ -44,11 +44,11 @@
 // time until the next check. A true result has been charged to the retry budget.
 func (a *attempt[H]) checkSilence(ctx context.Context, responseStarted bool, silent time.Duration) (time.Duration, bool) {
 	left := a.timeLeft(ctx)
-	if !query.Again(a.admitted.Route, query.EndedSlow, a.attempts.With(query.EndedSlow), left) {
+	if !query.MayRetry(a.admitted.Route, query.EndedSlow, a.attempts.With(query.EndedSlow), left) {
 		return left + time.Second, false
 	}
 	now := a.carrier.config.Now()
-	remaining := query.Patience(a.admitted.Route, responseStarted, a.load.isOnlyAttempt(), a.load.silence(now), silent)
+	remaining := query.SilenceTimeout(a.admitted.Route, responseStarted, a.load.isOnlyAttempt(), a.load.silence(now), silent)
 	if remaining > 0 {
 		return remaining, false
 	}
--- a/io/conf/changes.go
+++ b/io/conf/changes.go
@@ -14,7 +14,7 @@
 // Changes is the decoded content of entries of an environment's configuration.
 type Changes struct {
 	// Accepted is the document; its revision is zero if none of the entries holds one.
-	Accepted    value.Accepted
+	Accepted    value.AcceptedDocument
 	RollOuts    []value.Progress
 	Withdrawals []value.Withdrawal
 }
--- a/io/conf/check.go
+++ b/io/conf/check.go
@@ -110,7 +110,7 @@
 	case kind.Service != "" && kind.QualityTarget > 0:
 		c.addFault(at+".QualityTarget", "can't be stated where a service answers")
 	}
-	if _, stated := c.lines[at+".Judge"]; stated && !value.Judge(kind.Judge).Present() {
+	if _, stated := c.lines[at+".Judge"]; stated && !value.Judge(kind.Judge).IsUsable() {
 		c.addFault(at+".Judge", "can't tell answers apart: AcceptGood must be above AcceptBad")
 	}
 	if kind.Share && !kind.Idempotent {
--- a/io/conf/record.go
+++ b/io/conf/record.go
@@ -16,7 +16,7 @@
 // Record is a document's bytes with the changes that led to it, as stored in the key-value service.
 type Record struct {
 	Bytes    []byte
-	Standing value.Standing
+	Standing value.CurrentRecord
 }
 
 // wireRecord is the record's format. It holds the document's bytes unchanged, so that their digest
@@ -38,19 +38,19 @@
 // WithChange returns the record that the change replaces this one by, with the bytes as its
 // document. The replaced record's change becomes the first of the change history.
 func (r Record) WithChange(data []byte, change value.Change) Record {
-	history := r.Standing.Trail
+	history := r.Standing.History
 	if r.Standing.Revision > 0 {
 		history = append([]value.Change{r.Standing.Change}, history...)
 	}
 	history = history[:min(len(history), historyLength)]
-	return Record{Bytes: data, Standing: value.Standing{Change: change, Trail: history}}
+	return Record{Bytes: data, Standing: value.CurrentRecord{Change: change, History: history}}
 }
 
 // Encode encodes the record for the key-value service.
 func (r Record) Encode() ([]byte, error) {
 	wire := wireRecord{
 		Change:   toWireChange(r.Standing.Change),
-		Trail:    convert(r.Standing.Trail, toWireChange),
+		Trail:    convert(r.Standing.History, toWireChange),
 		Document: r.Bytes,
 	}
 	data, err := json.Marshal(wire)
@@ -72,25 +72,25 @@
 		return Record{}, fmt.Errorf("decode record at %s: %w", e.Key, err)
 	}
 	if Digest(wire.Document) != wire.Change.Digest {
-		return Record{}, value.ChangeRefused{Reason: value.ReasonDamaged, Detail: "kept bytes at " + e.Key}
+		return Record{}, value.ChangeRefused{Reason: value.ReasonDigestMismatch, Detail: "kept bytes at " + e.Key}
 	}
 	return Record{
 		Bytes: wire.Document,
-		Standing: value.Standing{
+		Standing: value.CurrentRecord{
 			Revision: e.Revision,
 			Change:   fromWireChange(wire.Change),
-			Trail:    convert(wire.Trail, fromWireChange),
+			History:  convert(wire.Trail, fromWireChange),
 		},
 	}, nil
 }
 
 // Accepted parses the record's document and returns it with its digest and revision.
-func (r Record) Accepted() (value.Accepted, error) {
+func (r Record) Accepted() (value.AcceptedDocument, error) {
 	d, err := Parse(r.Bytes)
 	if err != nil {
-		return value.Accepted{}, fmt.Errorf("parse kept document: %w", err)
+		return value.AcceptedDocument{}, fmt.Errorf("parse kept document: %w", err)
 	}
-	return value.Accepted{Document: d, Digest: r.Standing.Change.Digest, Revision: r.Standing.Revision}, nil
+	return value.AcceptedDocument{Document: d, Digest: r.Standing.Change.Digest, Revision: r.Standing.Revision}, nil
 }
 
 // Load reads the environment's record from the key-value service.
--- a/io/conf/target.go
+++ b/io/conf/target.go
@@ -54,7 +54,7 @@
 // to the figures in the document. Without a judge there are no cascades.
 func bestQuality(judge value.Judge, qualities []float64) float64 {
 	best := slices.Max(qualities)
-	if !judge.Present() {
+	if !judge.IsUsable() {
 		return best
 	}
 	for _, first := range qualities {
--- a/io/conns/conns.go
+++ b/io/conns/conns.go
@@ -17,10 +17,10 @@
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 	// Now returns the current time.
 	Now func() time.Time
-	// MaxIdle is how many idle connections to one server are kept.
-	MaxIdle int
-	// Buffer is the size of a connection's read buffer in bytes.
-	Buffer int
+	// MaxIdlePerServer is how many idle connections to one server are kept.
+	MaxIdlePerServer int
+	// ReadBufferBytes is the size of a connection's read buffer in bytes.
+	ReadBufferBytes int
 }
 
 // Key identifies one incarnation of a server.
@@ -40,8 +40,8 @@
 // Conn is a connection that is used by one request at a time.
 type Conn struct {
 	net.Conn
-	// R reads what the server sends.
-	R *bufio.Reader
+	// Reader reads what the server sends.
+	Reader *bufio.Reader
 	// Reused is set when the connection has served a request before.
 	Reused  bool
 	key     Key
@@ -55,8 +55,8 @@
 		return nil, errors.New("connection pool: no dialer")
 	case c.Now == nil:
 		return nil, errors.New("connection pool: no clock")
-	case c.MaxIdle < 0 || c.Buffer < 1:
-		return nil, fmt.Errorf("connection pool: invalid limits: %d idle connections, read buffer of %d bytes", c.MaxIdle, c.Buffer)
+	case c.MaxIdlePerServer < 0 || c.ReadBufferBytes < 1:
+		return nil, fmt.Errorf("connection pool: invalid limits: %d idle connections, read buffer of %d bytes", c.MaxIdlePerServer, c.ReadBufferBytes)
 	}
 	return &Pool{config: c, idle: make(map[Key][]*Conn)}, nil
 }
@@ -78,7 +78,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("connect to %s: %w", key.Address, err)
 	}
-	return &Conn{Conn: raw, R: bufio.NewReaderSize(raw, p.config.Buffer), key: key}, nil
+	return &Conn{Conn: raw, Reader: bufio.NewReaderSize(raw, p.config.ReadBufferBytes), key: key}, nil
 }
 
 // Put keeps the connection idle for the lifetime, for the next request. It closes the connection when the
@@ -87,7 +87,7 @@
 	c.Reused = true
 	c.expires = p.config.Now().Add(lifetime)
 	p.mu.Lock()
-	discard := p.closed || lifetime <= 0 || len(p.idle[c.key]) >= p.config.MaxIdle
+	discard := p.closed || lifetime <= 0 || len(p.idle[c.key]) >= p.config.MaxIdlePerServer
 	if !discard {
 		p.idle[c.key] = append(p.idle[c.key], c)
 	}
@@ -148,7 +148,7 @@
 
 // isUsable reports whether the connection is open and has no unread data.
 func isUsable(c *Conn) bool {
-	if c.R.Buffered() > 0 {
+	if c.Reader.Buffered() > 0 {
 		return false
 	}
 	raw, ok := c.Conn.(syscall.Conn)
--- a/io/conns/conns_test.go
+++ b/io/conns/conns_test.go
@@ -37,7 +37,7 @@
 		}
 	}()
 	h.pool, err = conns.New(conns.Config{
-		Now: func() time.Time { return h.now }, MaxIdle: 2, Buffer: 512,
+		Now: func() time.Time { return h.now }, MaxIdlePerServer: 2, ReadBufferBytes: 512,
 		Dial: func(ctx context.Context, network, _ string) (net.Conn, error) {
 			h.dials++
 			return new(net.Dialer).DialContext(ctx, network, l.Addr().String())
@@ -75,7 +75,7 @@
 func waitForData(t *testing.T, c *conns.Conn) {
 	t.Helper()
 	assert.NilError(t, c.SetReadDeadline(time.Now().Add(5*time.Second)))
-	_, _ = c.R.Peek(1)
+	_, _ = c.Reader.Peek(1)
 }
 
 func TestConnectionClosedByServerIsNotReused(t *testing.T) {
--- a/io/feeds/follow.go
+++ b/io/feeds/follow.go
@@ -86,7 +86,7 @@
 			}
 			continue
 		}
-		if err := f.apply(ctx, cmds.StoreAway{Cause: err.Error()}); err != nil {
+		if err := f.apply(ctx, cmds.StoreUnreachable{Cause: err.Error()}); err != nil {
 			return err
 		}
 		if !clock.Passed(ctx, jitter(pause)) {
@@ -110,12 +110,12 @@
 	if s.Revision == 0 {
 		return f.readSnapshot(ctx)
 	}
-	if _, hasOtherReader := query.Reader(s, f.isSuspected); hasOtherReader && s.Away.IsZero() {
+	if _, hasOtherReader := query.Reader(s, f.isSuspected); hasOtherReader && s.StoreUnreachableSince.IsZero() {
 		f.peerCalls++
-		return f.readFromPeer(ctx, s, query.Teller(s, f.peerCalls, f.isSuspected))
+		return f.readFromPeer(ctx, s, query.UpdateSource(s, f.peerCalls, f.isSuspected))
 	}
 	wait := time.Duration(0)
-	if f.storeConfirmed && s.Away.IsZero() {
+	if f.storeConfirmed && s.StoreUnreachableSince.IsZero() {
 		wait = storeLongPoll
 	}
 	return f.readChanges(ctx, s, wait)
@@ -125,7 +125,7 @@
 func (f *Follower) readChanges(ctx context.Context, s relay.State, wait time.Duration) error {
 	feed, err := f.config.Store.Changes(ctx, s.Revision, wait)
 	f.storeConfirmed = err == nil
-	if errors.Is(err, ErrForgotten) {
+	if errors.Is(err, ErrHistoryDropped) {
 		return f.readSnapshot(ctx)
 	}
 	if err != nil {
@@ -158,7 +158,7 @@
 
 // readSnapshot applies a full snapshot of the store.
 func (f *Follower) readSnapshot(ctx context.Context) error {
-	feed, err := f.config.Store.Image(ctx)
+	feed, err := f.config.Store.Snapshot(ctx)
 	f.storeConfirmed = err == nil
 	if err != nil {
 		return fmt.Errorf("read the store: %w", err)
@@ -167,7 +167,7 @@
 }
 
 func (f *Follower) applyFeed(ctx context.Context, feed relay.Feed, source string, direct bool) error {
-	return f.apply(ctx, cmds.Learn{Feed: feed, From: source, Direct: direct, Grace: f.config.Grace})
+	return f.apply(ctx, cmds.ApplyFeed{Feed: feed, From: source, FromStore: direct, Grace: f.config.Grace})
 }
 
 func (f *Follower) apply(ctx context.Context, command loop.Command[relay.State, relay.Effect]) error {
@@ -194,7 +194,7 @@
 func (f *Follower) RunPeers(ctx context.Context) error {
 	for {
 		s, changed := f.config.Control.Watch()
-		if s.Away.IsZero() {
+		if s.StoreUnreachableSince.IsZero() {
 			select {
 			case <-ctx.Done():
 				return nil
--- a/io/feeds/follow_test.go
+++ b/io/feeds/follow_test.go
@@ -69,11 +69,11 @@
 		time.Sleep(30 * time.Second)
 		assert.Equal(t, i.loop.Snapshot().Config.Version, int64(1))
 		assert.Equal(t, len(i.loop.Snapshot().Servers("app")), 1)
-		assert.Assert(t, !i.loop.Snapshot().Away.IsZero())
+		assert.Assert(t, !i.loop.Snapshot().StoreUnreachableSince.IsZero())
 		s.update(func() { s.unreachable = false })
 		s.putConfig(2)
 		assert.Assert(t, i.waitForVersion(ctx, 2) < 3*time.Second)
-		assert.Assert(t, i.loop.Snapshot().Away.IsZero())
+		assert.Assert(t, i.loop.Snapshot().StoreUnreachableSince.IsZero())
 	})
 }
 
@@ -134,7 +134,7 @@
 				}
 				each.putConfig(1)
 			}
-			snapshot, err := s.Image(ctx)
+			snapshot, err := s.Snapshot(ctx)
 			assert.NilError(t, err)
 			var followers []*instance
 			for n, m := range members {
--- a/io/feeds/peers.go
+++ b/io/feeds/peers.go
@@ -21,8 +21,8 @@
 	orderMethod = peer.Method[orderArgs, []relay.OrderAge]{Name: "OrderAges"}
 )
 
-// Offer registers the methods that serve this instance's changes, tallies and order ages to others.
-func Offer(registrar peer.Registrar, control Control, tallies func() []relay.Tally, now func() time.Time) error {
+// RegisterMethods registers the methods that serve this instance's changes, tallies and order ages to others.
+func RegisterMethods(registrar peer.Registrar, control Control, tallies func() []relay.Tally, now func() time.Time) error {
 	err := sinceMethod.Serve(registrar, func(request Ask) (relay.Feed, error) {
 		return waitForChanges(control, request, now), nil
 	})
@@ -74,25 +74,25 @@
 // withStoreStatus adds to the feed whether this instance can reach the store, how long ago the store became
 // reachable again, and how long ago it last answered.
 func withStoreStatus(state relay.State, feed relay.Feed, now time.Time) relay.Feed {
-	feed.Away = !state.Away.IsZero()
-	if !state.Back.IsZero() {
-		feed.Back = now.Sub(state.Back)
+	feed.Away = !state.StoreUnreachableSince.IsZero()
+	if !state.StoreRecoveredAt.IsZero() {
+		feed.Back = now.Sub(state.StoreRecoveredAt)
 	}
-	if !state.Served.IsZero() {
+	if !state.StoreAnsweredAt.IsZero() {
 		// Zero would mean that the time is not known.
-		feed.Served = max(1, now.Sub(state.Served))
+		feed.Served = max(1, now.Sub(state.StoreAnsweredAt))
 	}
 	return feed
 }
 
-// Net calls other instances over the peer connections; it implements Peers.
-type Net struct {
+// PeerClient calls other instances over the peer connections; it implements Peers.
+type PeerClient struct {
 	// Client holds the connections to other instances.
 	Client *peer.Client
 }
 
 // Since requests the changes after a revision from the instance at the address.
-func (n Net) Since(ctx context.Context, address string, request Ask) (relay.Feed, error) {
+func (n PeerClient) Since(ctx context.Context, address string, request Ask) (relay.Feed, error) {
 	feed, err := sinceMethod.Call(ctx, n.Client, instanceAt(address), request)
 	if err == nil && feed.Revision == 0 {
 		return relay.Feed{}, errNoState
@@ -101,12 +101,12 @@
 }
 
 // Tallies requests the tallies of the instance at the address.
-func (n Net) Tallies(ctx context.Context, address string) ([]relay.Tally, error) {
+func (n PeerClient) Tallies(ctx context.Context, address string) ([]relay.Tally, error) {
 	return tallyMethod.Call(ctx, n.Client, instanceAt(address), tallyArgs{})
 }
 
 // OrderAges requests the ages of the roll-out orders from the instance at the address.
-func (n Net) OrderAges(ctx context.Context, address string) ([]relay.OrderAge, error) {
+func (n PeerClient) OrderAges(ctx context.Context, address string) ([]relay.OrderAge, error) {
 	return orderMethod.Call(ctx, n.Client, instanceAt(address), orderArgs{})
 }
 
--- a/io/feeds/ports.go
+++ b/io/feeds/ports.go
@@ -11,20 +11,20 @@
 
 // Errors that the implementations of the store's interfaces return.
 var (
-	// ErrAway is returned when the store did not answer, or answered that it is unavailable.
-	ErrAway = errors.New("store is unreachable")
-	// ErrForgotten is returned when the store no longer has the changes that were asked for.
-	ErrForgotten = errors.New("store no longer has the requested changes")
+	// ErrStoreUnreachable is returned when the store did not answer, or answered that it is unavailable.
+	ErrStoreUnreachable = errors.New("store is unreachable")
+	// ErrHistoryDropped is returned when the store no longer has the changes that were asked for.
+	ErrHistoryDropped = errors.New("store no longer has the requested changes")
 	// ErrConflict is returned when a write's condition does not hold.
 	ErrConflict = errors.New("write condition does not hold")
-	// ErrLapsed is returned when a lease has expired.
-	ErrLapsed = errors.New("lease has expired")
+	// ErrLeaseExpired is returned when a lease has expired.
+	ErrLeaseExpired = errors.New("lease has expired")
 )
 
 // Reader reads the entries of the store.
 type Reader interface {
-	// Image reads a full snapshot of the store.
-	Image(ctx context.Context) (relay.Feed, error)
+	// Snapshot reads a full snapshot of the store.
+	Snapshot(ctx context.Context) (relay.Feed, error)
 	// Changes returns the changes after the revision, and waits up to the time for the first of them; the
 	// error may wrap ErrForgotten.
 	Changes(ctx context.Context, after int64, wait time.Duration) (relay.Feed, error)
@@ -32,10 +32,10 @@
 
 // Leaser holds leases and the instance's entry, which is removed with its lease.
 type Leaser interface {
-	// Lease acquires a lease with the lifetime, and returns its ID.
-	Lease(ctx context.Context, lifetime time.Duration) (int64, error)
-	// Keep renews the lease; the error wraps ErrLapsed when it has expired.
-	Keep(ctx context.Context, lease int64) error
+	// Acquire acquires a lease with the lifetime, and returns its ID.
+	Acquire(ctx context.Context, lifetime time.Duration) (int64, error)
+	// Renew renews the lease; the error wraps ErrLapsed when it has expired.
+	Renew(ctx context.Context, lease int64) error
 	// Release ends the lease before it expires.
 	Release(ctx context.Context, lease int64) error
 	// Register writes the instance's entry under the lease.
--- a/io/feeds/register.go
+++ b/io/feeds/register.go
@@ -22,8 +22,8 @@
 	// Store holds the entry and its lease.
 	Store Leaser
 	Self  relay.Member
-	// Failed is called with the error of each failed call, which is then retried.
-	Failed func(error)
+	// OnError is called with the error of each failed call, which is then retried.
+	OnError func(error)
 }
 
 // Run keeps the entry registered until the context ends, and removes it then.
@@ -37,7 +37,7 @@
 		lease = next
 		pause := memberRenewInterval
 		if err != nil {
-			r.Failed(err)
+			r.OnError(err)
 			pause = jitter(memberRetryPause)
 		}
 		if !clock.Passed(ctx, pause) {
@@ -51,13 +51,13 @@
 // that holds the entry, or zero.
 func (r Registry) renew(ctx context.Context, lease int64) (int64, error) {
 	if lease != 0 {
-		err := r.Store.Keep(ctx, lease)
-		if errors.Is(err, ErrLapsed) {
+		err := r.Store.Renew(ctx, lease)
+		if errors.Is(err, ErrLeaseExpired) {
 			return 0, fmt.Errorf("renew registration lease: %w", err)
 		}
 		return lease, err
 	}
-	lease, err := r.Store.Lease(ctx, memberLeaseTTL)
+	lease, err := r.Store.Acquire(ctx, memberLeaseTTL)
 	if err != nil {
 		return 0, fmt.Errorf("acquire registration lease: %w", err)
 	}
@@ -75,7 +75,7 @@
 	ctx, cancel := context.WithTimeout(ctx, memberRetryPause)
 	defer cancel()
 	if err := r.Store.Release(ctx, lease); err != nil {
-		r.Failed(fmt.Errorf("release registration lease: %w", err))
+		r.OnError(fmt.Errorf("release registration lease: %w", err))
 	}
 	return nil
 }
--- a/io/feeds/rig_test.go
+++ b/io/feeds/rig_test.go
@@ -72,15 +72,15 @@
 		if err := clock.Wait(ctx, time.Second); err != nil {
 			return err
 		}
-		return feeds.ErrAway
+		return feeds.ErrStoreUnreachable
 	}
 	if unreachable {
-		return feeds.ErrAway
+		return feeds.ErrStoreUnreachable
 	}
 	return nil
 }
 
-func (s *fakeStore) Image(ctx context.Context) (relay.Feed, error) {
+func (s *fakeStore) Snapshot(ctx context.Context) (relay.Feed, error) {
 	if err := s.simulateOutage(ctx); err != nil {
 		return relay.Feed{}, err
 	}
@@ -120,7 +120,7 @@
 		compacted := after < s.compactedTo
 		s.mu.Unlock()
 		if compacted {
-			return relay.Feed{}, feeds.ErrForgotten
+			return relay.Feed{}, feeds.ErrHistoryDropped
 		}
 		left := time.Until(deadline)
 		if stalled {
@@ -160,15 +160,15 @@
 	i, ok := f.instances[address]
 	f.mu.Unlock()
 	if !ok {
-		return relay.Feed{}, feeds.ErrAway
+		return relay.Feed{}, feeds.ErrStoreUnreachable
 	}
 	deadline := time.Now().Add(request.Wait)
 	for {
 		s, changed := i.loop.Watch()
 		feed := feeds.LimitFeed(s.Since(revision), request)
-		feed.Away = !s.Away.IsZero()
-		if !s.Back.IsZero() {
-			feed.Back = time.Since(s.Back)
+		feed.Away = !s.StoreUnreachableSince.IsZero()
+		if !s.StoreRecoveredAt.IsZero() {
+			feed.Back = time.Since(s.StoreRecoveredAt)
 		}
 		if s.Revision > revision {
 			if feed.Whole || len(feed.Changes) > 128 {
--- a/io/flow/cascade_test.go
+++ b/io/flow/cascade_test.go
@@ -96,7 +96,7 @@
 		}},
 		RollOuts: []value.RollOut{{Name: "large", Model: "drafting-llm", From: "old", To: "large", CostAbove: 1, MaxCostlyRate: 0.5, Stages: []value.Stage{{Percent: 100}}}},
 	}
-	s, _ := cmds.InstallConfig{Accepted: value.Accepted{Document: d, Revision: 1}}.Apply(state.New(value.Instance{ID: "a"}), time.Time{})
+	s, _ := cmds.InstallConfig{Accepted: value.AcceptedDocument{Document: d, Revision: 1}}.Apply(state.New(value.Instance{ID: "a"}), time.Time{})
 	s = s.WithProgress(value.Progress{Name: "large", Version: large, Phase: value.PhaseDone, Epoch: 1})
 	return s.
 		WithServer(value.BackendServer{ID: "s1", State: value.ServerLive, Versions: []value.VersionKey{small}}).
@@ -180,6 +180,6 @@
 
 func TestRunsOfANewVersionAreCountedOnce(t *testing.T) {
 	o := serve(t, cheap, says(false, nil))
-	assert.DeepEqual(t, o.flow.Drain(), []value.Runs{{Version: large, Total: 1, Costly: 1}})
+	assert.DeepEqual(t, o.flow.Drain(), []value.AttemptCounts{{Version: large, Total: 1, Costly: 1}})
 	assert.Equal(t, len(o.flow.Drain()), 0)
 }
--- a/io/flow/current.go
+++ b/io/flow/current.go
@@ -19,10 +19,10 @@
 // current returns the target, or another one if its version was withdrawn since the request was planned.
 func (r *run) current(t query.Target) (query.Target, error) {
 	s := r.flow.Snapshot()
-	if !query.Retired(s, t) {
+	if !query.IsWithdrawn(s, t) {
 		return t, nil
 	}
-	plan, err := query.Choose(s, r.admitted, r.job.Request, r.flow.Now())
+	plan, err := query.ChoosePlan(s, r.admitted, r.job.Request, r.flow.Now())
 	if err != nil {
 		return t, err
 	}
--- a/io/flow/gate.go
+++ b/io/flow/gate.go
@@ -19,7 +19,7 @@
 type gate struct {
 	flow    *Flow
 	mu      sync.Mutex
-	queue   policy.Fair[value.AccountName, query.Lane, *waiter]
+	queue   policy.FairQueue[value.AccountName, query.Lane, *waiter]
 	waiting atomic.Int64
 }
 
@@ -28,7 +28,7 @@
 	request  value.Request
 	admitted query.Admitted
 	target   query.Target
-	length   query.Length
+	length   query.DurationEstimate
 	rnd      *rand.Rand
 }
 
@@ -83,12 +83,12 @@
 func (g *gate) reserve(s state.State, t query.Target, c query.Choice) (*place, bool) {
 	at := g.flow.Now()
 	ok := g.flow.board.TryUpdate(c.Server.ID, func(l value.Load) (value.Load, bool) {
-		return l.WithStart(t.Long, at), query.HasRoom(s, c.Server.Pool, l, t.Long)
+		return l.WithStart(t.Long, at), query.HasCapacity(s, c.Server.Pool, l, t.Long)
 	})
 	if !ok {
 		return nil, false
 	}
-	g.flow.past.pace(t).Update(query.Pace.WithStart)
+	g.flow.past.pace(t).Update(query.Throughput.WithStart)
 	return &place{gate: g, choice: c, target: t, started: at}, true
 }
 
@@ -100,19 +100,19 @@
 	g.waiting.Store(int64(g.queue.Len()) + 1)
 	defer func() { g.waiting.Store(int64(g.queue.Len())) }()
 	// A request must not pass those that wait for the same target.
-	if !g.queue.Waiting(func(l query.Lane) bool { return l.Serves(q.target) }) {
+	if !g.queue.HasWaiting(func(l query.Lane) bool { return l.Serves(q.target) }) {
 		p, err := g.try(q)
 		if !crowded(err) {
 			return nil, p, err
 		}
 	}
 	s, now := g.flow.Snapshot(), g.flow.Now()
-	line := query.LineOf(s, g.queue, q.admitted, g.flow.past.pace(q.target).Get().PerSecond())
-	if err := query.Wait(s, q.admitted, q.request, q.length, line, now); err != nil {
+	line := query.QueueStateOf(s, g.queue, q.admitted, g.flow.past.pace(q.target).Get().PerSecond())
+	if err := query.CheckWait(s, q.admitted, q.request, q.length, line, now); err != nil {
 		return nil, nil, err
 	}
 	w := &waiter{quest: q, granted: make(chan grant, 1)}
-	g.set(g.queue.With(query.Entry(q.admitted, q.target, q.length, w)))
+	g.set(g.queue.With(query.NewQueueEntry(q.admitted, q.target, q.length, w)))
 	return w, nil, nil
 }
 
@@ -138,12 +138,12 @@
 	}
 	s := g.flow.Snapshot()
 	b, ok := s.Server(id)
-	if !ok || g.flow.board.Load(id).Ejected.After(g.flow.Now()) {
+	if !ok || g.flow.board.Load(id).EjectedUntil.After(g.flow.Now()) {
 		g.serve(g.anywhere)
 		return
 	}
 	g.serve(func(w *waiter) (grant, bool) {
-		choice, ok := query.Takes(s, w.target, b, g.flow.board.Load, g.flow.Now())
+		choice, ok := query.ChooseServer(s, w.target, b, g.flow.board.Load, g.flow.Now())
 		if !ok {
 			return grant{}, false
 		}
@@ -181,7 +181,7 @@
 }
 
 // set is called with the lock held.
-func (g *gate) set(q policy.Fair[value.AccountName, query.Lane, *waiter]) {
+func (g *gate) set(q policy.FairQueue[value.AccountName, query.Lane, *waiter]) {
 	g.queue = q
 	g.waiting.Store(int64(q.Len()))
 }
--- a/io/flow/leg.go
+++ b/io/flow/leg.go
@@ -166,7 +166,7 @@
 
 // hedgeTimer fires when a second run is worth its cost; the returned function stops it.
 func (r *run) hedgeTimer() (<-chan time.Time, func()) {
-	after := query.HedgeAfter(r.flow.Snapshot(), r.admitted.Kind, r.flow.past.history(r.job.Request))
+	after := query.HedgeDelay(r.flow.Snapshot(), r.admitted.Kind, r.flow.past.history(r.job.Request))
 	if after == 0 || r.attempts >= r.admitted.Kind.MaxAttempts {
 		return nil, func() {}
 	}
--- a/io/flow/observe.go
+++ b/io/flow/observe.go
@@ -17,13 +17,13 @@
 }
 
 // Drain returns the runs counted since the last call, for an ObserveRuns command.
-func (f *Flow) Drain() []value.Runs {
-	var list []value.Runs
+func (f *Flow) Drain() []value.AttemptCounts {
+	var list []value.AttemptCounts
 	f.tally.cells.Range(func(_, c any) bool {
-		var runs value.Runs
-		c.(*policy.Cell[value.Runs]).Update(func(was value.Runs) value.Runs {
+		var runs value.AttemptCounts
+		c.(*policy.Cell[value.AttemptCounts]).Update(func(was value.AttemptCounts) value.AttemptCounts {
 			runs = was
-			return value.Runs{Version: was.Version}
+			return value.AttemptCounts{Version: was.Version}
 		})
 		if runs.Total > 0 {
 			list = append(list, runs)
@@ -41,9 +41,9 @@
 	}
 	slow := plan.SlowAfter > 0 && r.flow.Now().Sub(began) > plan.SlowAfter
 	costly := plan.CostAbove > 0 && r.price(k, u) > plan.CostAbove
-	c, _ := r.flow.tally.cells.LoadOrStore(k, policy.NewCell(value.Runs{Version: k}))
-	c.(*policy.Cell[value.Runs]).Update(func(was value.Runs) value.Runs {
-		return was.WithRun(err != nil, slow, costly)
+	c, _ := r.flow.tally.cells.LoadOrStore(k, policy.NewCell(value.AttemptCounts{Version: k}))
+	c.(*policy.Cell[value.AttemptCounts]).Update(func(was value.AttemptCounts) value.AttemptCounts {
+		return was.WithAttempt(err != nil, slow, costly)
 	})
 }
 
--- a/io/flow/past.go
+++ b/io/flow/past.go
@@ -15,7 +15,7 @@
 	paces   sync.Map
 	// accounts counts the requests in flight of each client account.
 	accounts sync.Map
-	typical  policy.Cell[query.Typical]
+	typical  policy.Cell[query.MedianDuration]
 	retries  policy.Cell[policy.Budget]
 	hedges   policy.Cell[policy.Budget]
 }
@@ -38,32 +38,32 @@
 	return cellOf[query.History](&p.classes, query.ClassOf(r)).Get()
 }
 
-func (p *past) expect(r value.Request) query.Length {
-	return query.Expect(p.history(r), p.typical.Get())
+func (p *past) expect(r value.Request) query.DurationEstimate {
+	return query.EstimateDuration(p.history(r), p.typical.Get())
 }
 
 func (p *past) sawFirst(r value.Request, after time.Duration) {
 	cellOf[query.History](&p.classes, query.ClassOf(r)).Update(func(h query.History) query.History {
-		return h.WithFirst(after)
+		return h.WithFirstToken(after)
 	})
 }
 
 func (p *past) sawRun(r value.Request, took time.Duration, at time.Time) {
 	cellOf[query.History](&p.classes, query.ClassOf(r)).Update(func(h query.History) query.History {
-		return h.WithRun(took, at)
+		return h.WithAttempt(took, at)
 	})
-	p.typical.Update(func(t query.Typical) query.Typical { return t.WithRun(took) })
+	p.typical.Update(func(t query.MedianDuration) query.MedianDuration { return t.WithAttempt(took) })
 }
 
-func (p *past) pace(t query.Target) *policy.Cell[query.Pace] {
-	return cellOf[query.Pace](&p.paces, served{t.Version, t.Service})
+func (p *past) pace(t query.Target) *policy.Cell[query.Throughput] {
+	return cellOf[query.Throughput](&p.paces, served{t.Version, t.Service})
 }
 
 // enter counts a request of the client account in flight, unless the account has its most.
 func (p *past) enter(a value.ClientAccount) error {
 	var refused error
 	cellOf[int](&p.accounts, a.Name).TryUpdate(func(n int) (int, bool) {
-		refused = query.Within(a, n)
+		refused = query.CheckInFlightLimit(a, n)
 		return n + 1, refused == nil
 	})
 	return refused
--- a/io/flow/place.go
+++ b/io/flow/place.go
@@ -25,7 +25,7 @@
 		f := p.gate.flow
 		id := p.choice.Server.ID
 		f.board.Update(id, func(l value.Load) value.Load { return l.WithEnd(p.target.Long, p.started) })
-		f.past.pace(p.target).Update(query.Pace.WithEnd)
+		f.past.pace(p.target).Update(query.Throughput.WithEnd)
 		p.gate.served(id)
 	})
 }
@@ -35,13 +35,13 @@
 	f := p.gate.flow
 	s, now := f.Snapshot(), f.Now()
 	b := p.choice.Server
-	limits, bounded := query.Limits(s, b.Pool)
+	limits, bounded := query.LimiterFor(s, b.Pool)
 	normal := r.perUnit(after)
 	f.board.Update(b.ID, func(l value.Load) value.Load {
 		if bounded {
 			l = l.WithLimiter(l.Limiter.WithSample(limits, normal, l.InFlight))
 		}
-		return l.WithFirst(query.FirstSmooth, p.started, now, normal)
+		return l.WithFirstByte(query.FirstTokenSmoothing, p.started, now, normal)
 	})
 	p.judge(r)
 }
@@ -58,7 +58,7 @@
 	}
 	now := f.Now()
 	f.board.Update(p.choice.Server.ID, func(l value.Load) value.Load {
-		return l.WithFirst(query.FirstSmooth, p.started, now, normal)
+		return l.WithFirstByte(query.FirstTokenSmoothing, p.started, now, normal)
 	})
 	p.judge(r)
 }
@@ -67,7 +67,7 @@
 func (p *place) sawFailure(r *run, err error) {
 	f := p.gate.flow
 	b := p.choice.Server
-	limits, bounded := query.Limits(f.Snapshot(), b.Pool)
+	limits, bounded := query.LimiterFor(f.Snapshot(), b.Pool)
 	var status engine.BadStatus
 	overloaded := errors.As(err, &status) && status.Overloaded()
 	f.board.Update(b.ID, func(l value.Load) value.Load {
--- a/io/flow/poll_test.go
+++ b/io/flow/poll_test.go
@@ -41,7 +41,7 @@
 		board := g.flow.Board()
 		assert.Equal(t, board.Load("s3").ReportedQueue, 4)
 		assert.Equal(t, board.Load("s4").ReportedQueue, 7)
-		assert.Assert(t, board.Load("s1").Reported.IsZero() && board.Load("s2").Reported.IsZero())
+		assert.Assert(t, board.Load("s1").ReportedAt.IsZero() && board.Load("s2").ReportedAt.IsZero())
 	})
 }
 
@@ -52,6 +52,6 @@
 		ctx, stop := context.WithTimeout(t.Context(), 3500*time.Millisecond)
 		defer stop()
 		g.flow.Poll(ctx, flow.PollConfig{From: gauges{"desk": 4}, Every: time.Second, Batch: 2})
-		assert.Assert(t, g.flow.Board().Load("desk").Reported.IsZero())
+		assert.Assert(t, g.flow.Board().Load("desk").ReportedAt.IsZero())
 	})
 }
--- a/io/flow/rig_test.go
+++ b/io/flow/rig_test.go
@@ -51,7 +51,7 @@
 func newRig(t *testing.T, d value.Document, acts map[value.ServerID][]act) *rig {
 	t.Helper()
 	g := &rig{acts: acts, runs: make(map[value.ServerID]int)}
-	s, _ := cmds.InstallConfig{Accepted: value.Accepted{Document: d, Revision: 1}}.Apply(state.New(value.Instance{ID: "a"}), time.Now())
+	s, _ := cmds.InstallConfig{Accepted: value.AcceptedDocument{Document: d, Revision: 1}}.Apply(state.New(value.Instance{ID: "a"}), time.Now())
 	g.control = s
 	for id := range acts {
 		g.control = withServers(g.control, id)
--- a/io/flow/run.go
+++ b/io/flow/run.go
@@ -21,7 +21,7 @@
 	life     life
 	rnd      *rand.Rand
 	admitted query.Admitted
-	length   query.Length
+	length   query.DurationEstimate
 	tried    []value.ServerID
 	attempts int
 	// sends counts the runs that a backend server may have received.
@@ -66,7 +66,7 @@
 	if !r.admitted.Kind.Idempotent {
 		return r.executeOnce(ctx)
 	}
-	if query.Shares(r.admitted.Kind, r.job.Request) {
+	if query.CanShare(r.admitted.Kind, r.job.Request) {
 		return r.executeShared(ctx)
 	}
 	return r.execute(ctx)
@@ -145,7 +145,7 @@
 		target.Service = r.admitted.Kind.Service
 		return target, r.life.move(ctx, eventPlan)
 	}
-	plan, err := query.Choose(r.flow.Snapshot(), r.admitted, r.job.Request, r.flow.Now())
+	plan, err := query.ChoosePlan(r.flow.Snapshot(), r.admitted, r.job.Request, r.flow.Now())
 	if err != nil {
 		return query.Target{}, err
 	}
@@ -192,7 +192,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if query.Retired(r.flow.Snapshot(), t) {
+	if query.IsWithdrawn(r.flow.Snapshot(), t) {
 		p.free()
 		return nil, errRetired
 	}
@@ -213,14 +213,14 @@
 	if r.admitted.Kind.Priority == value.PriorityDraft {
 		return nil
 	}
-	return query.StillUseful(r.job.Request, r.length, r.flow.Now())
+	return query.CheckDeadline(r.job.Request, r.length, r.flow.Now())
 }
 
 func (r *run) sawWhole(l *leg) {
 	now := r.flow.Now()
 	took := now.Sub(l.place.started)
 	r.flow.past.sawRun(r.job.Request, took, now)
-	r.flow.past.pace(l.place.target).Update(func(p query.Pace) query.Pace { return p.WithRun(took, now) })
+	r.flow.past.pace(l.place.target).Update(func(p query.Throughput) query.Throughput { return p.WithAttempt(took, now) })
 }
 
 // perUnit turns the time to a first piece into that of a typical run: the first piece of an answer
@@ -237,11 +237,11 @@
 	if errors.As(err, &refusal) || ctx.Err() != nil || atFault(err) {
 		return false
 	}
-	failed := query.Failed{Sent: r.sends > 0, Begun: r.begun, Attempts: r.attempts}
-	if !query.Retry(r.admitted.Kind, r.job.Request, failed, r.flow.Now()) {
+	failed := query.FailedAttempt{Sent: r.sends > 0, AnswerStarted: r.begun, Attempts: r.attempts}
+	if !query.CanRetry(r.admitted.Kind, r.job.Request, failed, r.flow.Now()) {
 		return false
 	}
-	if query.RetryCosts(failed) && !spend(&r.flow.past.retries, query.RetryBudget(r.flow.Snapshot())) {
+	if query.UsesRetryBudget(failed) && !spend(&r.flow.past.retries, query.RetryBudget(r.flow.Snapshot())) {
 		r.record(r.decision(value.StepRetry).WithReason(value.ReasonBudgetSpent, err.Error()))
 		return false
 	}
--- a/io/flow/settle.go
+++ b/io/flow/settle.go
@@ -168,7 +168,7 @@
 // refused turns any error into a refusal whose NotRun is true only when nothing was dispatched.
 func (r *run) refused(ctx context.Context, err error) error {
 	refusal := r.asRefusal(err)
-	refusal = refusal.WithNotRun(r.sends == 0 && !query.RanBefore(refusal.Reason))
+	refusal = refusal.WithNotRun(r.sends == 0 && !query.MeansEarlierRun(refusal.Reason))
 	r.record(r.decision(value.StepRefuse).WithReason(refusal.Reason, refusal.Detail))
 	if moveErr := r.life.move(context.WithoutCancel(ctx), eventRefuse); moveErr != nil {
 		return errors.Join(refusal, moveErr)
--- a/io/flow/site_test.go
+++ b/io/flow/site_test.go
@@ -45,7 +45,7 @@
 
 func (s site) state(i int, d value.Document) state.State {
 	self := value.Instance{ID: instanceName(i), State: value.InstanceLive, FailureDomain: s.domain(i)}
-	c, _ := cmds.InstallConfig{Accepted: value.Accepted{Document: d, Revision: 1}}.Apply(state.New(self), time.Now())
+	c, _ := cmds.InstallConfig{Accepted: value.AcceptedDocument{Document: d, Revision: 1}}.Apply(state.New(self), time.Now())
 	for j := range s.instances {
 		c = c.WithInstance(value.Instance{ID: instanceName(j), State: value.InstanceLive, FailureDomain: s.domain(j)})
 	}
--- a/io/flow/slope_test.go
+++ b/io/flow/slope_test.go
@@ -61,7 +61,7 @@
 	b.Helper()
 	d := ward(spelling)
 	d.Pools[0].MaxInFlight = 8
-	s, _ := cmds.InstallConfig{Accepted: value.Accepted{Document: d, Revision: 1}}.Apply(state.New(value.Instance{ID: "a"}), time.Now())
+	s, _ := cmds.InstallConfig{Accepted: value.AcceptedDocument{Document: d, Revision: 1}}.Apply(state.New(value.Instance{ID: "a"}), time.Now())
 	for i := range servers {
 		s = withServers(s, value.ServerID(fmt.Sprintf("replica-%05d", i)))
 	}
--- a/io/front/front_test.go
+++ b/io/front/front_test.go
@@ -58,7 +58,7 @@
 	signer, err := front.NewSigner(key(1))
 	assert.NilError(t, err)
 	sum := sha256.Sum256([]byte("secret"))
-	snapshot := state.New(value.Instance{ID: "i-1"}).WithConfig(value.Accepted{Revision: 1, Document: value.Document{
+	snapshot := state.New(value.Instance{ID: "i-1"}).WithConfig(value.AcceptedDocument{Revision: 1, Document: value.Document{
 		Kinds: []value.Kind{{Name: "spelling", Model: "m", Deadline: time.Minute, MaxTokens: 50}},
 	}})
 	f, err := front.New(front.Config{
--- a/io/gossip/gossip.go
+++ b/io/gossip/gossip.go
@@ -42,7 +42,7 @@
 	// Decode turns the entries that changed, in the order of revisions, into what is to be put in
 	// force. Where it returns an error, the command holds what could be decoded. The command's own
 	// revision is set from the entries.
-	Decode func(changed []plat.Entry) (cmds.Spread, error)
+	Decode func(changed []plat.Entry) (cmds.InstallRevision, error)
 	Timing fleet.Timing
 	// ListEvery is how often the instance list is read; zero means the default.
 	ListEvery time.Duration
@@ -90,7 +90,7 @@
 		return errors.New("gossip: no instance list")
 	case c.Store == nil || c.Decode == nil:
 		return errors.New("gossip: no configuration store")
-	case c.Timing.Period <= 0 || c.Timing.Rotation <= 0 || c.Timing.Reconnect < 1:
+	case c.Timing.Period <= 0 || c.Timing.Rotation <= 0 || c.Timing.ProbesPerReconnect < 1:
 		return errors.New("gossip: incomplete timing")
 	}
 	return nil
@@ -99,11 +99,11 @@
 // Handle takes an effect of the control loop that concerns the fleet; it never blocks.
 func (g *Gossip) Handle(e state.Effect) {
 	switch e := e.(type) {
-	case state.Announce:
+	case state.AnnounceConfig:
 		signal(g.push)
-	case state.Farewell:
+	case state.SendDepartureNotice:
 		signal(g.farewell)
-	case state.Behind:
+	case state.FetchConfig:
 		g.spread.want(e)
 	}
 }
--- a/io/gossip/member.go
+++ b/io/gossip/member.go
@@ -109,7 +109,7 @@
 	if err != nil {
 		return
 	}
-	_ = m.Control.Do(ctx, cmds.Heard{From: roll.From.value(), News: decodeNews(roll.News), Roll: true})
+	_ = m.Control.Do(ctx, cmds.ReceiveMessage{From: roll.From.value(), Updates: decodeNews(roll.News), IsMembershipList: true})
 }
 
 // bid tells the whole view at once that the instance is leaving.
@@ -132,7 +132,7 @@
 }
 
 func (m *member) hear(ctx context.Context, p wirePing) error {
-	if err := m.Control.Do(ctx, cmds.Heard{From: p.From.value(), News: decodeNews(p.News)}); err != nil {
+	if err := m.Control.Do(ctx, cmds.ReceiveMessage{From: p.From.value(), Updates: decodeNews(p.News)}); err != nil {
 		return fmt.Errorf("take in message: %w", err)
 	}
 	return nil
--- a/io/gossip/probe.go
+++ b/io/gossip/probe.go
@@ -23,7 +23,7 @@
 	if !ok || m.reach(ctx, target) {
 		return nil
 	}
-	if ctx.Err() != nil || m.Timing.Overslept(begun, time.Now()) {
+	if ctx.Err() != nil || m.Timing.WasPausedDuringProbe(begun, time.Now()) {
 		return nil
 	}
 	if err := m.Control.Do(ctx, cmds.Suspect{ID: target.ID, Incarnation: target.Incarnation}); err != nil {
@@ -39,10 +39,10 @@
 		return true
 	}
 	if errors.Is(err, errReplaced) {
-		_ = m.Control.Do(ctx, cmds.Replaced{ID: target.ID})
+		_ = m.Control.Do(ctx, cmds.MarkReplaced{ID: target.ID})
 		return true
 	}
-	helpers := query.Helpers(m.Control.Snapshot(), m.Timing, target.ID, m.rnd, time.Now())
+	helpers := query.IndirectProbers(m.Control.Snapshot(), m.Timing, target.ID, m.rnd, time.Now())
 	// A helper needs the time of its own probe and of the way there and back.
 	ctx, cancel := context.WithTimeout(ctx, 2*m.Timing.Timeout)
 	defer cancel()
@@ -85,14 +85,14 @@
 }
 
 // message returns what the instance tells another one, and the command that counts it.
-func (m *member) message(to value.InstanceID) (wirePing, cmds.Passed) {
+func (m *member) message(to value.InstanceID) (wirePing, cmds.CountSentUpdates) {
 	s := m.Control.Snapshot()
-	news := query.News(s, m.Timing, to)
+	news := query.Updates(s, m.Timing, to)
 	ids := make([]value.InstanceID, 0, len(news))
 	for _, n := range news {
 		ids = append(ids, n.ID)
 	}
-	return wirePing{From: encodeSelf(s.Self), News: encodeNews(news)}, cmds.Passed{IDs: ids}
+	return wirePing{From: encodeSelf(s.Self), News: encodeNews(news)}, cmds.CountSentUpdates{IDs: ids}
 }
 
 // answerPing replies only after the message is taken in, so that the sender learns a refutation at once.
--- a/io/gossip/reader.go
+++ b/io/gossip/reader.go
@@ -28,7 +28,7 @@
 	defer func() { stop() }()
 	watching := false
 	for {
-		reads := query.Reads(s.Control.Snapshot(), s.Timing)
+		reads := query.IsConfigReader(s.Control.Snapshot(), s.Timing)
 		if reads && !watching {
 			stop = s.startWatch(ctx)
 		}
@@ -96,7 +96,7 @@
 	}
 	if have := s.held.Get().revision; listing.Revision < have {
 		// The command only leaves a log line: the service answers from an older state.
-		if err := s.Control.Do(ctx, cmds.Spread{Revision: listing.Revision}); err != nil {
+		if err := s.Control.Do(ctx, cmds.InstallRevision{Revision: listing.Revision}); err != nil {
 			return 0, fmt.Errorf("report old state: %w", err)
 		}
 		// Its next changes are followed from here; older ones are ignored one by one.
--- a/io/gossip/rig_test.go
+++ b/io/gossip/rig_test.go
@@ -130,8 +130,8 @@
 	return out, nil
 }
 
-func decode(changed []plat.Entry) (cmds.Spread, error) {
-	var c cmds.Spread
+func decode(changed []plat.Entry) (cmds.InstallRevision, error) {
+	var c cmds.InstallRevision
 	var failed error
 	for _, e := range changed {
 		text := string(e.Value)
@@ -140,7 +140,7 @@
 			continue
 		}
 		if strings.HasSuffix(e.Key, "document") {
-			c.Accepted = value.Accepted{Document: value.Document{Name: text}, Digest: digest(text), Revision: e.Revision}
+			c.Accepted = value.AcceptedDocument{Document: value.Document{Name: text}, Digest: digest(text), Revision: e.Revision}
 			continue
 		}
 		c.RollOuts = append(c.RollOuts, value.Progress{Name: value.RollOutName(e.Key), Reason: text})
@@ -162,7 +162,7 @@
 	stop   func()
 
 	mu      sync.Mutex
-	decided []state.Decided
+	decided []state.RecordDecision
 }
 
 type rig struct {
@@ -245,7 +245,7 @@
 func (p *process) work() {
 	for e := range p.loop.Effects() {
 		p.gossip.Handle(e)
-		if d, ok := e.(state.Decided); ok {
+		if d, ok := e.(state.RecordDecision); ok {
 			p.mu.Lock()
 			p.decided = append(p.decided, d)
 			p.mu.Unlock()
@@ -258,7 +258,7 @@
 	defer p.mu.Unlock()
 	n := 0
 	for _, d := range p.decided {
-		if d.What == what {
+		if d.Event == what {
 			n++
 		}
 	}
--- a/io/gossip/spread.go
+++ b/io/gossip/spread.go
@@ -50,7 +50,7 @@
 	rnd    *source
 	listed <-chan struct{}
 	held   policy.Cell[bundle]
-	wanted chan state.Behind
+	wanted chan state.FetchConfig
 	// installing is held by the one goroutine that puts entries in force.
 	installing chan struct{}
 	serving    chan struct{}
@@ -61,7 +61,7 @@
 		Config:     c,
 		rnd:        rnd,
 		listed:     listed,
-		wanted:     make(chan state.Behind, 1),
+		wanted:     make(chan state.FetchConfig, 1),
 		installing: make(chan struct{}, 1),
 		serving:    make(chan struct{}, pullsServed),
 	}
@@ -79,7 +79,7 @@
 }
 
 // want keeps the latest wish, as each probe repeats it for as long as the instance lags.
-func (s *spread) want(b state.Behind) {
+func (s *spread) want(b state.FetchConfig) {
 	select {
 	case s.wanted <- b:
 	default:
@@ -99,7 +99,7 @@
 
 // catchUp fetches from the instance that told of the revision, then from others, and from the
 // service only after a long lag, so that the fleet never turns to it all at once.
-func (s *spread) catchUp(ctx context.Context, b state.Behind) {
+func (s *spread) catchUp(ctx context.Context, b state.FetchConfig) {
 	if b.Revision <= s.held.Get().revision {
 		return
 	}
@@ -111,7 +111,7 @@
 			return
 		}
 	}
-	lagging := snapshot.Self.Lagging
+	lagging := snapshot.Self.LaggingSince
 	if !lagging.IsZero() && time.Since(lagging) > directAfter {
 		_, _ = s.read(ctx)
 	}
--- a/io/gossip/spread_test.go
+++ b/io/gossip/spread_test.go
@@ -134,7 +134,7 @@
 			s := p.loop.Snapshot()
 			assert.Equal(t, s.Config.Document.Name, "good")
 			assert.Equal(t, s.Self.Digest, digest("good"))
-			assert.Assert(t, !s.Self.Lagging.IsZero())
+			assert.Assert(t, !s.Self.LaggingSince.IsZero())
 			assert.Equal(t, p.logged("ConfigRejected"), 1)
 			progress, _ := s.Progress(testPrefix + "rollouts/big")
 			assert.Equal(t, progress.Reason, "stage 2")
@@ -143,7 +143,7 @@
 		time.Sleep(5 * time.Second)
 		for _, p := range r.processes {
 			assert.Equal(t, p.loop.Snapshot().Config.Document.Name, "good again")
-			assert.Assert(t, p.loop.Snapshot().Self.Lagging.IsZero())
+			assert.Assert(t, p.loop.Snapshot().Self.LaggingSince.IsZero())
 		}
 	})
 }
@@ -160,7 +160,7 @@
 		paused.port.Resume()
 		time.Sleep(5 * time.Second)
 		assert.Equal(t, r.inForce(7), 12)
-		assert.Assert(t, paused.loop.Snapshot().Self.Lagging.IsZero())
+		assert.Assert(t, paused.loop.Snapshot().Self.LaggingSince.IsZero())
 	})
 }
 
@@ -170,7 +170,7 @@
 		time.Sleep(5 * time.Second)
 		killed := 0
 		for _, p := range slices.Clone(r.processes) {
-			if query.Reads(p.loop.Snapshot(), r.timing) {
+			if query.IsConfigReader(p.loop.Snapshot(), r.timing) {
 				r.kill(p)
 				killed++
 			}
--- a/io/gossip/survey.go
+++ b/io/gossip/survey.go
@@ -51,7 +51,7 @@
 		return i
 	}
 	told := answer.value()
-	return i.WithRevision(told.Revision).WithDigest(told.Digest).WithLagging(told.Lagging)
+	return i.WithRevision(told.Revision).WithDigest(told.Digest).WithLaggingSince(told.LaggingSince)
 }
 
 func (m *member) answerWhere(wireWhere) (wireSelf, error) {
--- a/io/gossip/wire.go
+++ b/io/gossip/wire.go
@@ -70,11 +70,11 @@
 }
 
 func encodeSelf(i value.Instance) wireSelf {
-	return wireSelf{Instance: encodeInstance(i), Revision: i.Revision, Digest: i.Digest, Lagging: i.Lagging}
+	return wireSelf{Instance: encodeInstance(i), Revision: i.Revision, Digest: i.Digest, Lagging: i.LaggingSince}
 }
 
 func (w wireSelf) value() value.Instance {
-	return w.Instance.value().WithRevision(w.Revision).WithDigest(w.Digest).WithLagging(w.Lagging)
+	return w.Instance.value().WithRevision(w.Revision).WithDigest(w.Digest).WithLaggingSince(w.Lagging)
 }
 
 func encodeNews(list []value.Instance) []wireInstance {
--- a/io/lease/hold.go
+++ b/io/lease/hold.go
@@ -26,7 +26,7 @@
 // holding is a lease that this instance was granted, with the duty's key under it.
 type holding struct {
 	lease  plat.LeaseID
-	tenure *policy.Cell[fleet.Tenure]
+	tenure *policy.Cell[fleet.HeldLease]
 }
 
 // take grants a lease and puts the duty's key under it; the key's revision is the fencing token.
@@ -48,7 +48,7 @@
 		r.revoke(ctx, id)
 		return holding{}, fmt.Errorf("take duty %s: %w", duty, err)
 	}
-	return holding{lease: id, tenure: policy.NewCell(fleet.NewTenure(r.Rule, fence, sent))}, nil
+	return holding{lease: id, tenure: policy.NewCell(fleet.NewHeldLease(r.Rule, fence, sent))}, nil
 }
 
 // readBack finds out whether a swap whose answer was lost took effect.
@@ -80,7 +80,7 @@
 	stop()
 	ended.Wait()
 	// Whoever still has the term must not act on it while the next holder does.
-	h.tenure.Update(fleet.Tenure.WithEnd)
+	h.tenure.Update(fleet.HeldLease.WithEnd)
 	r.record("DutyLeft", d.Name, why.Get())
 	r.revoke(context.WithoutCancel(ctx), h.lease)
 	if err != nil && !errors.Is(err, context.Canceled) {
@@ -92,7 +92,7 @@
 // renew keeps the lease alive, and ends the duty before the lease can lapse.
 func (r *Runner) renew(ctx context.Context, h holding, end func(value.Reason)) {
 	for {
-		left := h.tenure.Get().Left(time.Now())
+		left := h.tenure.Get().Remaining(time.Now())
 		if left <= 0 {
 			end(ReasonEnded)
 			return
@@ -109,7 +109,7 @@
 }
 
 func (r *Runner) renewOnce(ctx context.Context, h holding) error {
-	left := h.tenure.Get().Left(time.Now())
+	left := h.tenure.Get().Remaining(time.Now())
 	ctx, cancel := context.WithTimeout(ctx, min(r.Rule.Renew, max(left, 0)))
 	defer cancel()
 	sent := time.Now()
@@ -117,7 +117,7 @@
 	if err != nil {
 		return fmt.Errorf("renew lease: %w", err)
 	}
-	h.tenure.Update(func(t fleet.Tenure) fleet.Tenure {
+	h.tenure.Update(func(t fleet.HeldLease) fleet.HeldLease {
 		return t.WithRenewal(r.Rule, sent, granted, time.Now())
 	})
 	return nil
@@ -147,5 +147,5 @@
 }
 
 func (r *Runner) record(what, duty string, why value.Reason) {
-	r.Record(state.Decided{What: what, Subject: duty, Reason: why})
+	r.Record(state.RecordDecision{Event: what, Subject: duty, Reason: why})
 }
--- a/io/lease/lease_test.go
+++ b/io/lease/lease_test.go
@@ -230,8 +230,8 @@
 func TestUnsafeRulesAreRefused(t *testing.T) {
 	late, long, hasty := rule, rule, rule
 	late.Renew = late.Length
-	long.Order = long.Length
-	hasty.Quiet = 0
+	long.MaxOrderTime = long.Length
+	hasty.TakeoverDelay = 0
 	for _, bad := range []fleet.LeaseRule{{}, late, long, hasty} {
 		assert.Assert(t, bad.Check() != nil)
 	}
--- a/io/lease/order.go
+++ b/io/lease/order.go
@@ -68,7 +68,7 @@
 }
 
 func (o Orders) reached(ctx context.Context, t Term, g Goal) (bool, error) {
-	ctx, cancel := context.WithTimeout(ctx, t.rule.Order)
+	ctx, cancel := context.WithTimeout(ctx, t.rule.MaxOrderTime)
 	defer cancel()
 	carried, err := o.Commander.Carried(ctx, g.Server)
 	if err != nil {
@@ -79,7 +79,7 @@
 
 // send checks the term as late as possible and bounds the order by it.
 func (o Orders) send(ctx context.Context, t Term, g Goal) error {
-	ctx, cancel := context.WithTimeout(ctx, t.rule.Order)
+	ctx, cancel := context.WithTimeout(ctx, t.rule.MaxOrderTime)
 	defer cancel()
 	if !t.MayOrder(time.Now()) {
 		return fmt.Errorf("order %s: %w", g.Server.ID, ErrTermEnded)
--- a/io/lease/order_test.go
+++ b/io/lease/order_test.go
@@ -70,7 +70,7 @@
 		assert.NilError(t, err)
 		assert.Equal(t, len(s.orders), 1)
 		assert.Assert(t, s.orders[0].Fence > 0)
-		assert.Assert(t, s.times[0].Sub(begun) >= rule.Quiet)
+		assert.Assert(t, s.times[0].Sub(begun) >= rule.TakeoverDelay)
 	})
 }
 
--- a/io/lease/placer.go
+++ b/io/lease/placer.go
@@ -16,14 +16,14 @@
 type PlacerConfig struct {
 	Snapshot func() state.State
 	// Wants returns the demand and the sessions of the moment; its Loads are set from the weight store.
-	Wants   func() query.Wants
+	Wants   func() query.PlacementDemand
 	Weights plat.WeightStore
 	Orders  Orders
-	Rule    query.PlaceRule
+	Rule    query.PlacementRule
 	// Every is the time between passes.
 	Every time.Duration
 	// Record takes each placement decision.
-	Record func(state.Decided)
+	Record func(state.RecordDecision)
 }
 
 // NewPlacement returns the duty that brings backend servers to what is wanted of them.
@@ -60,12 +60,12 @@
 		// Without the weight store only unloads are possible.
 		loads = 0
 	}
-	wants.Loads = loads
+	wants.MaxLoads = loads
 	s := p.Snapshot()
-	for _, o := range query.Place(s, p.Rule, wants) {
+	for _, o := range query.PlanPlacement(s, p.Rule, wants) {
 		pool, _ := s.Pool(o.Server.Pool)
-		p.Record(state.Decided{What: what(o), Subject: string(o.Version) + " at " + string(o.Server.ID), Reason: o.Reason})
-		goal := Goal{Server: o.Server, Version: o.Version, Carry: o.Carry, Fencing: pool.Fencing}
+		p.Record(state.RecordDecision{Event: what(o), Subject: string(o.Version) + " at " + string(o.Server.ID), Reason: o.Reason})
+		goal := Goal{Server: o.Server, Version: o.Version, Carry: o.Load, Fencing: pool.Fencing}
 		if err := p.Orders.Reach(ctx, t, goal); err != nil {
 			return err
 		}
@@ -74,7 +74,7 @@
 }
 
 func what(o query.Placement) string {
-	if o.Carry {
+	if o.Load {
 		return "PlacementLoad"
 	}
 	return "PlacementUnload"
--- a/io/lease/placer_test.go
+++ b/io/lease/placer_test.go
@@ -21,22 +21,22 @@
 	return 1, w.err
 }
 
-func placement(t *testing.T, w plat.WeightStore, s *server, logged *[]state.Decided) lease.Duty {
+func placement(t *testing.T, w plat.WeightStore, s *server, logged *[]state.RecordDecision) lease.Duty {
 	t.Helper()
 	document := value.Document{
 		Models: []value.Model{{Name: "m", Versions: []value.Version{{Name: "v1", Pool: "p"}}}},
 		Pools:  []value.Pool{{Name: "p"}},
 	}
-	snapshot := state.New(member(0)).WithConfig(value.Accepted{Document: document, Revision: 1}).
+	snapshot := state.New(member(0)).WithConfig(value.AcceptedDocument{Document: document, Revision: 1}).
 		WithServer(value.BackendServer{ID: "s1", Pool: "p", State: value.ServerLive})
 	d, err := lease.NewPlacement(lease.PlacerConfig{
 		Snapshot: func() state.State { return snapshot },
-		Wants:    func() query.Wants { return query.Wants{} },
+		Wants:    func() query.PlacementDemand { return query.PlacementDemand{} },
 		Weights:  w,
 		Orders:   lease.Orders{Commander: s},
-		Rule:     query.PlaceRule{VersionsPerServer: 2, Domains: 2},
+		Rule:     query.PlacementRule{VersionsPerServer: 2, Domains: 2},
 		Every:    10 * time.Second,
-		Record:   func(d state.Decided) { *logged = append(*logged, d) },
+		Record:   func(d state.RecordDecision) { *logged = append(*logged, d) },
 	})
 	assert.NilError(t, err)
 	return d
@@ -45,7 +45,7 @@
 func TestPlacementGivesEachOrderOnceAndLogsIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := new(server)
-		var logged []state.Decided
+		var logged []state.RecordDecision
 		err := inTerm(t, func(ctx context.Context, term lease.Term) error {
 			ctx, cancel := context.WithTimeout(ctx, time.Minute)
 			defer cancel()
@@ -53,7 +53,7 @@
 		})
 		assert.ErrorIs(t, err, context.DeadlineExceeded)
 		assert.Equal(t, len(s.orders), 1)
-		assert.Equal(t, logged[0].What, "PlacementLoad")
+		assert.Equal(t, logged[0].Event, "PlacementLoad")
 		assert.Equal(t, logged[0].Reason, query.ReasonNoCarrier)
 	})
 }
@@ -61,7 +61,7 @@
 func TestPlacementLoadsNothingWhileTheWeightStoreIsAway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := new(server)
-		var logged []state.Decided
+		var logged []state.RecordDecision
 		err := inTerm(t, func(ctx context.Context, term lease.Term) error {
 			ctx, cancel := context.WithTimeout(ctx, time.Minute)
 			defer cancel()
--- a/io/lease/runner.go
+++ b/io/lease/runner.go
@@ -45,7 +45,7 @@
 	Rule   fleet.LeaseRule
 	Duties []Duty
 	// Record takes each change of a duty's holder; nil means none.
-	Record func(state.Decided)
+	Record func(state.RecordDecision)
 	Seed   uint64
 }
 
@@ -65,7 +65,7 @@
 		return nil, err
 	}
 	if c.Record == nil {
-		c.Record = func(state.Decided) {}
+		c.Record = func(state.RecordDecision) {}
 	}
 	return &Runner{Config: c, rnd: rand.New(rand.NewPCG(c.Seed, 2))}, nil
 }
@@ -101,7 +101,7 @@
 func (r *Runner) awaitCandidacy(ctx context.Context, duty string) bool {
 	for ctx.Err() == nil {
 		s, changed := r.Observer.Watch()
-		if query.MayServe(s, duty, time.Now()) {
+		if query.IsDutyCandidate(s, duty, time.Now()) {
 			return true
 		}
 		select {
--- a/io/lease/term.go
+++ b/io/lease/term.go
@@ -14,7 +14,7 @@
 // Term is one instance's time in a duty.
 type Term struct {
 	rule   fleet.LeaseRule
-	tenure *policy.Cell[fleet.Tenure]
+	tenure *policy.Cell[fleet.HeldLease]
 }
 
 // Fence returns the fencing token, which grows with each holder of the duty.
@@ -29,10 +29,10 @@
 
 // MayOrder reports whether an order to a backend server, begun now, ends well inside the term.
 func (t Term) MayOrder(now time.Time) bool {
-	return t.tenure.Get().MayOrder(t.rule, now)
+	return t.tenure.Get().CanSendOrder(t.rule, now)
 }
 
 // QuietLeft returns how long to wait before ordering servers that ignore fencing tokens.
 func (t Term) QuietLeft(now time.Time) time.Duration {
-	return t.tenure.Get().QuietLeft(t.rule, now)
+	return t.tenure.Get().TakeoverDelayLeft(t.rule, now)
 }
--- a/io/logs/relayed.go
+++ b/io/logs/relayed.go
@@ -37,11 +37,11 @@
 	if d.ReportAge > 0 {
 		fields = append(fields, zap.Int64("ReportAgeMs", d.ReportAge.Milliseconds()))
 	}
-	if d.First > 0 {
-		fields = append(fields, zap.Int64("FirstMs", d.First.Milliseconds()))
+	if d.FirstByteTime > 0 {
+		fields = append(fields, zap.Int64("FirstMs", d.FirstByteTime.Milliseconds()))
 	}
-	if d.Unread > 0 {
-		fields = append(fields, zap.Int("Unread", d.Unread))
+	if d.PrefillTokens > 0 {
+		fields = append(fields, zap.Int("Unread", d.PrefillTokens))
 	}
 	if d.Status > 0 {
 		fields = append(fields, zap.Int("Status", d.Status))
@@ -52,7 +52,7 @@
 	if d.Throttle > 0 {
 		fields = append(fields, zap.Float64("Throttle", d.Throttle))
 	}
-	r.Log.Info(string(d.What), fields...)
+	r.Log.Info(string(d.Kind), fields...)
 }
 
 // Watch writes a line and counts whenever lines were left out, until the channel is closed.
--- a/io/node/control.go
+++ b/io/node/control.go
@@ -37,9 +37,9 @@
 }
 
 func (c *control) departed(id value.InstanceID) bool {
-	return query.Departed(c.loop.Snapshot(), id, time.Now())
+	return query.NeedsBillTakeover(c.loop.Snapshot(), id, time.Now())
 }
 
 func (c *control) gone(id value.InstanceID) bool {
-	return query.Gone(c.loop.Snapshot(), id)
+	return query.HasDeparted(c.loop.Snapshot(), id)
 }
--- a/io/node/duties.go
+++ b/io/node/duties.go
@@ -67,7 +67,7 @@
 		Prefix:   dutyPrefix(n.config.Environment),
 		Rule:     fleet.DefaultLeaseRule(),
 		Duties:   []lease.Duty{{Name: "rollout", Run: d.steps}},
-		Record:   func(d state.Decided) { n.log(d) },
+		Record:   func(d state.RecordDecision) { n.log(d) },
 		Seed:     n.config.Seed,
 	}); err != nil {
 		return nil, fmt.Errorf("make duty runner: %w", err)
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -191,12 +191,12 @@
 }
 
 func (n *Node) log(e state.Effect) {
-	d, ok := e.(state.Decided)
+	d, ok := e.(state.RecordDecision)
 	if !ok {
 		return
 	}
 	n.stats.RecordEvent(d)
-	n.config.Log.Info(d.What,
+	n.config.Log.Info(d.Event,
 		zap.String("Subject", d.Subject),
 		zap.String("Reason", string(d.Reason)),
 		zap.String("Detail", d.Detail),
--- a/io/node/node_test.go
+++ b/io/node/node_test.go
@@ -64,7 +64,7 @@
 	f.stop = stop
 	go func() { f.ended <- f.node.Run(ctx, l) }()
 	t.Cleanup(stop)
-	assert.NilError(t, f.node.Do(ctx, cmds.InstallConfig{Accepted: value.Accepted{Document: document(), Digest: "d", Revision: 1}}))
+	assert.NilError(t, f.node.Do(ctx, cmds.InstallConfig{Accepted: value.AcceptedDocument{Document: document(), Digest: "d", Revision: 1}}))
 	await(t, f.node, func(s state.State) bool { return s.Servers().Len() == 2 })
 	return f
 }
--- a/io/once/bench_test.go
+++ b/io/once/bench_test.go
@@ -29,7 +29,7 @@
 	r := newRig(b)
 	r.adjust = func(c *once.Config) {
 		c.Slots = benchInstances
-		c.Rule.Bytes = 1 << 20
+		c.Rule.MaxBytes = 1 << 20
 		c.Queue = 1 << 20
 		c.Backlog = 1 << 20
 		c.Writes = benchWrites / benchInstances
--- a/io/once/commit.go
+++ b/io/once/commit.go
@@ -58,8 +58,8 @@
 	return nil, unsureIf(written, errContended)
 }
 
-func (g *Guard) setting() ledger.Setting {
-	return ledger.Setting{Now: g.config.Now(), Gone: g.config.Gone}
+func (g *Guard) setting() ledger.DecisionInputs {
+	return ledger.DecisionInputs{Now: g.config.Now(), HasDeparted: g.config.Gone}
 }
 
 // page returns the journal as last written by this worker, or as the store has it. After a conflict
--- a/io/once/full_test.go
+++ b/io/once/full_test.go
@@ -27,7 +27,7 @@
 func TestAFullJournalRefusesAndStaysInsideItsBytes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t)
-		r.adjust = func(c *once.Config) { c.Slots = 1; c.Rule.Bytes = 20 << 10 }
+		r.adjust = func(c *once.Config) { c.Slots = 1; c.Rule.MaxBytes = 20 << 10 }
 		a := r.guard("a")
 		kept := 0
 		for i := range 50 {
--- a/io/once/guard.go
+++ b/io/once/guard.go
@@ -20,13 +20,13 @@
 // Claim returns the right to run, or the kept answer of an earlier run; the error is a value.Refusal.
 func (g *Guard) Claim(ctx context.Context, r value.Request) (flow.Claim, *flow.Stored, error) {
 	op := ledger.Op{
-		Verb:     ledger.VerbClaim,
-		ID:       ledger.NewCallID(r.Account, r.Key),
-		Kind:     r.Kind,
-		Question: r.Question,
-		Token:    g.config.NewToken(),
-		Holder:   g.config.Self,
-		Until:    r.Deadline,
+		Verb:        ledger.VerbClaim,
+		ID:          ledger.NewCallID(r.Account, r.Key),
+		Kind:        r.Kind,
+		RequestHash: r.Question,
+		Token:       g.config.NewToken(),
+		Holder:      g.config.Self,
+		Until:       r.Deadline,
 	}
 	v, err := g.submit(ctx, op)
 	if err != nil {
@@ -44,7 +44,7 @@
 
 // replay returns the kept answer, or says honestly that the call ran and its answer is no longer there.
 func replay(a ledger.Answer) (flow.Claim, *flow.Stored, error) {
-	if a.Whole() {
+	if a.IsComplete() {
 		head := engine.Head{Status: a.Status, ContentType: a.ContentType}
 		return nil, &flow.Stored{Head: head, Body: a.Body}, nil
 	}
@@ -88,7 +88,7 @@
 		Digest:      hex.EncodeToString(sum[:]),
 		Bytes:       len(s.Body),
 	}
-	if len(s.Body) > c.guard.config.Rule.AnswerBytes {
+	if len(s.Body) > c.guard.config.Rule.MaxAnswerBytes {
 		answer = answer.WithoutBody()
 	}
 	return c.guard.settle(ctx, c.op.WithAnswer(answer))
@@ -101,7 +101,7 @@
 
 // Doubt marks the outcome as unknown, after a dispatch that did not end in a whole answer.
 func (c *claim) Doubt(ctx context.Context) error {
-	return c.guard.settle(ctx, c.op.WithVerb(ledger.VerbDoubt))
+	return c.guard.settle(ctx, c.op.WithVerb(ledger.VerbMarkInDoubt))
 }
 
 // settle records the end of a claim. It returns once that is kept or SettleWait has passed; the
--- a/io/once/once.go
+++ b/io/once/once.go
@@ -29,7 +29,7 @@
 	// Gone reports whether an instance has left for good.
 	Gone func(value.InstanceID) bool
 	Now  func() time.Time
-	Rule ledger.Rule
+	Rule ledger.JournalRule
 	// Slots is the number of journals; it is the same at all instances and never changes.
 	Slots int
 	// Writes is the journal writes a second that this instance may make.
@@ -66,8 +66,8 @@
 		return errors.New("once: no slots, group, queue or backlog")
 	case c.Writes <= 0 || c.StoreTimeout <= 0 || c.OwnerTimeout <= 0:
 		return errors.New("once: no write rate or timeouts")
-	case c.Rule.Bytes < 1 || c.Rule.Bytes > plat.ValueLimit:
-		return fmt.Errorf("once: journal of %d bytes", c.Rule.Bytes)
+	case c.Rule.MaxBytes < 1 || c.Rule.MaxBytes > plat.ValueLimit:
+		return fmt.Errorf("once: journal of %d bytes", c.Rule.MaxBytes)
 	}
 	return nil
 }
--- a/io/once/owner.go
+++ b/io/once/owner.go
@@ -61,7 +61,7 @@
 		Verb:     op.Verb,
 		ID:       op.ID,
 		Kind:     op.Kind,
-		Question: op.Question,
+		Question: op.RequestHash,
 		Token:    op.Token,
 		Holder:   op.Holder,
 		Until:    op.Until,
@@ -90,14 +90,14 @@
 	ctx, cancel := context.WithTimeout(g.ctx, g.config.OwnerTimeout)
 	defer cancel()
 	op := ledger.Op{
-		Verb:     w.Verb,
-		ID:       w.ID,
-		Kind:     w.Kind,
-		Question: w.Question,
-		Token:    w.Token,
-		Holder:   w.Holder,
-		Until:    w.Until,
-		Answer:   ledger.Answer(w.Answer),
+		Verb:        w.Verb,
+		ID:          w.ID,
+		Kind:        w.Kind,
+		RequestHash: w.Question,
+		Token:       w.Token,
+		Holder:      w.Holder,
+		Until:       w.Until,
+		Answer:      ledger.Answer(w.Answer),
 	}
 	v, err := g.slots[op.ID.Slot(g.config.Slots)].do(ctx, op)
 	if err != nil {
--- a/io/once/rig_test.go
+++ b/io/once/rig_test.go
@@ -53,7 +53,7 @@
 		Caller:       p,
 		Gone:         func(id value.InstanceID) bool { return id == r.gone.Get() },
 		Now:          time.Now,
-		Rule:         ledger.Rule{Keep: time.Hour, Wait: 10 * time.Second, Bytes: 64 << 10, AnswerBytes: 1 << 10},
+		Rule:         ledger.JournalRule{Retention: time.Hour, AbandonAfter: 10 * time.Second, MaxBytes: 64 << 10, MaxAnswerBytes: 1 << 10},
 		Slots:        4,
 		Writes:       100,
 		Group:        1000,
--- a/io/once/wire.go
+++ b/io/once/wire.go
@@ -57,7 +57,7 @@
 	w := wireRecord{
 		ID:       r.ID,
 		Kind:     r.Kind,
-		Question: r.Question,
+		Question: r.RequestHash,
 		Token:    r.Token,
 		Holder:   r.Holder,
 		State:    r.State,
@@ -92,14 +92,14 @@
 
 func decodeRecord(w wireRecord) ledger.Record {
 	r := ledger.Record{
-		ID:       w.ID,
-		Kind:     w.Kind,
-		Question: w.Question,
-		Token:    w.Token,
-		Holder:   w.Holder,
-		State:    w.State,
-		Since:    w.Since,
-		Until:    w.Until,
+		ID:          w.ID,
+		Kind:        w.Kind,
+		RequestHash: w.Question,
+		Token:       w.Token,
+		Holder:      w.Holder,
+		State:       w.State,
+		Since:       w.Since,
+		Until:       w.Until,
 	}
 	if w.Answer != nil {
 		r.Answer = ledger.Answer(*w.Answer)
--- a/io/proof/node.go
+++ b/io/proof/node.go
@@ -77,10 +77,10 @@
 	return n, nil
 }
 
-func (n *node) gone(id value.InstanceID) bool { return query.Gone(n.loop.Snapshot(), id) }
+func (n *node) gone(id value.InstanceID) bool { return query.HasDeparted(n.loop.Snapshot(), id) }
 
 func (n *node) departed(id value.InstanceID) bool {
-	return query.Departed(n.loop.Snapshot(), id, time.Now())
+	return query.NeedsBillTakeover(n.loop.Snapshot(), id, time.Now())
 }
 
 func backoff() policy.Backoff {
@@ -102,7 +102,7 @@
 	n.guard, err = once.New(once.Config{
 		Self: n.self.ID, Store: n.store, Caller: n.port, Gone: n.gone, Now: time.Now,
 		Owner: func(slot int) (value.Instance, bool) { return query.Owner(n.loop.Snapshot(), slot) },
-		Rule:  ledger.Rule{Keep: time.Hour, Wait: 30 * time.Second, Bytes: 64 << 10, AnswerBytes: 1 << 10},
+		Rule:  ledger.JournalRule{Retention: time.Hour, AbandonAfter: 30 * time.Second, MaxBytes: 64 << 10, MaxAnswerBytes: 1 << 10},
 		Slots: state.Slots, Writes: 100, Group: 256, Queue: 1024, Backlog: 1024,
 		OwnerTimeout: time.Second, StoreTimeout: 2 * time.Second, SettleWait: 2 * time.Second,
 		Backoff: backoff(), NewToken: n.fleet.token, Seed: n.fleet.seed,
@@ -116,7 +116,7 @@
 func (n *node) makeBiller() (err error) {
 	n.biller, err = bills.New(bills.Config{
 		Self: n.self, Store: n.store, Caller: n.port, Gone: n.departed,
-		Holders: func() []value.Instance { return query.Holders(n.loop.Snapshot()) },
+		Holders: func() []value.Instance { return query.BillReplicas(n.loop.Snapshot()) },
 		Copies:  1, Flush: func() time.Duration { return 5 * time.Second }, Patience: 5 * time.Second, Timeout: 2 * time.Second,
 		Backlog: 1024, SegmentBytes: 64 << 10, HeldEntries: 1024, Backoff: backoff(), Seed: n.fleet.seed,
 	})
--- a/io/proof/ports.go
+++ b/io/proof/ports.go
@@ -138,17 +138,17 @@
 }
 
 // decode reads the desk's document, whose text is its name, and the product's own entries.
-func (n *node) decode(changed []plat.Entry) (cmds.Spread, error) {
-	var spread cmds.Spread
+func (n *node) decode(changed []plat.Entry) (cmds.InstallRevision, error) {
+	var spread cmds.InstallRevision
 	var rest []plat.Entry
 	for _, e := range changed {
 		if e.Key != conf.DocumentKey(environment) {
 			rest = append(rest, e)
 			continue
 		}
-		spread.Accepted = value.Accepted{Document: desk(string(e.Value)), Digest: string(e.Value), Revision: e.Revision}
+		spread.Accepted = value.AcceptedDocument{Document: desk(string(e.Value)), Digest: string(e.Value), Revision: e.Revision}
 		if n.fleet.broken == LineConfig && string(e.Value) != firstDocument {
-			spread.Accepted = value.Accepted{}
+			spread.Accepted = value.AcceptedDocument{}
 		}
 	}
 	c, err := conf.Decode(environment, rest...)
--- a/io/rolls/ages.go
+++ b/io/rolls/ages.go
@@ -36,7 +36,7 @@
 	askedRevision := int64(0)
 	for {
 		s, changed := l.Control.Watch()
-		if s.AgeUnknown() && newestOrder(s) > askedRevision {
+		if s.HasUnknownOrderAge() && newestOrder(s) > askedRevision {
 			askedRevision = newestOrder(s)
 			if err := l.askInstances(ctx); err != nil {
 				return err
@@ -54,7 +54,7 @@
 // newestOrder returns the revision of the newest order.
 func newestOrder(s relay.State) int64 {
 	newest := int64(0)
-	for _, p := range s.Plans() {
+	for _, p := range s.RollOuts() {
 		newest = max(newest, p.Order.Revision)
 	}
 	return newest
@@ -66,7 +66,7 @@
 	members := l.Control.Snapshot().Members()
 	for n, i := range rand.Perm(len(members)) {
 		s := l.Control.Snapshot()
-		if n >= maxAsked || !s.AgeUnknown() || ctx.Err() != nil {
+		if n >= maxAsked || !s.HasUnknownOrderAge() || ctx.Err() != nil {
 			return nil
 		}
 		if members[i].Name == s.Self.Name {
@@ -78,7 +78,7 @@
 			clock.Passed(ctx, retryPause)
 			continue
 		}
-		if err := l.Control.Do(ctx, cmds.LearnAges{OrderAges: ages, From: string(members[i].Name)}); err != nil && ctx.Err() == nil {
+		if err := l.Control.Do(ctx, cmds.ApplyOrderAges{OrderAges: ages, From: string(members[i].Name)}); err != nil && ctx.Err() == nil {
 			return fmt.Errorf("change control state: %w", err)
 		}
 	}
--- a/io/rolls/ages_test.go
+++ b/io/rolls/ages_test.go
@@ -34,7 +34,7 @@
 
 // learnAge starts an AgeLearner during a roll-out, and returns the plan two seconds later and the time of
 // the start.
-func learnAge(t *testing.T, peers *fakePeers) (plan relay.Plan, started time.Time) {
+func learnAge(t *testing.T, peers *fakePeers) (plan relay.RollOutState, started time.Time) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -60,7 +60,7 @@
 		started = time.Now()
 		go func() { assert.Check(t, rolls.AgeLearner{Peers: peers, Control: control}.Run(ctx)) }()
 		time.Sleep(2 * time.Second)
-		plan, _ = control.Snapshot().Plan("app")
+		plan, _ = control.Snapshot().RollOut("app")
 		cancel()
 		synctest.Wait()
 	})
@@ -74,7 +74,7 @@
 	}}
 	p, started := learnAge(t, peers)
 	assert.Assert(t, p.AgeKnown)
-	age := started.Sub(p.Seen)
+	age := started.Sub(p.OrderedAt)
 	assert.Assert(t, age > 8*time.Second && age <= 9*time.Second, "age of the order is %v", age)
 }
 
--- a/io/rolls/rolls.go
+++ b/io/rolls/rolls.go
@@ -49,13 +49,13 @@
 	Store   Store
 	Peers   Peers
 	Control feeds.Control
-	// Own returns this instance's tallies.
-	Own func() []relay.Tally
-	Now func() time.Time
-	// Failed is called with each error; the work is retried.
-	Failed func(error)
-	// Judged is called after each recorded change of a roll-out's phase.
-	Judged func(p relay.Progress, detail string)
+	// OwnTallies returns this instance's tallies.
+	OwnTallies func() []relay.Tally
+	Now        func() time.Time
+	// OnError is called with each error; the work is retried.
+	OnError func(error)
+	// OnPhaseChange is called after each recorded change of a roll-out's phase.
+	OnPhaseChange func(p relay.Progress, detail string)
 }
 
 // Run judges roll-outs until the context ends.
@@ -66,7 +66,7 @@
 		if open {
 			_, open = query.Vacant(s, plan.Order.Service)
 		}
-		if !open || !s.Away.IsZero() {
+		if !open || !s.StoreUnreachableSince.IsZero() {
 			select {
 			case <-ctx.Done():
 				return nil
@@ -80,7 +80,7 @@
 		}
 		err := r.holdDuty(ctx, plan)
 		if err != nil && ctx.Err() == nil && !errors.Is(err, feeds.ErrConflict) {
-			r.Failed(err)
+			r.OnError(err)
 		}
 		if !clock.Passed(ctx, pauseBetweenHolds) {
 			return nil
@@ -95,30 +95,30 @@
 		return true
 	}
 	s := r.Control.Snapshot()
-	plan, ok := s.Plan(service)
+	plan, ok := s.RollOut(service)
 	_, vacant := query.Vacant(s, service)
-	return !vacant || !ok || plan.Phase().Final()
+	return !vacant || !ok || plan.Phase().IsFinal()
 }
 
 // findOpenPlan returns a roll-out that has not ended.
-func findOpenPlan(s relay.State) (relay.Plan, bool) {
-	for _, p := range s.Plans() {
-		if p.Order.Target != "" && !p.Phase().Final() {
+func findOpenPlan(s relay.State) (relay.RollOutState, bool) {
+	for _, p := range s.RollOuts() {
+		if p.Order.Target != "" && !p.Phase().IsFinal() {
 			return p, true
 		}
 	}
-	return relay.Plan{}, false
+	return relay.RollOutState{}, false
 }
 
 // holdDuty takes the duty and judges the roll-out until it has ended or the duty is lost.
-func (r Runner) holdDuty(ctx context.Context, plan relay.Plan) error {
-	lease, err := r.Store.Lease(ctx, dutyLeaseTTL)
+func (r Runner) holdDuty(ctx context.Context, plan relay.RollOutState) error {
+	lease, err := r.Store.Acquire(ctx, dutyLeaseTTL)
 	if err != nil {
 		return fmt.Errorf("acquire lease of the duty: %w", err)
 	}
 	defer func() {
-		if err := r.Store.Release(context.WithoutCancel(ctx), lease); err != nil && !errors.Is(err, feeds.ErrLapsed) {
-			r.Failed(fmt.Errorf("release lease of the duty: %w", err))
+		if err := r.Store.Release(context.WithoutCancel(ctx), lease); err != nil && !errors.Is(err, feeds.ErrLeaseExpired) {
+			r.OnError(fmt.Errorf("release lease of the duty: %w", err))
 		}
 	}()
 	service := plan.Order.Service
@@ -136,7 +136,7 @@
 			return nil
 		}
 		if now := r.Now(); now.Sub(renewed) >= dutyRenewInterval {
-			if err := r.Store.Keep(ctx, lease); err != nil {
+			if err := r.Store.Renew(ctx, lease); err != nil {
 				return fmt.Errorf("renew lease of the duty: %w", err)
 			}
 			renewed = now
@@ -149,8 +149,8 @@
 func (r Runner) judge(ctx context.Context, service relay.ServiceName, token int64) (bool, error) {
 	tallies := r.collectTallies(ctx)
 	s := r.Control.Snapshot()
-	plan, ok := s.Plan(service)
-	if !ok || plan.Phase().Final() {
+	plan, ok := s.RollOut(service)
+	if !ok || plan.Phase().IsFinal() {
 		return true, nil
 	}
 	phase, detail := query.Judge(s, plan, tallies, r.Now())
@@ -161,8 +161,8 @@
 	if err := r.Store.Write(ctx, progress, token, plan.ProgressRevision); err != nil {
 		return false, fmt.Errorf("record progress of the roll-out of %s: %w", service, err)
 	}
-	r.Judged(progress, detail)
-	return phase.Final(), nil
+	r.OnPhaseChange(progress, detail)
+	return phase.IsFinal(), nil
 }
 
 // collectTallies requests the tallies of all instances concurrently. One that doesn't answer in time is
@@ -185,7 +185,7 @@
 		})
 	}
 	_ = group.Wait()
-	all := r.Own()
+	all := r.OwnTallies()
 	for _, list := range answers {
 		all = append(all, list...)
 	}
--- a/io/rolls/rolls_test.go
+++ b/io/rolls/rolls_test.go
@@ -31,20 +31,20 @@
 	expiredLeases int
 }
 
-func (s *fakeStore) Lease(context.Context, time.Duration) (int64, error) {
+func (s *fakeStore) Acquire(context.Context, time.Duration) (int64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leases++
 	return s.leases, nil
 }
 
-func (s *fakeStore) Keep(_ context.Context, lease int64) error {
+func (s *fakeStore) Renew(_ context.Context, lease int64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.expireLease && lease == s.holder {
 		s.expireLease, s.holder, s.token = false, 0, 0
 		s.expiredLeases++
-		return feeds.ErrLapsed
+		return feeds.ErrLeaseExpired
 	}
 	return nil
 }
@@ -82,7 +82,7 @@
 	s.progress = s.revision
 	s.recorded = append(s.recorded, p.Phase)
 	s.mu.Unlock()
-	return s.control.Do(ctx, cmds.Learn{Feed: relay.Feed{After: before, Revision: s.progress, Changes: []relay.Change{
+	return s.control.Do(ctx, cmds.ApplyFeed{Feed: relay.Feed{After: before, Revision: s.progress, Changes: []relay.Change{
 		{Key: "progress", Revision: s.progress, Entry: relay.Entry{Progress: &p}},
 	}}})
 }
@@ -127,8 +127,8 @@
 			}
 		}()
 		runner := rolls.Runner{
-			Store: store, Peers: peers, Control: control, Now: time.Now, Failed: func(error) {},
-			Own: func() []relay.Tally { return nil }, Judged: func(relay.Progress, string) {},
+			Store: store, Peers: peers, Control: control, Now: time.Now, OnError: func(error) {},
+			OwnTallies: func() []relay.Tally { return nil }, OnPhaseChange: func(relay.Progress, string) {},
 		}
 		go func() { assert.Check(t, runner.Run(ctx)) }()
 		test(ctx, store)
@@ -185,7 +185,7 @@
 		store.revision++
 		p, revision := relay.Progress{Service: "app", Target: "v2", Phase: relay.PhaseReverted}, store.revision
 		store.mu.Unlock()
-		assert.NilError(t, store.control.Do(ctx, cmds.Learn{Feed: relay.Feed{After: before, Revision: revision, Changes: []relay.Change{
+		assert.NilError(t, store.control.Do(ctx, cmds.ApplyFeed{Feed: relay.Feed{After: before, Revision: revision, Changes: []relay.Change{
 			{Key: "progress", Revision: revision, Entry: relay.Entry{Progress: &p}},
 		}}}))
 		time.Sleep(rollOutTime)
--- a/io/shell/cmds/change.go
+++ b/io/shell/cmds/change.go
@@ -45,9 +45,9 @@
 	return value.ChangeID(id), nil
 }
 
-func printApplied(c *cli.Command, e value.Environment, a value.Applied) error {
+func printApplied(c *cli.Command, e value.Environment, a value.AppliedChange) error {
 	what := "stands"
-	if a.Overtaken {
+	if a.Superseded {
 		what = "took effect and was followed by another change; now stands"
 	}
 	_, err := fmt.Fprintf(c.Root().Writer, "%s: revision %d %s, digest %s\n", e, a.Revision, what, a.Change.Digest)
--- a/io/shell/start/edge.go
+++ b/io/shell/start/edge.go
@@ -63,7 +63,7 @@
 	}()
 	instance, err := boot.New(boot.Config{
 		Settings: settings, Log: log, Now: time.Now, Recorder: stats.Both{First: logs.Relayed{Log: log}, Stats: metrics},
-		Called: metrics.RecordStoreCall, Metrics: metrics.Handler(), Sampled: metrics.RecordRelayState,
+		OnStoreCall: metrics.RecordStoreCall, Metrics: metrics.Handler(), OnSample: metrics.RecordRelayState,
 	})
 	if err != nil {
 		return fmt.Errorf("edge: %w", err)
@@ -78,7 +78,7 @@
 // watcher puts changed settings in force.
 func (o *edgeOptions) watcher(i *boot.Instance, log *zap.Logger, told <-chan os.Signal) boot.Watcher {
 	return boot.Watcher{
-		Path: o.settings, Told: told, Every: settingsEvery,
+		Path: o.settings, Signals: told, Interval: settingsEvery,
 		Apply: func(s boot.Settings) {
 			i.Reload(s)
 			log.Info("Reloaded")
--- a/io/stage/feeder.go
+++ b/io/stage/feeder.go
@@ -19,7 +19,7 @@
 // FeederConfig sets up a Feeder.
 type FeederConfig struct {
 	// Drain returns the runs counted since its last call.
-	Drain func() []value.Runs
+	Drain func() []value.AttemptCounts
 	// Ratings may be nil where there is no rating service.
 	Ratings plat.RatingService
 	// Caller reaches the other instances; without one the instance watches its own runs only.
@@ -38,7 +38,7 @@
 type Feeder struct {
 	config FeederConfig
 	// unsent holds the runs that have not reached their watcher; Run's goroutine owns it.
-	unsent map[value.VersionKey]value.Runs
+	unsent map[value.VersionKey]value.AttemptCounts
 }
 
 // NewFeeder returns a feeder, or an error that names what the configuration lacks.
@@ -57,7 +57,7 @@
 	case c.Every <= 0:
 		return nil, errors.New("feeder: no time between looks")
 	}
-	return &Feeder{config: c, unsent: make(map[value.VersionKey]value.Runs)}, nil
+	return &Feeder{config: c, unsent: make(map[value.VersionKey]value.AttemptCounts)}, nil
 }
 
 // ratingsAtOnce bounds how long one batch keeps the control loop, also when an instance that starts
--- a/io/stage/gather.go
+++ b/io/stage/gather.go
@@ -46,7 +46,7 @@
 func (f *Feeder) take(w wireRuns) (wireTaken, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 	defer cancel()
-	if err := f.config.Do(ctx, cmds.ObserveRuns{Runs: []value.Runs{value.Runs(w)}}); err != nil {
+	if err := f.config.Do(ctx, cmds.ObserveAttempts{Counts: []value.AttemptCounts{value.AttemptCounts(w)}}); err != nil {
 		return wireTaken{}, err
 	}
 	return wireTaken{Total: w.Total}, nil
@@ -56,7 +56,7 @@
 // fleet: tests at each instance would each need as many runs, and their false alarms would add up.
 func (f *Feeder) gather(ctx context.Context) {
 	for _, runs := range f.config.Drain() {
-		f.unsent[runs.Version] = f.unsent[runs.Version].WithRuns(runs)
+		f.unsent[runs.Version] = f.unsent[runs.Version].WithCounts(runs)
 	}
 	for k, runs := range f.unsent {
 		err := f.send(ctx, runs)
@@ -71,11 +71,11 @@
 	}
 }
 
-func (f *Feeder) send(ctx context.Context, runs value.Runs) error {
+func (f *Feeder) send(ctx context.Context, runs value.AttemptCounts) error {
 	s := f.config.Snapshot()
 	owner, ok := query.Owner(s, query.Slot(string(runs.Version)))
 	if !ok || owner.ID == s.Self.ID || f.config.Caller == nil {
-		return f.config.Do(ctx, cmds.ObserveRuns{Runs: []value.Runs{runs}})
+		return f.config.Do(ctx, cmds.ObserveAttempts{Counts: []value.AttemptCounts{runs}})
 	}
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
--- a/io/stage/keeper.go
+++ b/io/stage/keeper.go
@@ -58,9 +58,9 @@
 func (k *Keeper) Take(e state.Effect) bool {
 	var key string
 	switch e := e.(type) {
-	case state.KeepProgress:
+	case state.StoreProgress:
 		key = conf.RollOutKey(k.config.Environment, e.Progress.Name)
-	case state.KeepWithdrawal:
+	case state.StoreWithdrawal:
 		key = conf.WithdrawalKey(k.config.Environment, e.Withdrawal.Version)
 	default:
 		return false
@@ -116,13 +116,13 @@
 // keep also installs what stands then, which is another value where another instance was faster.
 func (k *Keeper) keep(ctx context.Context, e state.Effect) error {
 	switch e := e.(type) {
-	case state.KeepProgress:
+	case state.StoreProgress:
 		stands, err := conf.KeepProgress(ctx, k.config.Store, k.config.Environment, e.Progress)
 		if err != nil {
 			return fmt.Errorf("keep roll-out %s: %w", e.Progress.Name, err)
 		}
 		return k.config.Do(ctx, cmds.InstallProgress{Progress: stands})
-	case state.KeepWithdrawal:
+	case state.StoreWithdrawal:
 		stands, err := conf.KeepWithdrawal(ctx, k.config.Store, k.config.Environment, e.Withdrawal)
 		if err != nil {
 			return fmt.Errorf("keep withdrawal of %s: %w", e.Withdrawal.Version, err)
--- a/io/stage/stage_test.go
+++ b/io/stage/stage_test.go
@@ -51,7 +51,7 @@
 	state  state.State
 	keeper *stage.Keeper
 	feeder *stage.Feeder
-	runs   []value.Runs
+	runs   []value.AttemptCounts
 }
 
 func start(ctx context.Context, t *testing.T, f fleet, id value.InstanceID) *instance {
@@ -62,7 +62,7 @@
 		i.state = i.state.WithInstance(value.Instance{ID: member, PeerAddress: string(member), State: value.InstanceLive})
 	}
 	port := f.mesh.Join(self)
-	assert.NilError(t, i.do(ctx, cmds.InstallConfig{Accepted: value.Accepted{Document: document(), Revision: 1}}))
+	assert.NilError(t, i.do(ctx, cmds.InstallConfig{Accepted: value.AcceptedDocument{Document: document(), Revision: 1}}))
 	var err error
 	i.keeper, err = stage.NewKeeper(stage.KeeperConfig{
 		Store: f.store, Environment: "trial", Do: i.do, Failed: func(error) {},
@@ -102,7 +102,7 @@
 			return err
 		}
 		last := entries[len(entries)-1].Revision
-		return i.do(ctx, cmds.Spread{Revision: last, RollOuts: c.RollOuts, Withdrawals: c.Withdrawals})
+		return i.do(ctx, cmds.InstallRevision{Revision: last, RollOuts: c.RollOuts, Withdrawals: c.Withdrawals})
 	}
 	return func(ctx context.Context) error {
 		for ctx.Err() == nil {
@@ -132,7 +132,7 @@
 	return i.state
 }
 
-func (i *instance) drain() []value.Runs {
+func (i *instance) drain() []value.AttemptCounts {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	runs := i.runs
@@ -144,7 +144,7 @@
 func (i *instance) served(total, failed int) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.runs = append(i.runs, value.Runs{Version: newKey, Total: total, Failed: failed})
+	i.runs = append(i.runs, value.AttemptCounts{Version: newKey, Total: total, Failed: failed})
 }
 
 func (i *instance) progress() value.Progress {
@@ -277,5 +277,5 @@
 func seen(i *instance) int {
 	s := i.snapshot()
 	r, _ := s.RollOut(rollOut)
-	return s.Watch(r).Tests.Trials(value.ReasonErrorRate)
+	return s.RollOutTests(r).Tests.Trials(value.ReasonErrorRate)
 }
--- a/io/stats/relayed.go
+++ b/io/stats/relayed.go
@@ -15,11 +15,11 @@
 
 // RecordRelayed counts the decision about a relayed request.
 func (s *Stats) RecordRelayed(d carry.Decision) {
-	s.count(relayed, 1, string(d.What), d.Reason)
-	if d.First > 0 {
-		s.took(relayedFirst, d.First)
+	s.count(relayed, 1, string(d.Kind), d.Reason)
+	if d.FirstByteTime > 0 {
+		s.took(relayedFirst, d.FirstByteTime)
 	}
-	if d.What == carry.WhatAnswered {
+	if d.Kind == carry.DecisionAnswered {
 		s.took(relayedWhole, d.Elapsed)
 	}
 }
@@ -37,7 +37,7 @@
 func (s *Stats) RecordRelayState(v relay.State) {
 	s.set(relayedVersion, float64(v.Config.Version))
 	away := 0.0
-	if !v.Away.IsZero() {
+	if !v.StoreUnreachableSince.IsZero() {
 		away = 1
 	}
 	s.set(relayedAway, away)
--- a/io/stats/sample.go
+++ b/io/stats/sample.go
@@ -71,10 +71,10 @@
 }
 
 func (s *Stats) lagOf(i value.Instance) time.Duration {
-	if i.Lagging.IsZero() {
+	if i.LaggingSince.IsZero() {
 		return 0
 	}
-	return s.config.Now().Sub(i.Lagging)
+	return s.config.Now().Sub(i.LaggingSince)
 }
 
 // Each state is set at every sample, so that one that no longer occurs falls to zero.
--- a/io/stats/server.go
+++ b/io/stats/server.go
@@ -62,7 +62,7 @@
 	refusal := value.Refusal{Reason: value.ReasonBackend}
 	errors.As(err, &refusal)
 	s.count(refusals, 1, string(refusal.Reason), strconv.FormatBool(refusal.NotRun))
-	if refusal.Reason == value.ReasonBillNotKept {
+	if refusal.Reason == value.ReasonBillNotStored {
 		s.count(keptBills, 1, billRefused)
 	}
 }
--- a/io/stats/stats.go
+++ b/io/stats/stats.go
@@ -96,8 +96,8 @@
 }
 
 // RecordEvent counts the control state's decision.
-func (s *Stats) RecordEvent(d state.Decided) {
-	s.count(events, 1, d.What)
+func (s *Stats) RecordEvent(d state.RecordDecision) {
+	s.count(events, 1, d.Event)
 }
 
 func (s *Stats) count(m Metric, n int64, labels ...string) {
--- a/io/stats/stats_test.go
+++ b/io/stats/stats_test.go
@@ -72,7 +72,7 @@
 		_, err := s.Count(slow{}).Serve(t.Context(), job, sink{})
 		assert.NilError(t, err)
 		for _, refusal := range []value.Refusal{
-			{Reason: value.ReasonQueueFull, NotRun: true}, {Reason: value.ReasonBillNotKept},
+			{Reason: value.ReasonQueueFull, NotRun: true}, {Reason: value.ReasonBillNotStored},
 		} {
 			job.Request.Kind = "made-up-by-a-caller"
 			_, err = s.Count(slow{err: refusal}).Serve(t.Context(), job, sink{})
@@ -100,7 +100,7 @@
 		d := value.Decision{Step: value.StepBill, Reason: value.ReasonAnswered}
 		s.Record(d)
 		s.Record(d)
-		s.RecordEvent(state.Decided{What: "DutyTaken"})
+		s.RecordEvent(state.RecordDecision{Event: "DutyTaken"})
 		time.Sleep(time.Second)
 		synctest.Wait()
 		shows(
--- a/tools/fleet/audit.go
+++ b/tools/fleet/audit.go
@@ -39,8 +39,8 @@
 	say("time to the answer: median %s, 99 in 100 %s", t.took[len(t.took)/2], t.took[len(t.took)*99/100])
 	say("orders %d, effects %d, doubled effects %d, answered without effect %d", len(t.keys), len(effects), t.doubledEffects, t.lostEffects)
 	say("bills %d, answers without a bill %d, requests billed twice %d, bills of earlier tries %d",
-		len(a.Charges), len(a.Missing), len(a.Doubled), len(a.Unknown))
-	whole := t.lost == 0 && t.doubledEffects == 0 && t.lostEffects == 0 && len(a.Missing) == 0 && len(a.Doubled) == 0
+		len(a.Charges), len(a.Missing), len(a.Duplicated), len(a.Unknown))
+	whole := t.lost == 0 && t.doubledEffects == 0 && t.lostEffects == 0 && len(a.Missing) == 0 && len(a.Duplicated) == 0
 	if whole {
 		say("nothing lost and nothing doubled")
 	} else {
