--- a/io/bills/bench_test.go
+++ b/io/bills/bench_test.go
@@ -18,9 +18,9 @@
 	storeLatency = 5 * time.Millisecond
 )
 
-// BenchmarkKeep compares ways to keep bills: a write to the store for each, grouped writes, and
-// copies at holders with a flush in segments; 200 requests at a time, one instance's share of
-// 40 writes a second.
+// BenchmarkKeep compares ways to store bills: one write to the store for each bill, grouped writes,
+// and copies at holders with a flush in segments. It keeps 200 bills at a time, with an instance's
+// share of 40 writes a second.
 func BenchmarkKeep(b *testing.B) {
 	const callers, each = 200, 20
 	ways := []struct {
@@ -33,18 +33,18 @@
 	}
 	for b.Loop() {
 		for _, w := range ways {
-			r := newRig(b)
-			r.adjust = func(c *bills.Config) {
+			harness := newHarness(b)
+			harness.adjust = func(c *bills.Config) {
 				c.Backlog, c.HeldEntries, c.SegmentBytes = 1<<20, 1<<20, 256<<10
 				c.Patience = time.Minute
 				w.adjust(c)
 			}
-			r.setFaults(fakes.Faults{}.WithDelay(storeLatency))
-			r.mesh.Set(func(_, _ value.Instance) fakes.Fate { return fakes.Fate{Delay: peerLatency} })
-			a := r.biller("a")
-			r.biller("b")
-			r.biller("c")
-			began := time.Now()
+			harness.setFaults(fakes.Faults{}.WithDelay(storeLatency))
+			harness.mesh.Set(func(_, _ value.Instance) fakes.Fate { return fakes.Fate{Delay: peerLatency} })
+			a := harness.biller("a")
+			harness.biller("b")
+			harness.biller("c")
+			start := time.Now()
 			var group sync.WaitGroup
 			for i := range callers {
 				group.Go(func() {
@@ -54,12 +54,12 @@
 				})
 			}
 			group.Wait()
-			took := time.Since(began)
+			elapsed := time.Since(start)
 			assert.NilError(b, a.Flush(context.Background()))
 			total := float64(callers * each)
-			b.ReportMetric(total/took.Seconds(), w.name+"-bills/s")
-			b.ReportMetric(float64(r.store.Writes())/total, w.name+"-writes/bill")
-			b.ReportMetric(took.Seconds()*1000/each, w.name+"-ms")
+			b.ReportMetric(total/elapsed.Seconds(), w.name+"-bills/s")
+			b.ReportMetric(float64(harness.store.Writes())/total, w.name+"-writes/bill")
+			b.ReportMetric(elapsed.Seconds()*1000/each, w.name+"-ms")
 			if w.name == "copies" {
 				b.ReportMetric(float64(a.port.Sent().Bytes)/total, "copied-B/bill")
 			}
@@ -68,18 +68,18 @@
 	}
 }
 
-// storedBytes returns what one bill takes in a segment of 500.
+// storedBytes returns the stored size of a bill in bytes, as the mean of 500 bills.
 func storedBytes(b *testing.B) float64 {
 	b.Helper()
-	r := newRig(b)
-	r.adjust = func(c *bills.Config) { c.SegmentBytes = 256 << 10 }
-	a := r.biller("a")
-	r.biller("b")
+	harness := newHarness(b)
+	harness.adjust = func(c *bills.Config) { c.SegmentBytes = 256 << 10 }
+	a := harness.biller("a")
+	harness.biller("b")
 	for i := range 500 {
 		assert.NilError(b, a.Keep(context.Background(), bill(i)))
 	}
 	assert.NilError(b, a.Flush(context.Background()))
-	l, err := r.store.List(context.Background(), "bills/")
+	l, err := harness.store.List(context.Background(), "bills/")
 	assert.NilError(b, err)
 	bytes := 0
 	for _, e := range l.Entries {
@@ -88,8 +88,8 @@
 	return float64(bytes) / 500
 }
 
-// BenchmarkResync measures what brings a holder back that missed some of a tail of 600 bills: only
-// what it lacks, against the whole tail, which a holder without a copy needs.
+// BenchmarkResync measures the bytes and the time to bring a holder up to date that has missed some
+// of a tail of 600 bills, compared with the full tail, which a holder without a copy needs.
 func BenchmarkResync(b *testing.B) {
 	const tail = 600
 	for b.Loop() {
@@ -97,43 +97,46 @@
 			name   string
 			missed int
 		}{{"1s", 20}, {"5s", 100}, {"15s", 300}, {"full", tail}} {
-			bytes, took := resync(b, tail, c.missed)
+			bytes, elapsed := measureResync(b, tail, c.missed)
 			b.ReportMetric(float64(bytes), c.name+"-B")
-			b.ReportMetric(float64(took.Microseconds())/1000, c.name+"-ms")
+			b.ReportMetric(float64(elapsed.Microseconds())/1000, c.name+"-ms")
 		}
 	}
 }
 
-func resync(b *testing.B, tail, missed int) (int, time.Duration) {
+// measureResync returns the bytes sent and the time until a holder that has missed the last bills
+// of the tail has all of it.
+func measureResync(b *testing.B, tail, missed int) (int, time.Duration) {
 	b.Helper()
-	r := newRig(b)
-	r.adjust = func(c *bills.Config) {
-		c.Flush = never
+	harness := newHarness(b)
+	harness.adjust = func(c *bills.Config) {
+		c.Flush = noFlush
 		c.Backlog, c.HeldEntries = 1<<20, 1<<20
 		c.Copies = 1
 	}
-	a := r.biller("a")
-	r.biller("b")
-	cut := func(off bool) {
-		r.mesh.Set(func(_, to value.Instance) fakes.Fate {
-			return fakes.Fate{Delay: peerLatency, Unsent: off && to.ID == "b"}
+	a := harness.biller("a")
+	harness.biller("b")
+	setPartitioned := func(partitioned bool) {
+		harness.mesh.Set(func(_, to value.Instance) fakes.Fate {
+			return fakes.Fate{Delay: peerLatency, Unsent: partitioned && to.ID == "b"}
 		})
 	}
-	cut(false)
-	// The one holder is cut off for the last bills, which the store's absence leaves in the tail.
-	r.setFaults(fakes.Faults{}.WithDown(true))
+	setPartitioned(false)
+	// The holder is unreachable for the last bills, and the store is down, so that they stay in the
+	// tail.
+	harness.setFaults(fakes.Faults{}.WithDown(true))
 	for i := range tail - missed {
 		assert.NilError(b, a.Keep(context.Background(), bill(i)))
 	}
-	cut(true)
-	hasty, cancel := context.WithCancel(context.Background())
+	setPartitioned(true)
+	cancelled, cancel := context.WithCancel(context.Background())
 	cancel()
 	for i := tail - missed; i < tail; i++ {
-		// The bill gets its place in the tail, and nobody waits for it yet.
-		_ = a.Keep(hasty, bill(i))
+		// The bill is added to the tail, and Keep doesn't wait until it is safe.
+		_ = a.Keep(cancelled, bill(i))
 	}
-	before, began := a.port.Sent().Bytes, time.Now()
-	cut(false)
+	before, start := a.port.Sent().Bytes, time.Now()
+	setPartitioned(false)
 	assert.NilError(b, a.Keep(context.Background(), bill(tail-1)))
-	return a.port.Sent().Bytes - before, time.Since(began)
+	return a.port.Sent().Bytes - before, time.Since(start)
 }
--- a/io/bills/bills.go
+++ b/io/bills/bills.go
@@ -20,25 +20,28 @@
 type Config struct {
 	Self  value.Instance
 	Store plat.Store
-	// Caller reaches holders; without it, a bill is safe only once it is in the store.
+	// Caller sends copies to the holders. Without it, a bill is safe only once it is in the store.
 	Caller peer.Caller
-	// Holders returns the instances that are to hold copies, the same ones while the fleet stays the same.
+	// Holders returns the instances that are to store copies. They stay the same as long as the fleet
+	// does.
 	Holders func() []value.Instance
-	// Gone reports whether an instance has left for good.
+	// Gone reports whether the holders should write the rest of the instance's chain, because the
+	// instance has departed or is about to.
 	Gone func(value.InstanceID) bool
-	// Copies is how many holders must have a bill before Keep returns.
+	// Copies is the number of holders that must have a bill before Keep returns.
 	Copies int
-	// Flush returns the time between two segments of one instance; it may change with the fleet.
+	// Flush returns the time between two flushes; it may change with the size of the fleet.
 	Flush func() time.Duration
-	// Patience bounds how long Keep waits.
+	// Patience limits how long Keep waits.
 	Patience time.Duration
-	// Timeout bounds each call to a holder or the store.
+	// Timeout limits each call to a holder or the store.
 	Timeout time.Duration
-	// Backlog bounds the entries of the own tail; a full one refuses further bills.
+	// Backlog is the maximum number of entries in the tail of this instance. While it is reached,
+	// further bills are refused.
 	Backlog int
-	// SegmentBytes bounds a segment and a message to a holder.
+	// SegmentBytes is the maximum size of a segment and of a message to a holder.
 	SegmentBytes int
-	// HeldEntries bounds the entries held for each other instance.
+	// HeldEntries is the maximum number of entries held for each other instance.
 	HeldEntries int
 	Backoff     policy.Backoff
 	Seed        uint64
@@ -47,53 +50,58 @@
 func (c Config) check() error {
 	switch {
 	case c.Self.ID == "":
-		return errors.New("bills: no instance")
+		return errors.New("bills: instance has no identifier")
 	case c.Store == nil:
 		return errors.New("bills: no store")
 	case c.Holders == nil || c.Gone == nil:
-		return errors.New("bills: no holders or membership")
+		return errors.New("bills: functions Holders and Gone are required")
 	case c.Copies < 1 || c.Backlog < 1 || c.HeldEntries < 1:
-		return errors.New("bills: no copies, backlog or held entries")
+		return errors.New("bills: Copies, Backlog and HeldEntries must be positive")
 	case c.Flush == nil || c.Patience <= 0 || c.Timeout <= 0:
-		return errors.New("bills: no times")
+		return errors.New("bills: Flush is required, and Patience and Timeout must be positive")
 	case c.SegmentBytes < 1 || c.SegmentBytes > plat.ValueLimit:
-		return fmt.Errorf("bills: segment of %d bytes", c.SegmentBytes)
+		return fmt.Errorf("bills: segment size of %d bytes is out of range", c.SegmentBytes)
 	}
 	return nil
 }
 
-// Biller implements flow.Biller over holders in other failure domains and the platform's store.
+// Biller implements flow.Biller with copies at holders and segments in the key-value service.
 type Biller struct {
 	config Config
-	work   sync.WaitGroup
-	ctx    context.Context
-	cancel context.CancelFunc
-	// flushing has room for one: a flush at a time reads the tail and writes its segments.
-	flushing chan struct{}
-
-	mu     sync.Mutex
-	closed bool
-	tail   ledger.Tail
-	links  map[value.InstanceID]*link
-	held   map[value.InstanceID]copies
-	// progress is closed and replaced whenever more of the tail is safe.
+	// background counts the goroutines that send copies or flush early.
+	background sync.WaitGroup
+	ctx        context.Context
+	cancel     context.CancelFunc
+	// flushSlot has a capacity of one, so that only one flush at a time writes segments of the tail.
+	flushSlot chan struct{}
+
+	mu        sync.Mutex
+	closed    bool
+	tail      ledger.Tail
+	holders   map[value.InstanceID]*holder
+	heldTails map[value.InstanceID]heldTail
+	// progress is closed and replaced whenever more of the tail may have become safe.
 	progress chan struct{}
-	// hurrying is set while a flush runs ahead of its time.
-	hurrying bool
-	rnd      *rand.Rand
+	// flushingEarly is set while a flush runs that did not wait for the flush interval.
+	flushingEarly bool
+	rnd           *rand.Rand
 }
 
-// link is what is known of one holder's copy of the own tail.
-type link struct {
-	to    value.Instance
+// holder is the state of one holder's copy of this instance's tail.
+type holder struct {
+	instance value.Instance
+	// acked is the last sequence number that the holder has acknowledged.
 	acked int64
-	// sending is set while a goroutine sends to the holder.
+	// sending is set while a goroutine sends to the holder, or waits before it sends again.
 	sending bool
 }
 
-// copies is what is held of another instance's tail. Once its owner was seen to be gone it stays an
-// orphan, since membership forgets instances while the store may be down for longer.
-type copies struct {
+// heldTail is the copy of another instance's tail, of which this instance is a holder.
+//
+// Once its owner is known to be gone, it stays an orphan until the owner sends further entries: the
+// membership list removes departed instances after a while, and the store may be unreachable for
+// longer.
+type heldTail struct {
 	tail   ledger.Tail
 	orphan bool
 }
@@ -104,121 +112,129 @@
 		return nil, err
 	}
 	b := &Biller{
-		config:   c,
-		tail:     ledger.NewTail(c.Self.ID, 0),
-		links:    make(map[value.InstanceID]*link),
-		held:     make(map[value.InstanceID]copies),
-		progress: make(chan struct{}),
-		flushing: make(chan struct{}, 1),
-		rnd:      rand.New(rand.NewPCG(c.Seed, c.Seed)),
+		config:    c,
+		tail:      ledger.NewTail(c.Self.ID, 0),
+		holders:   make(map[value.InstanceID]*holder),
+		heldTails: make(map[value.InstanceID]heldTail),
+		progress:  make(chan struct{}),
+		flushSlot: make(chan struct{}, 1),
+		rnd:       rand.New(rand.NewPCG(c.Seed, c.Seed)),
 	}
 	b.ctx, b.cancel = context.WithCancel(context.Background())
 	return b, nil
 }
 
-// Run flushes the own tail, and the tails of instances that are gone, until the context ends.
+// Run flushes the tail of this instance and the tails of departed instances until the context ends.
 func (b *Biller) Run(ctx context.Context) {
-	// The first delay differs between instances, so that their writes spread over time.
-	next := b.jitter(b.config.Flush())
+	// The first delay is random, so that the instances don't write at the same times.
+	delay := b.randomDelay(b.config.Flush())
 	for {
-		if !clock.Passed(ctx, next) {
+		if !clock.Passed(ctx, delay) {
 			return
 		}
-		// What a failed flush leaves is flushed by the next.
+		// Entries that a failed flush did not write are written by the next flush.
 		_ = b.Flush(ctx)
-		_ = b.adopt(ctx)
-		b.send()
-		next = b.config.Flush()
+		_ = b.takeOverTails(ctx)
+		b.startSenders()
+		delay = b.config.Flush()
 	}
 }
 
-// Close stops all sending; entries that are safe live on with their holders or in the store.
+// Close stops sending copies and early flushes, and waits for them to end. It does not flush; entries
+// that are safe survive at their holders or in the store.
 func (b *Biller) Close() {
 	b.mu.Lock()
 	b.closed = true
 	b.mu.Unlock()
 	b.cancel()
-	b.work.Wait()
+	b.background.Wait()
 }
 
-// Keep returns once the bill survives the loss of this instance; the error is a value.Refusal.
+// Keep stores the bill and returns once it survives the loss of this instance; the error is a
+// value.Refusal.
 //
-// A bill that is refused stays in the tail and is kept later all the same: its run has taken place.
+// A bill whose wait ends too early stays in the tail and is still stored later, because its attempt
+// has taken place. Only a bill that finds the backlog full is not added to the tail.
 func (b *Biller) Keep(ctx context.Context, bill value.Bill) error {
-	sequence, err := b.append(bill)
+	sequence, err := b.addToTail(bill)
 	if err != nil {
 		return err
 	}
-	if b.send() < b.config.Copies {
+	if b.startSenders() < b.config.Copies {
 		b.flushSoon()
 	}
 	ctx, cancel := context.WithTimeout(ctx, b.config.Patience)
 	defer cancel()
 	for {
-		safe, progress := b.safe()
+		safe, progress := b.lastSafe()
 		if safe >= sequence {
 			return nil
 		}
 		select {
 		case <-progress:
 		case <-ctx.Done():
-			return refusal("neither holders in other failure domains nor the store took the bill in time")
+			return newRefusal("neither holders in other failure domains nor the store took the bill in time")
 		}
 	}
 }
 
-// Unsafe returns how many bills would be lost with this instance.
+// Unsafe returns the number of bills that would be lost with this instance.
 func (b *Biller) Unsafe() int {
-	safe, _ := b.safe()
+	safe, _ := b.lastSafe()
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return int(max(b.tail.Last()-safe, 0))
 }
 
-// Ready reports whether a further bill would be taken; where not, new work is to be refused.
+// Ready reports whether the backlog has capacity for a further bill. Otherwise new requests must be
+// refused.
 func (b *Biller) Ready() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.tail.Len() < b.config.Backlog
 }
 
-func refusal(detail string) value.Refusal {
+// newRefusal returns the refusal of a request whose bill could not be stored.
+func newRefusal(detail string) value.Refusal {
 	return value.Refusal{Reason: value.ReasonBillNotStored, Detail: detail}
 }
 
-// append gives the bill its place; a request that was billed lately has its place already.
-func (b *Biller) append(bill value.Bill) (int64, error) {
+// addToTail returns the bill's sequence number. A request that has been billed recently, as defined
+// by Tail.Find, keeps its number and its first bill.
+func (b *Biller) addToTail(bill value.Bill) (int64, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if n, ok := b.tail.Find(bill.Request); ok {
 		return n, nil
 	}
 	if b.tail.Len() >= b.config.Backlog {
-		return 0, refusal("too many bills wait to be kept")
+		return 0, newRefusal("too many bills wait to be kept")
 	}
 	b.tail = b.tail.With(bill)
 	return b.tail.Last(), nil
 }
 
-// safe returns the last sequence number that survives the loss of this instance, and a channel that
-// is closed once that may have grown.
-func (b *Biller) safe() (int64, <-chan struct{}) {
+// lastSafe returns the last sequence number up to which all bills survive the loss of this
+// instance, and a channel that is closed once that number may have grown.
+func (b *Biller) lastSafe() (int64, <-chan struct{}) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var acked []int64
-	for _, l := range b.links {
-		acked = append(acked, l.acked)
+	for _, h := range b.holders {
+		acked = append(acked, h.acked)
 	}
-	return max(b.tail.Flushed(), nth(acked, b.config.Copies)), b.progress
+	return max(b.tail.Flushed(), nthHighest(acked, b.config.Copies)), b.progress
 }
 
-// advanced is called with the lock held.
-func (b *Biller) advanced() {
+// notifyProgress wakes the goroutines that wait for bills to become safe; it is called with the
+// lock held.
+func (b *Biller) notifyProgress() {
 	close(b.progress)
 	b.progress = make(chan struct{})
 }
 
-func (b *Biller) jitter(d time.Duration) time.Duration {
+// randomDelay returns a random duration of up to d.
+func (b *Biller) randomDelay(d time.Duration) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return time.Duration(b.rnd.Int64N(int64(d))) + 1
--- a/io/bills/bills_test.go
+++ b/io/bills/bills_test.go
@@ -13,6 +13,7 @@
 	"endivehitch/io/fakes"
 )
 
+// keep has the biller keep the bills from number from up to, but not including, number to.
 func keep(t *testing.T, b biller, from, to int) {
 	t.Helper()
 	for i := from; i < to; i++ {
@@ -20,70 +21,72 @@
 	}
 }
 
-func TestABillOutlivesItsInstance(t *testing.T) {
+func TestHoldersStoreBillsOfLostInstance(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t)
-		a := r.biller("a")
-		r.biller("b")
-		r.biller("c")
+		harness := newHarness(t)
+		a := harness.biller("a")
+		harness.biller("b")
+		harness.biller("c")
 		keep(t, a, 0, 100)
 		assert.Equal(t, a.Unsafe(), 0)
-		r.kill(a, "a")
-		assert.Equal(t, len(r.audit(100).Missing), 100, "nothing was flushed yet")
-		time.Sleep(3 * flushTime)
-		got := r.audit(100)
+		harness.kill(a, "a")
+		assert.Equal(t, len(harness.audit(100).Missing), 100, "nothing was flushed yet")
+		time.Sleep(3 * flushInterval)
+		got := harness.audit(100)
 		assert.Assert(t, got.Clean(), "%+v", got)
 	})
 }
 
-func TestAnOutageLongerThanTheMemoryOfInstancesLosesNoBill(t *testing.T) {
+// Guards against a holder that drops a departed owner's tail because the membership list has
+// removed the owner before the store is reachable again.
+func TestHeldTailSurvivesStoreOutageLongerThanMembershipRetention(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t)
-		a := r.biller("a")
-		r.biller("b")
+		harness := newHarness(t)
+		a := harness.biller("a")
+		harness.biller("b")
 		keep(t, a, 0, 10)
-		r.setFaults(fakes.Faults{}.WithDown(true))
-		r.kill(a, "a")
-		time.Sleep(3 * flushTime)
-		r.mu.Lock()
-		delete(r.gone, "a")
-		r.mu.Unlock()
+		harness.setFaults(fakes.Faults{}.WithDown(true))
+		harness.kill(a, "a")
+		time.Sleep(3 * flushInterval)
+		harness.mu.Lock()
+		delete(harness.gone, "a")
+		harness.mu.Unlock()
 		time.Sleep(10 * time.Minute)
-		r.setFaults(fakes.Faults{})
-		time.Sleep(2 * flushTime)
-		got := r.audit(10)
+		harness.setFaults(fakes.Faults{})
+		time.Sleep(2 * flushInterval)
+		got := harness.audit(10)
 		assert.Assert(t, got.Clean(), "%+v", got)
 	})
 }
 
-func TestOwnerAndHoldersFlushAtOnce(t *testing.T) {
+func TestConcurrentFlushByOwnerAndHoldersStoresEachBillOnce(t *testing.T) {
 	for name, f := range map[string]fakes.Faults{
-		"healthy":           {},
-		"answers lost":      fakes.Faults{}.WithLostAnswers(5),
-		"slow":              fakes.Faults{}.WithDelay(700 * time.Millisecond),
-		"slower than calls": fakes.Faults{}.WithDelay(1500 * time.Millisecond),
-		"stale":             fakes.Faults{}.WithStale(true),
+		"store healthy":                  {},
+		"answers of the store lost":      fakes.Faults{}.WithLostAnswers(5),
+		"store slow":                     fakes.Faults{}.WithDelay(700 * time.Millisecond),
+		"store slower than call timeout": fakes.Faults{}.WithDelay(1500 * time.Millisecond),
+		"reads of the store stale":       fakes.Faults{}.WithStale(true),
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				r := newRig(t)
-				a := r.biller("a")
-				r.biller("b")
-				r.biller("c")
+				harness := newHarness(t)
+				a := harness.biller("a")
+				harness.biller("b")
+				harness.biller("c")
 				keep(t, a, 0, 60)
-				r.setFaults(f)
-				// The others take a live instance for gone, while it goes on.
-				r.mu.Lock()
-				r.gone["a"] = true
-				r.mu.Unlock()
+				harness.setFaults(f)
+				// The other instances assume that a is gone, while it continues to run.
+				harness.mu.Lock()
+				harness.gone["a"] = true
+				harness.mu.Unlock()
 				for i := 60; i < 200; i++ {
 					assert.NilError(t, a.Keep(t.Context(), bill(i)))
 					time.Sleep(100 * time.Millisecond)
 				}
-				r.setFaults(fakes.Faults{})
-				time.Sleep(3 * flushTime)
+				harness.setFaults(fakes.Faults{})
+				time.Sleep(3 * flushInterval)
 				assert.NilError(t, a.Flush(t.Context()))
-				got := r.audit(200)
+				got := harness.audit(200)
 				assert.Assert(t, got.Clean(), "missing %d, doubled %d, unknown %d", len(got.Missing), len(got.Duplicated), len(got.Unknown))
 				assert.Equal(t, len(got.Charges), 200)
 			})
@@ -91,54 +94,54 @@
 	}
 }
 
-func TestWithTheStoreDownHoldersKeepTheBills(t *testing.T) {
+func TestKeepSucceedsThroughHoldersWhileStoreIsDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t)
-		a := r.biller("a")
-		r.biller("b")
-		r.setFaults(fakes.Faults{}.WithDown(true))
+		harness := newHarness(t)
+		a := harness.biller("a")
+		harness.biller("b")
+		harness.setFaults(fakes.Faults{}.WithDown(true))
 		for i := range 100 {
 			keep(t, a, i, i+1)
 			time.Sleep(500 * time.Millisecond)
 		}
-		r.setFaults(fakes.Faults{})
-		time.Sleep(2 * flushTime)
-		got := r.audit(100)
+		harness.setFaults(fakes.Faults{})
+		time.Sleep(2 * flushInterval)
+		got := harness.audit(100)
 		assert.Assert(t, got.Clean(), "%+v", got)
 	})
 }
 
-func TestWithoutHoldersTheStoreKeepsTheBills(t *testing.T) {
+func TestKeepSucceedsThroughStoreWhileHoldersAreUnreachable(t *testing.T) {
 	for name, f := range map[string]fakes.Faults{
-		"healthy":      {},
-		"answers lost": fakes.Faults{}.WithLostAnswers(3),
-		"slow":         fakes.Faults{}.WithDelay(700 * time.Millisecond),
-		"stale":        fakes.Faults{}.WithStale(true),
+		"store healthy":             {},
+		"answers of the store lost": fakes.Faults{}.WithLostAnswers(3),
+		"store slow":                fakes.Faults{}.WithDelay(700 * time.Millisecond),
+		"reads of the store stale":  fakes.Faults{}.WithStale(true),
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				r := newRig(t)
-				a := r.biller("a")
-				r.biller("b")
-				r.cut(true)
-				r.setFaults(f)
+				harness := newHarness(t)
+				a := harness.biller("a")
+				harness.biller("b")
+				harness.setPartitioned(true)
+				harness.setFaults(f)
 				keep(t, a, 0, 5)
-				r.setFaults(fakes.Faults{})
-				got := r.audit(5)
+				harness.setFaults(fakes.Faults{})
+				got := harness.audit(5)
 				assert.Assert(t, got.Clean(), "%+v", got)
 			})
 		})
 	}
 }
 
-func TestWithNeitherNothingIsTakenForKept(t *testing.T) {
+func TestKeepFailsWhileStoreAndHoldersAreUnreachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t)
-		r.adjust = func(c *bills.Config) { c.Backlog = 3 }
-		a := r.biller("a")
-		r.biller("b")
-		r.cut(true)
-		r.setFaults(fakes.Faults{}.WithDown(true))
+		harness := newHarness(t)
+		harness.adjust = func(c *bills.Config) { c.Backlog = 3 }
+		a := harness.biller("a")
+		harness.biller("b")
+		harness.setPartitioned(true)
+		harness.setFaults(fakes.Faults{}.WithDown(true))
 		for i := range 3 {
 			assert.Assert(t, a.Ready())
 			err := a.Keep(t.Context(), bill(i))
@@ -150,20 +153,20 @@
 		assert.Assert(t, !a.Ready(), "the backlog is bounded")
 		assert.ErrorContains(t, a.Keep(t.Context(), bill(3)), "too many bills")
 		assert.Equal(t, a.Unsafe(), 3)
-		r.cut(false)
-		r.setFaults(fakes.Faults{})
-		time.Sleep(2 * flushTime)
+		harness.setPartitioned(false)
+		harness.setFaults(fakes.Faults{})
+		time.Sleep(2 * flushInterval)
 		assert.Equal(t, a.Unsafe(), 0)
 		assert.Assert(t, a.Ready())
-		got := r.audit(3)
+		got := harness.audit(3)
 		assert.Assert(t, got.Clean(), "%+v", got)
 	})
 }
 
-func TestARequestIsChargedOnceHoweverOftenItsBillIsKept(t *testing.T) {
+func TestRequestBilledRepeatedlyIsChargedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t)
-		a, b := r.biller("a"), r.biller("b")
+		harness := newHarness(t)
+		a, b := harness.biller("a"), harness.biller("b")
 		keep(t, a, 0, 2)
 		keep(t, a, 0, 2)
 		assert.NilError(t, a.Flush(t.Context()))
@@ -171,8 +174,8 @@
 		late := bill(1).WithCost(999)
 		late.At = late.At.Add(time.Minute)
 		assert.NilError(t, b.Keep(t.Context(), late))
-		time.Sleep(2 * flushTime)
-		got := r.audit(2)
+		time.Sleep(2 * flushInterval)
+		got := harness.audit(2)
 		assert.Equal(t, len(got.Charges), 2)
 		assert.Equal(t, got.Charges[1].CostMicros, bill(1).CostMicros, "the earlier bill counts")
 		assert.DeepEqual(t, got.Duplicated, []value.RequestID{bill(1).Request})
@@ -180,45 +183,45 @@
 	})
 }
 
-func TestAPausedOwnerComesBackToAChainThatWentOn(t *testing.T) {
+func TestPausedOwnerContinuesChainThatHolderExtended(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t)
-		a := r.biller("a")
-		r.biller("b")
+		harness := newHarness(t)
+		a := harness.biller("a")
+		harness.biller("b")
 		keep(t, a, 0, 20)
 		a.port.Pause()
-		r.mu.Lock()
-		r.gone["a"] = true
-		r.mu.Unlock()
-		time.Sleep(3 * flushTime)
+		harness.mu.Lock()
+		harness.gone["a"] = true
+		harness.mu.Unlock()
+		time.Sleep(3 * flushInterval)
 		a.port.Resume()
 		keep(t, a, 20, 40)
-		time.Sleep(3 * flushTime)
-		got := r.audit(40)
+		time.Sleep(3 * flushInterval)
+		got := harness.audit(40)
 		assert.Assert(t, got.Clean(), "%+v", got)
 	})
 }
 
-func TestAHolderThatWasCutOffGetsOnlyWhatItLacks(t *testing.T) {
+func TestReconnectedHolderReceivesOnlyMissingEntries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t)
-		r.adjust = func(c *bills.Config) { c.Flush = never }
-		a := r.biller("a")
-		r.biller("b")
-		r.biller("c")
+		harness := newHarness(t)
+		harness.adjust = func(c *bills.Config) { c.Flush = noFlush }
+		a := harness.biller("a")
+		harness.biller("b")
+		harness.biller("c")
 		keep(t, a, 0, 400)
-		// Keep waits for one holder only; the other one has its copy a little later.
+		// Keep waits for one holder only; the other receives its copy a little later.
 		synctest.Wait()
-		toB := func(_, to value.Instance) fakes.Fate { return fakes.Fate{Unsent: to.ID == "b"} }
-		r.mesh.Set(toB)
+		dropToB := func(_, to value.Instance) fakes.Fate { return fakes.Fate{Unsent: to.ID == "b"} }
+		harness.mesh.Set(dropToB)
 		keep(t, a, 400, 420)
 		before := a.port.Sent()
-		r.mesh.Set(func(_, _ value.Instance) fakes.Fate { return fakes.Fate{} })
+		harness.mesh.Set(func(_, _ value.Instance) fakes.Fate { return fakes.Fate{} })
 		time.Sleep(5 * time.Second)
 		keep(t, a, 420, 421)
 		synctest.Wait()
 		partial := a.port.Sent().Bytes - before.Bytes
-		whole := before.Bytes / 2
-		assert.Assert(t, partial*4 < whole, "%d bytes to catch up of about %d", partial, whole)
+		full := before.Bytes / 2
+		assert.Assert(t, partial*4 < full, "sent %d bytes to catch up; a full copy takes about %d", partial, full)
 	})
 }
--- a/io/bills/copy.go
+++ b/io/bills/copy.go
@@ -12,10 +12,10 @@
 	"endivehitch/io/peer"
 )
 
-// appendMethod is the method by which holders take copies.
+// appendMethod is the RPC by which an instance sends entries of its tail to a holder.
 var appendMethod = peer.Method[wireCopy, wireHave]{Name: "Bills.Append"}
 
-// wireCopy carries entries of a tail to a holder.
+// wireCopy holds entries of the owner's tail for a holder.
 type wireCopy struct {
 	Owner value.InstanceID
 	// Flushed is the last sequence number that the owner knows to be in the store.
@@ -23,15 +23,16 @@
 	Entries []ledger.Entry
 }
 
-// wireHave is the holder's reply: the last sequence number that it has without a gap.
+// wireHave is the holder's reply.
 type wireHave struct {
+	// Have is the last sequence number up to which the holder has the tail without a gap.
 	Have int64
 }
 
-var errHeldFull = errors.New("holder has no room for more entries of the owner")
+var errHeldTailFull = errors.New("holder's copy of the tail has reached its maximum number of entries")
 
-// nth returns the nth highest number, or zero where there are fewer.
-func nth(list []int64, n int) int64 {
+// nthHighest returns the nth highest number, or zero if there are fewer than n; it sorts the list.
+func nthHighest(list []int64, n int) int64 {
 	if len(list) < n {
 		return 0
 	}
@@ -39,85 +40,91 @@
 	return list[len(list)-n]
 }
 
-// send lets each holder's sender go on, forgets holders that are no longer to have copies, and
-// returns how many holders there are.
-func (b *Biller) send() int {
+// startSenders starts sending to each holder that lacks entries, drops the state of instances that
+// are no longer holders, and returns the number of holders.
+func (b *Biller) startSenders() int {
 	if b.config.Caller == nil {
 		return 0
 	}
-	holders := b.config.Holders()
+	instances := b.config.Holders()
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.closed {
 		return 0
 	}
-	for id := range b.links {
-		if !slices.ContainsFunc(holders, func(i value.Instance) bool { return i.ID == id }) {
-			delete(b.links, id)
+	for id := range b.holders {
+		if !slices.ContainsFunc(instances, func(i value.Instance) bool { return i.ID == id }) {
+			delete(b.holders, id)
 		}
 	}
-	for _, h := range holders {
-		l, ok := b.links[h.ID]
+	for _, i := range instances {
+		h, ok := b.holders[i.ID]
 		if !ok {
-			l = &link{to: h}
-			b.links[h.ID] = l
+			h = &holder{instance: i}
+			b.holders[i.ID] = h
 		}
-		if !l.sending && l.acked < b.tail.Last() {
-			l.sending = true
-			b.work.Go(func() { b.feed(l) })
+		if !h.sending && h.acked < b.tail.Last() {
+			h.sending = true
+			b.background.Go(func() { b.sendTail(h) })
 		}
 	}
-	return len(b.links)
+	return len(b.holders)
 }
 
-// feed sends the tail to the holder until it has all of it, or until a try fails; what arrives
-// during a call goes with the next. After a failure the next bill or flush tries again.
-func (b *Biller) feed(l *link) {
+// sendTail sends entries to the holder until it has the whole tail or a call fails. Entries that
+// are appended during a call are sent by the next one.
+//
+// After a failed call, or one after which the holder has no more than before, it starts an early
+// flush, since the bills may otherwise not become safe, and pauses the sender.
+func (b *Biller) sendTail(h *holder) {
 	for {
-		c, more := b.next(l)
+		c, more := b.nextCopy(h)
 		if !more {
 			return
 		}
-		have, err := b.copyTo(l.to, c)
-		if err != nil || have == l.acked {
+		have, err := b.sendCopy(h.instance, c)
+		if err != nil || have == h.acked {
 			b.flushSoon()
-			b.rest(l)
+			b.pauseSender(h)
 			return
 		}
 		b.mu.Lock()
-		l.acked = have
-		b.advanced()
+		h.acked = have
+		b.notifyProgress()
 		b.mu.Unlock()
 	}
 }
 
-// next returns what the holder lacks; where that is nothing, the sender's place is given up.
-func (b *Biller) next(l *link) (wireCopy, bool) {
+// nextCopy returns the next entries that the holder lacks. If there are none, or the instance is no
+// longer a holder, it marks the sender as stopped and returns false.
+func (b *Biller) nextCopy(h *holder) (wireCopy, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if l.acked >= b.tail.Last() || b.links[l.to.ID] != l {
-		l.sending = false
+	if h.acked >= b.tail.Last() || b.holders[h.instance.ID] != h {
+		h.sending = false
 		return wireCopy{}, false
 	}
-	entries := b.tail.Since(l.acked, b.config.SegmentBytes)
+	entries := b.tail.Since(h.acked, b.config.SegmentBytes)
 	return wireCopy{Owner: b.config.Self.ID, Flushed: b.tail.Flushed(), Entries: entries}, true
 }
 
-// rest waits before the holder may be tried again.
-func (b *Biller) rest(l *link) {
+// pauseSender waits for the backoff delay and marks the sender as stopped. Senders then restart at
+// once if there are unsafe bills, and otherwise with the next bill or flush.
+func (b *Biller) pauseSender(h *holder) {
 	b.mu.Lock()
 	d := b.config.Backoff.Delay(b.rnd)
 	b.mu.Unlock()
 	clock.Passed(b.ctx, d)
 	b.mu.Lock()
-	l.sending = false
+	h.sending = false
 	b.mu.Unlock()
 	if b.Unsafe() > 0 {
-		b.send()
+		b.startSenders()
 	}
 }
 
-func (b *Biller) copyTo(to value.Instance, c wireCopy) (int64, error) {
+// sendCopy sends the entries to the holder and returns its last sequence number.
+func (b *Biller) sendCopy(to value.Instance, c wireCopy) (int64, error) {
 	ctx, cancel := context.WithTimeout(b.ctx, b.config.Timeout)
 	defer cancel()
 	reply, err := appendMethod.Call(ctx, b.config.Caller, to, c)
@@ -127,27 +134,28 @@
 	return reply.Have, nil
 }
 
-// Register offers this instance as a holder of copies.
+// Register makes this instance available to others as a holder of copies.
 func (b *Biller) Register(r peer.Registrar) error {
-	if err := appendMethod.Serve(r, b.hold); err != nil {
-		return fmt.Errorf("offer to hold bills: %w", err)
+	if err := appendMethod.Serve(r, b.handleAppend); err != nil {
+		return fmt.Errorf("register RPC for copies of bills: %w", err)
 	}
 	return nil
 }
 
-// hold takes the entries that follow what is held already, and replies with how far that reaches.
-func (b *Biller) hold(c wireCopy) (wireHave, error) {
+// handleAppend appends to the held tail the entries that follow it without a gap, and replies with
+// the tail's last sequence number. Entries that the owner has flushed are removed.
+func (b *Biller) handleAppend(c wireCopy) (wireHave, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	had, ok := b.held[c.Owner]
+	held, ok := b.heldTails[c.Owner]
 	if !ok {
-		had.tail = ledger.NewTail(c.Owner, c.Flushed)
+		held.tail = ledger.NewTail(c.Owner, c.Flushed)
 	}
-	t := had.tail.WithFlushed(c.Flushed)
+	t := held.tail.WithFlushed(c.Flushed)
 	if t.Len()+len(c.Entries) > b.config.HeldEntries {
-		return wireHave{}, errHeldFull
+		return wireHave{}, errHeldTailFull
 	}
 	t = t.WithCopies(c.Entries)
-	b.held[c.Owner] = copies{tail: t}
+	b.heldTails[c.Owner] = heldTail{tail: t}
 	return wireHave{Have: t.Last()}, nil
 }
--- a/io/bills/doc.go
+++ b/io/bills/doc.go
@@ -1,13 +1,16 @@
-// Package bills keeps one bill for each request, so that it survives the loss of the instance that
-// served the request.
+// Package bills stores one bill for each request, so that the bill survives the loss of the
+// instance that served the request.
 //
-// An instance appends its bills to a tail and copies each at once to holders in other failure
-// domains; Keep returns when enough of them have it. Every few seconds the tail goes to the
-// platform's store as one segment. The segments of an instance form a chain: each is created by
-// compare-and-swap under the owner and its first sequence number, and only behind one that is known
-// to be there. When an instance is gone, whoever holds its tail writes the rest of the chain; owner
-// and holders may do so at the same time without harm.
+// The main type is Biller. It appends the bills of its instance to a ledger.Tail and copies each of
+// them at once to holders: instances, preferably in other failure domains, that store copies of the
+// tail in memory. Keep returns as soon as enough holders, or the key-value service, have the bill.
 //
-// docs/BILLS.md has the ways that were weighed, and what happens when neither holders nor the store
-// can be reached.
+// At intervals a flush writes the tail to the key-value service as one or more segments. The
+// segments of an instance form a chain: each is created by compare-and-swap under a key made of the
+// owner and the segment's first sequence number, and only after the segment before it is known to
+// be stored. When an instance has departed, its holders write the rest of its chain. Owner and
+// holders may write the same chain concurrently. Read returns the segments of all instances.
+//
+// docs/BILLS.md describes the alternatives that were considered, and what happens while neither
+// holders nor the key-value service can be reached.
 package bills
--- a/io/bills/flush.go
+++ b/io/bills/flush.go
@@ -10,13 +10,13 @@
 	"endivehitch/io/plat"
 )
 
-// Flush writes the own tail to the store and returns once all of it is there.
+// Flush writes the tail of this instance to the store and returns once the tail is empty.
 func (b *Biller) Flush(ctx context.Context) error {
 	select {
-	case b.flushing <- struct{}{}:
-		defer func() { <-b.flushing }()
+	case b.flushSlot <- struct{}{}:
+		defer func() { <-b.flushSlot }()
 	case <-ctx.Done():
-		return fmt.Errorf("await the flush under way: %w", ctx.Err())
+		return fmt.Errorf("wait for the running flush: %w", ctx.Err())
 	}
 	for {
 		b.mu.Lock()
@@ -25,32 +25,33 @@
 		if tail.Len() == 0 {
 			return nil
 		}
-		last, err := b.write(ctx, tail.Segment(b.config.SegmentBytes))
+		last, err := b.writeSegment(ctx, tail.Segment(b.config.SegmentBytes))
 		if err != nil {
 			return err
 		}
 		b.mu.Lock()
 		b.tail = b.tail.WithFlushed(last)
-		b.advanced()
+		b.notifyProgress()
 		b.mu.Unlock()
 	}
 }
 
-// flushSoon starts a flush at once, for bills that holders don't take; bills that arrive during a
-// flush go into its next segment.
+// flushSoon starts a flush at once, because holders do not accept the bills. It is repeated until
+// the tail is empty or a flush fails. Bills that are appended during a flush go into its next
+// segment.
 func (b *Biller) flushSoon() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.closed || b.hurrying {
+	if b.closed || b.flushingEarly {
 		return
 	}
-	b.hurrying = true
-	b.work.Go(func() {
+	b.flushingEarly = true
+	b.background.Go(func() {
 		for {
 			err := b.Flush(b.ctx)
 			b.mu.Lock()
-			b.hurrying = err == nil && b.tail.Len() > 0
-			again := b.hurrying
+			b.flushingEarly = err == nil && b.tail.Len() > 0
+			again := b.flushingEarly
 			b.mu.Unlock()
 			if !again {
 				return
@@ -59,10 +60,10 @@
 	})
 }
 
-// write creates the segment and returns the last sequence number of the one that now stands under
-// its key. Another writer's segment there is as good: an owner's entry of one number is the same
-// whoever writes it.
-func (b *Biller) write(ctx context.Context, s ledger.Segment) (int64, error) {
+// writeSegment creates the segment and returns the last sequence number of the segment that is now
+// stored under its key. That may be another writer's segment, which serves as well: the owner's
+// entry with a given sequence number is the same, whichever instance writes it.
+func (b *Biller) writeSegment(ctx context.Context, s ledger.Segment) (int64, error) {
 	body, err := encodeSegment(s)
 	if err != nil {
 		return 0, err
@@ -73,38 +74,40 @@
 	var conflict plat.Conflict
 	if !errors.As(err, &conflict) {
 		if err != nil {
-			return 0, fmt.Errorf("write bills from %d on: %w", s.First(), err)
+			return 0, fmt.Errorf("write segment that starts at sequence number %d: %w", s.First(), err)
 		}
 		return s.Last(), nil
 	}
-	standing, err := decodeSegment(conflict.Present)
+	stored, err := decodeSegment(conflict.Present)
 	if err != nil {
 		return 0, err
 	}
-	if standing.Owner != s.Owner || standing.First() != s.First() {
-		return 0, fmt.Errorf("segment %s holds entries from %d on", conflict.Present.Key, standing.First())
+	if stored.Owner != s.Owner || stored.First() != s.First() {
+		return 0, fmt.Errorf("segment %s does not match its key: it starts at sequence number %d or has another owner",
+			conflict.Present.Key, stored.First())
 	}
-	return standing.Last(), nil
+	return stored.Last(), nil
 }
 
-// adopt writes the tails of instances that are gone.
-func (b *Biller) adopt(ctx context.Context) error {
+// takeOverTails writes the held tails of departed instances to the store.
+func (b *Biller) takeOverTails(ctx context.Context) error {
 	var failed error
-	for _, t := range b.orphans() {
-		if err := b.finish(ctx, t); err != nil {
+	for _, t := range b.orphanedTails() {
+		if err := b.takeOver(ctx, t); err != nil {
 			failed = errors.Join(failed, err)
 		}
 	}
 	return failed
 }
 
-func (b *Biller) orphans() []ledger.Tail {
+// orphanedTails marks the held tails whose owner is gone as orphans and returns all orphans.
+func (b *Biller) orphanedTails() []ledger.Tail {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var list []ledger.Tail
-	for id, c := range b.held {
+	for id, c := range b.heldTails {
 		c.orphan = c.orphan || b.config.Gone(id)
-		b.held[id] = c
+		b.heldTails[id] = c
 		if c.orphan {
 			list = append(list, c.tail)
 		}
@@ -112,15 +115,15 @@
 	return list
 }
 
-// finish writes what the store lacks of the tail and forgets it.
-func (b *Biller) finish(ctx context.Context, t ledger.Tail) error {
-	last, err := b.lastFlushed(ctx, t.Owner())
+// takeOver writes the part of the tail that is not yet in the store, and then drops the tail.
+func (b *Biller) takeOver(ctx context.Context, t ledger.Tail) error {
+	last, err := b.lastStored(ctx, t.Owner())
 	if err != nil {
 		return err
 	}
 	t = t.WithFlushed(last)
 	for t.Len() > 0 {
-		last, err := b.write(ctx, t.Segment(b.config.SegmentBytes))
+		last, err := b.writeSegment(ctx, t.Segment(b.config.SegmentBytes))
 		if err != nil {
 			return err
 		}
@@ -128,15 +131,16 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	// The owner may have been taken for gone too early and have sent more meanwhile.
-	if b.held[t.Owner()].tail.Last() <= t.Flushed() {
-		delete(b.held, t.Owner())
+	// The owner may still be running, and may have sent further entries in the meantime.
+	if b.heldTails[t.Owner()].tail.Last() <= t.Flushed() {
+		delete(b.heldTails, t.Owner())
 	}
 	return nil
 }
 
-// lastFlushed returns the end of the owner's chain in the store.
-func (b *Biller) lastFlushed(ctx context.Context, owner value.InstanceID) (int64, error) {
+// lastStored returns the last sequence number of the owner's chain in the store, or zero where
+// there is no chain.
+func (b *Biller) lastStored(ctx context.Context, owner value.InstanceID) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, b.config.Timeout)
 	defer cancel()
 	l, err := b.config.Store.List(ctx, ownerPrefix(owner))
@@ -153,9 +157,9 @@
 	return s.Last(), nil
 }
 
-// Read returns every segment in the store.
+// Read returns the segments of all instances that are in the store.
 func Read(ctx context.Context, r plat.Reader) ([]ledger.Segment, error) {
-	l, err := r.List(ctx, prefix)
+	l, err := r.List(ctx, storePrefix)
 	if err != nil {
 		return nil, fmt.Errorf("read bills: %w", err)
 	}
--- a/io/bills/rig_test.go
+++ b/io/bills/rig_test.go
@@ -17,55 +17,57 @@
 	"endivehitch/io/plat"
 )
 
-const flushTime = 5 * time.Second
+const flushInterval = 5 * time.Second
 
-// never is the time between flushes where the test flushes by itself.
-func never() time.Duration { return time.Hour }
+// noFlush is a flush interval longer than any test, for tests that call Flush themselves.
+func noFlush() time.Duration { return time.Hour }
 
-type rig struct {
+// billsHarness is a fleet of billers with a store and a network whose faults can be set.
+type billsHarness struct {
 	t     testing.TB
 	store *fakes.Store
 	mesh  fakes.Mesh
 	mu    sync.Mutex
 	fleet []value.Instance
-	gone  map[value.InstanceID]bool
-	// adjust changes the configuration of the billers that are made after it is set.
+	// gone holds the instances that the others take to have departed.
+	gone map[value.InstanceID]bool
+	// adjust changes the configuration of the billers that are created after it is set.
 	adjust func(*bills.Config)
 }
 
-func newRig(t testing.TB) *rig {
+func newHarness(t testing.TB) *billsHarness {
 	t.Helper()
 	e, err := plat.NewEmbedded(plat.EmbeddedConfig{Now: time.Now, History: 100})
 	assert.NilError(t, err)
-	r := &rig{t: t, store: fakes.NewStore(e), gone: map[value.InstanceID]bool{}, adjust: func(*bills.Config) {}}
-	t.Cleanup(r.store.Drain)
-	t.Cleanup(r.mesh.Drain)
-	return r
+	h := &billsHarness{t: t, store: fakes.NewStore(e), gone: map[value.InstanceID]bool{}, adjust: func(*bills.Config) {}}
+	t.Cleanup(h.store.Drain)
+	t.Cleanup(h.mesh.Drain)
+	return h
 }
 
-// biller is one running instance, in a failure domain of its own.
+// biller is the running Biller of one instance, which has a failure domain of its own.
 type biller struct {
 	*bills.Biller
 	port *fakes.Port
 	stop func()
 }
 
-func (r *rig) biller(id value.InstanceID) biller {
-	r.t.Helper()
+func (h *billsHarness) biller(id value.InstanceID) biller {
+	h.t.Helper()
 	self := value.Instance{ID: id, PeerAddress: string(id), FailureDomain: value.FailureDomain(id), State: value.InstanceLive}
-	r.mu.Lock()
-	r.fleet = append(r.fleet, self)
-	r.mu.Unlock()
-	port := r.mesh.Join(self)
+	h.mu.Lock()
+	h.fleet = append(h.fleet, self)
+	h.mu.Unlock()
+	port := h.mesh.Join(self)
 	c := bills.Config{
 		Self:   self,
-		Store:  r.store,
+		Store:  h.store,
 		Caller: port,
 		Holders: func() []value.Instance {
-			r.mu.Lock()
-			defer r.mu.Unlock()
+			h.mu.Lock()
+			defer h.mu.Unlock()
 			var others []value.Instance
-			for _, i := range r.fleet {
+			for _, i := range h.fleet {
 				if i.ID != id && i.State == value.InstanceLive {
 					others = append(others, i)
 				}
@@ -73,12 +75,12 @@
 			return others[:min(len(others), 2)]
 		},
 		Gone: func(id value.InstanceID) bool {
-			r.mu.Lock()
-			defer r.mu.Unlock()
-			return r.gone[id]
+			h.mu.Lock()
+			defer h.mu.Unlock()
+			return h.gone[id]
 		},
 		Copies:       1,
-		Flush:        func() time.Duration { return flushTime },
+		Flush:        func() time.Duration { return flushInterval },
 		Patience:     2 * time.Second,
 		Timeout:      time.Second,
 		Backlog:      1000,
@@ -87,10 +89,10 @@
 		Backoff:      policy.Backoff{First: 100 * time.Millisecond, Limit: time.Second},
 		Seed:         uint64(len(id)),
 	}
-	r.adjust(&c)
+	h.adjust(&c)
 	b, err := bills.New(c)
-	assert.NilError(r.t, err)
-	assert.NilError(r.t, b.Register(port))
+	assert.NilError(h.t, err)
+	assert.NilError(h.t, b.Register(port))
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	running.Go(func() { b.Run(ctx) })
@@ -99,39 +101,39 @@
 		running.Wait()
 		b.Close()
 	})
-	r.t.Cleanup(stop)
+	h.t.Cleanup(stop)
 	return biller{Biller: b, port: port, stop: stop}
 }
 
-// kill ends the instance at once and has the others learn of it.
-func (r *rig) kill(b biller, id value.InstanceID) {
-	r.mesh.Remove(string(id))
+// kill stops the instance without a flush and marks it as gone.
+func (h *billsHarness) kill(b biller, id value.InstanceID) {
+	h.mesh.Remove(string(id))
 	b.stop()
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.gone[id] = true
-	for i := range r.fleet {
-		if r.fleet[i].ID == id {
-			r.fleet[i] = r.fleet[i].WithState(value.InstanceGone)
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.gone[id] = true
+	for i := range h.fleet {
+		if h.fleet[i].ID == id {
+			h.fleet[i] = h.fleet[i].WithState(value.InstanceGone)
 		}
 	}
 }
 
-func (r *rig) setFaults(f fakes.Faults) {
-	r.t.Helper()
-	assert.NilError(r.t, r.store.Set(f))
+func (h *billsHarness) setFaults(f fakes.Faults) {
+	h.t.Helper()
+	assert.NilError(h.t, h.store.Set(f))
 }
 
-// cut makes every instance unreachable to the others.
-func (r *rig) cut(off bool) {
-	r.mesh.Set(func(_, _ value.Instance) fakes.Fate { return fakes.Fate{Unsent: off} })
+// setPartitioned makes every instance unreachable to the others, or reachable again.
+func (h *billsHarness) setPartitioned(partitioned bool) {
+	h.mesh.Set(func(_, _ value.Instance) fakes.Fate { return fakes.Fate{Unsent: partitioned} })
 }
 
-// audit reconciles what the store holds with the requests 0 to n-1.
-func (r *rig) audit(n int) query.Audit {
-	r.t.Helper()
-	segments, err := bills.Read(context.Background(), r.store)
-	assert.NilError(r.t, err)
+// audit reconciles the bills in the store with the answered requests 0 to n-1.
+func (h *billsHarness) audit(n int) query.Audit {
+	h.t.Helper()
+	segments, err := bills.Read(context.Background(), h.store)
+	assert.NilError(h.t, err)
 	var answered []value.RequestID
 	for i := range n {
 		answered = append(answered, bill(i).Request)
--- a/io/bills/slope_test.go
+++ b/io/bills/slope_test.go
@@ -12,25 +12,26 @@
 	"endivehitch/io/bills"
 )
 
-// BenchmarkSlopeBills gives the bytes that an instance sends to holders and the writes that it makes
-// at the key-value service, for so many bills between two flushes.
+// BenchmarkSlopeBills measures the bytes that an instance sends to holders for each bill, and the
+// writes to the key-value service for each flush, depending on the number of bills between two
+// flushes.
 func BenchmarkSlopeBills(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 3000} {
 		b.Run(fmt.Sprintf("Bills%d", n), func(b *testing.B) {
 			for b.Loop() {
-				r := newRig(b)
-				r.adjust = func(c *bills.Config) {
-					c.Backlog, c.HeldEntries, c.SegmentBytes, c.Flush = 2*n, 2*n, 256<<10, never
+				harness := newHarness(b)
+				harness.adjust = func(c *bills.Config) {
+					c.Backlog, c.HeldEntries, c.SegmentBytes, c.Flush = 2*n, 2*n, 256<<10, noFlush
 				}
-				owner := r.biller("a")
-				r.biller("b")
-				r.biller("c")
+				owner := harness.biller("a")
+				harness.biller("b")
+				harness.biller("c")
 				for i := range n {
 					assert.NilError(b, owner.Keep(context.Background(), slopeBill(i)))
 				}
-				before := r.store.Writes()
+				before := harness.store.Writes()
 				assert.NilError(b, owner.Flush(context.Background()))
-				b.ReportMetric(float64(r.store.Writes()-before), "writes/flush")
+				b.ReportMetric(float64(harness.store.Writes()-before), "writes/flush")
 				b.ReportMetric(float64(owner.port.Sent().Bytes)/float64(n), "B-sent/bill")
 			}
 		})
--- a/io/bills/wire.go
+++ b/io/bills/wire.go
@@ -11,12 +11,13 @@
 	"endivehitch/io/plat"
 )
 
-// prefix is where the store keeps bills: one chain of segments for each owner.
-const prefix = "bills/"
+// storePrefix is the prefix of the keys of all segments in the store.
+const storePrefix = "bills/"
 
-// segmentFormat is the stored form's number; a reader refuses one that it does not know.
+// segmentFormat is the version of the stored format; a reader refuses any other version.
 const segmentFormat = 1
 
+// wireSegment is the stored form of a ledger.Segment.
 type wireSegment struct {
 	Format int
 	Owner  value.InstanceID
@@ -24,6 +25,7 @@
 	Bills  []wireBill
 }
 
+// wireBill is the stored form of a value.Bill.
 type wireBill struct {
 	Request      value.RequestID
 	Account      value.AccountName
@@ -37,10 +39,11 @@
 }
 
 func ownerPrefix(owner value.InstanceID) string {
-	return prefix + url.PathEscape(string(owner)) + "/"
+	return storePrefix + url.PathEscape(string(owner)) + "/"
 }
 
-// segmentKey sorts the segments of an owner by their first sequence number.
+// segmentKey returns the key of a segment. The number has a fixed width, so that the keys of an
+// owner sort by the segments' first sequence numbers.
 func segmentKey(owner value.InstanceID, first int64) string {
 	return fmt.Sprintf("%s%016d", ownerPrefix(owner), first)
 }
