--- a/io/node/config.go
+++ b/io/node/config.go
@@ -23,36 +23,39 @@
 	Keys   map[string]value.AccountName
 	Signer *front.Signer
 	Runner engine.Runner
-	// Reporter reads the load reports of backend servers; without one the instance goes by what it observes itself.
+	// Reporter reads the load reports of backend servers. Without one, the instance relies on its own
+	// observations.
 	Reporter engine.Reporter
-	// Judge assesses answers of cascades; without one no cascade is run.
+	// Judge assesses the answers of cascades. Without one, no cascade is run.
 	Judge flow.Judge
 	// Store is the platform's key-value service.
 	Store plat.Store
+	// Rates limits the instance's calls to Store.
 	Rates Rates
-	// List is the platform's instance list.
+	// List is the platform's list of instances and backend servers.
 	List plat.InstanceList
-	// Ratings is the platform's rating service; without one the estimates stay as the document states them.
+	// Ratings is the platform's rating service. Without one, the quality estimates stay as the
+	// environment document states them.
 	Ratings plat.RatingService
 	Peers   Peers
 	Log     *zap.Logger
 	Seed    uint64
-	// TLS, if set, is used towards callers.
+	// TLS, if set, is used for connections from callers.
 	TLS *tls.Config
-	// Grace is how long requests in flight may take once the node leaves.
+	// Grace is how long requests in flight may take to finish after the node has begun to leave.
 	Grace time.Duration
 }
 
-// Rates is the calls a second to the key-value service that one instance may make.
+// Rates holds the maximum numbers of calls per second to the key-value service by one instance.
 type Rates struct {
 	Reads  float64
 	Writes float64
 }
 
-// Peers is how the instance meets others of the fleet.
+// Peers configures the connections between the instances of the fleet.
 type Peers struct {
 	Listener net.Listener
-	// Server and Client hold the TLS settings of both sides; nil goes without TLS.
+	// Server and Client are the TLS settings for incoming and outgoing connections; nil means no TLS.
 	Server *tls.Config
 	Client *tls.Config
 }
@@ -60,7 +63,7 @@
 func (c Config) check() error {
 	switch {
 	case c.Self.ID == "" || c.Self.FailureDomain == "":
-		return errors.New("node: no instance or failure domain")
+		return errors.New("node: instance has no identifier or failure domain")
 	case c.Environment == "":
 		return errors.New("node: no environment")
 	case c.Signer == nil || c.Runner == nil:
--- a/io/node/decode.go
+++ b/io/node/decode.go
@@ -9,15 +9,16 @@
 	"endivehitch/io/plat"
 )
 
-// decoder turns the configuration's entries that changed into the command that puts them in force.
-func decoder(env value.Environment) func([]plat.Entry) (cmds.InstallRevision, error) {
+// newDecoder returns a function that decodes changed entries of the configuration into the command
+// that puts them in force. If some entries can't be decoded, it returns an error as well as the
+// command for the others.
+func newDecoder(env value.Environment) func([]plat.Entry) (cmds.InstallRevision, error) {
 	return func(changed []plat.Entry) (cmds.InstallRevision, error) {
 		c, err := conf.Decode(env, changed...)
-		spread := cmds.InstallRevision{Accepted: c.Accepted, RollOuts: c.RollOuts, Withdrawals: c.Withdrawals}
+		install := cmds.InstallRevision{Accepted: c.Accepted, RollOuts: c.RollOuts, Withdrawals: c.Withdrawals}
 		if err != nil {
-			// What could be read is put in force all the same.
-			return spread, fmt.Errorf("read configuration: %w", err)
+			return install, fmt.Errorf("read configuration: %w", err)
 		}
-		return spread, nil
+		return install, nil
 	}
 }
--- a/io/node/duties.go
+++ b/io/node/duties.go
@@ -16,20 +16,25 @@
 )
 
 const (
-	// feedEvery is the time between two looks at runs and ratings.
-	feedEvery = time.Second
-	// stepEvery is the time between two looks for due steps of roll-outs.
-	stepEvery = 2 * time.Second
+	// feedInterval is how often new attempts and ratings are passed to the control state.
+	feedInterval = time.Second
+	// stepInterval is how often the roll-outs are checked for steps that are due.
+	stepInterval = 2 * time.Second
 )
 
+// dutyPrefix returns the prefix of the keys under which the leases of duties are stored.
 func dutyPrefix(e value.Environment) string {
 	return "endivehitch/" + string(e) + "/duty/"
 }
 
-// duties is what the instance does for roll-outs, and the work that one instance of the fleet does at a time.
+// duties holds the components that work on roll-outs. A duty is a singleton task: it is run by the
+// one instance of the fleet that holds its lease.
 type duties struct {
+	// keeper stores the positions of roll-outs and the withdrawals of versions.
 	keeper *stage.Keeper
+	// feeder passes attempts and ratings to the control state and takes the steps that are due.
 	feeder *stage.Feeder
+	// runner acquires leases and runs their duties.
 	runner *lease.Runner
 }
 
@@ -38,46 +43,47 @@
 	var err error
 	failed := func(err error) { n.config.Log.Warn("RollOutFailed", zap.Error(err)) }
 	if d.keeper, err = stage.NewKeeper(stage.KeeperConfig{
-		Store:       n.parts.store,
+		Store:       n.components.store,
 		Environment: n.config.Environment,
 		Do:          n.control.Do,
 		Failed:      failed,
-		Delay:       n.delay(),
+		Delay:       n.newRetryDelay(),
 	}); err != nil {
-		return nil, fmt.Errorf("make keeper: %w", err)
+		return nil, fmt.Errorf("create roll-out keeper: %w", err)
 	}
 	if d.feeder, err = stage.NewFeeder(stage.FeederConfig{
 		Drain:    n.flow.Drain,
 		Ratings:  n.config.Ratings,
-		Caller:   n.parts.client,
+		Caller:   n.components.client,
 		Snapshot: n.control.Snapshot,
 		Do:       n.control.Do,
 		Failed:   failed,
 		Now:      time.Now,
-		Every:    feedEvery,
+		Every:    feedInterval,
 	}); err != nil {
-		return nil, fmt.Errorf("make feeder: %w", err)
+		return nil, fmt.Errorf("create roll-out feeder: %w", err)
 	}
-	if err = d.feeder.Register(n.parts.server); err != nil {
-		return nil, fmt.Errorf("offer feeder to other instances: %w", err)
+	if err = d.feeder.Register(n.components.server); err != nil {
+		return nil, fmt.Errorf("register RPC of roll-out feeder: %w", err)
 	}
 	if d.runner, err = lease.New(lease.Config{
 		Observer: n.control,
-		Store:    n.parts.store,
+		Store:    n.components.store,
 		Prefix:   dutyPrefix(n.config.Environment),
 		Rule:     fleet.DefaultLeaseRule(),
-		Duties:   []lease.Duty{{Name: "rollout", Run: d.steps}},
-		Record:   func(d state.RecordDecision) { n.log(d) },
+		Duties:   []lease.Duty{{Name: "rollout", Run: d.runRollOutSteps}},
+		Record:   func(d state.RecordDecision) { n.recordEvent(d) },
 		Seed:     n.config.Seed,
 	}); err != nil {
-		return nil, fmt.Errorf("make duty runner: %w", err)
+		return nil, fmt.Errorf("create duty runner: %w", err)
 	}
 	return d, nil
 }
 
-// steps takes the due steps of roll-outs for as long as the term lasts.
-func (d *duties) steps(ctx context.Context, t lease.Term) error {
-	ticker := time.NewTicker(stepEvery)
+// runRollOutSteps is the duty that takes the due steps of roll-outs, for as long as the lease's
+// term lasts.
+func (d *duties) runRollOutSteps(ctx context.Context, t lease.Term) error {
+	ticker := time.NewTicker(stepInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -94,8 +100,9 @@
 	}
 }
 
-// delay returns the jittered wait after so many failures in a row; its result is used by one goroutine.
-func (n *Node) delay() func(int) time.Duration {
+// newRetryDelay returns a function that computes the jittered delay after the given number of
+// consecutive failures. Only one goroutine may use it.
+func (n *Node) newRetryDelay() func(int) time.Duration {
 	rnd := newRand(n.config.Seed)
 	return func(failures int) time.Duration {
 		return policy.Backoff{First: backoffFirst, Limit: backoffLimit}.WithFailures(failures).Delay(rnd)
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -21,28 +21,28 @@
 )
 
 const (
-	mailboxCommands  = 1024
-	bodyBytes        = 4 << 20
-	readTimeout      = 10 * time.Second
-	writeTimeout     = 30 * time.Second
-	requestsInFlight = 4096
-	decisionsKept    = 8192
-	findParallel     = 32
-	findTimeout      = 2 * time.Second
-	statsEvery       = time.Second
+	mailboxSize        = 1024
+	maxBodyBytes       = 4 << 20
+	readTimeout        = 10 * time.Second
+	writeTimeout       = 30 * time.Second
+	maxInFlight        = 4096
+	maxStoredDecisions = 8192
+	maxParallelFinds   = 32
+	findTimeout        = 2 * time.Second
+	statsPeriod        = time.Second
 )
 
 // Node is one instance of the system.
 type Node struct {
-	config  Config
-	control *control
-	parts   *parts
-	flow    *flow.Flow
-	front   *front.Front
-	duties  *duties
-	record  *logs.Recorder
-	stats   *stats.Stats
-	finder  *trace.Finder
+	config     Config
+	control    *controlLoop
+	components *components
+	flow       *flow.Flow
+	front      *front.Front
+	duties     *duties
+	recorder   *logs.Recorder
+	stats      *stats.Stats
+	finder     *trace.Finder
 }
 
 // New returns a node that is not yet running.
@@ -54,32 +54,32 @@
 	l, err := loop.New(loop.Config[state.State, state.Effect]{
 		Initial: state.New(c.Self),
 		Now:     time.Now,
-		Mailbox: mailboxCommands,
+		Mailbox: mailboxSize,
 	})
 	if err != nil {
-		return nil, fmt.Errorf("make control loop: %w", err)
+		return nil, fmt.Errorf("create control loop: %w", err)
 	}
-	n := &Node{config: c, control: &control{loop: l}}
-	if n.parts, err = newParts(c, n.control); err != nil {
-		return nil, fmt.Errorf("make parts of instance: %w", err)
+	n := &Node{config: c, control: &controlLoop{loop: l}}
+	if n.components, err = newComponents(c, n.control); err != nil {
+		return nil, fmt.Errorf("create components: %w", err)
 	}
-	if n.record, err = logs.NewRecorder(logs.RecorderConfig{Log: c.Log, Keep: decisionsKept}); err != nil {
-		return nil, fmt.Errorf("make recorder: %w", err)
+	if n.recorder, err = logs.NewRecorder(logs.RecorderConfig{Log: c.Log, Keep: maxStoredDecisions}); err != nil {
+		return nil, fmt.Errorf("create decision recorder: %w", err)
 	}
-	if n.stats, err = stats.New(stats.Config{Now: time.Now, Period: statsEvery}); err != nil {
-		return nil, fmt.Errorf("make metrics: %w", err)
+	if n.stats, err = stats.New(stats.Config{Now: time.Now, Period: statsPeriod}); err != nil {
+		return nil, fmt.Errorf("create metrics: %w", err)
 	}
 	if n.finder, err = n.newFinder(); err != nil {
-		return nil, fmt.Errorf("make finder of decisions: %w", err)
+		return nil, fmt.Errorf("create decision finder: %w", err)
 	}
 	if n.flow, err = n.newFlow(); err != nil {
-		return nil, fmt.Errorf("make request flow: %w", err)
+		return nil, fmt.Errorf("create request flow: %w", err)
 	}
 	if n.duties, err = n.newDuties(); err != nil {
-		return nil, fmt.Errorf("make duties: %w", err)
+		return nil, fmt.Errorf("create duties: %w", err)
 	}
 	if n.front, err = n.newFront(); err != nil {
-		return nil, fmt.Errorf("make callers' face: %w", err)
+		return nil, fmt.Errorf("create caller API: %w", err)
 	}
 	return n, nil
 }
@@ -89,9 +89,9 @@
 		Snapshot: n.control.Snapshot,
 		Runner:   n.config.Runner,
 		Judge:    n.config.Judge,
-		Biller:   n.parts.biller,
-		Guard:    n.parts.guard,
-		Record:   n.decided,
+		Biller:   n.components.biller,
+		Guard:    n.components.guard,
+		Record:   n.recordDecision,
 		Now:      time.Now,
 		Seed:     n.config.Seed,
 	})
@@ -101,69 +101,70 @@
 	return front.New(front.Config{
 		Server:   n.stats.Count(n.flow),
 		Snapshot: n.control.Snapshot,
-		Able:     n.parts.biller.Ready,
+		Able:     n.components.biller.Ready,
 		Keys:     n.config.Keys,
 		Signer:   n.config.Signer,
 		Now:      time.Now,
 		Limits: front.Limits{
-			BodyBytes: bodyBytes,
+			BodyBytes: maxBodyBytes,
 			ReadTime:  readTimeout,
 			WriteTime: writeTimeout,
-			InFlight:  requestsInFlight,
+			InFlight:  maxInFlight,
 		},
 	})
 }
 
-// Do applies a command to the control state and returns once it is published.
+// Do applies a command to the control state and returns once the resulting state is published.
 func (n *Node) Do(ctx context.Context, c command) error {
 	return n.control.Do(ctx, c)
 }
 
-// Snapshot returns the control state of the moment.
+// Snapshot returns the current control state.
 func (n *Node) Snapshot() state.State {
 	return n.control.Snapshot()
 }
 
-// Watch returns the control state and a channel that is closed once there is a newer one.
+// Watch returns the current control state and a channel that is closed once there is a newer one.
 func (n *Node) Watch() (state.State, <-chan struct{}) {
 	return n.control.Watch()
 }
 
-// Store returns the key-value service inside the instance's budget.
+// Store returns the key-value service, limited to the instance's call budget.
 func (n *Node) Store() plat.Store {
-	return n.parts.store
+	return n.components.store
 }
 
-// Metrics serves the instance's metrics in Prometheus's text format.
+// Metrics returns a handler that serves the instance's metrics in Prometheus's text format.
 func (n *Node) Metrics() http.Handler {
 	return n.stats.Handler()
 }
 
-// decided logs, keeps and counts a routing decision.
-func (n *Node) decided(d value.Decision) {
-	n.record.Record(d)
+// recordDecision logs, stores and counts a routing decision.
+func (n *Node) recordDecision(d value.Decision) {
+	n.recorder.Record(d)
 	n.stats.Record(d)
 }
 
-// Decisions returns the kept decisions about the request, the first one first.
+// Decisions returns the decisions about the request that this instance still stores, oldest first.
 func (n *Node) Decisions(id value.RequestID) []value.Decision {
-	return n.record.Of(id)
+	return n.recorder.Of(id)
 }
 
-// Find returns the decisions about the request from whichever instance keeps them, the first one first.
+// Find returns the decisions about the request, oldest first: those of this instance or, if it has
+// none, those of another instance that still stores some.
 func (n *Node) Find(ctx context.Context, id value.RequestID) ([]value.Decision, error) {
 	return n.finder.Find(ctx, id)
 }
 
-// Survey returns the instances with what they say of their configuration.
+// Survey queries the instances and returns them with the configuration that each reports.
 func (n *Node) Survey(ctx context.Context) []value.Instance {
-	return n.parts.gossip.Survey(ctx)
+	return n.components.gossip.Survey(ctx)
 }
 
 func (n *Node) newFinder() (*trace.Finder, error) {
 	f, err := trace.New(trace.Config{
 		Self:  n.config.Self.ID,
-		Local: n.record.Of,
+		Local: n.recorder.Of,
 		Instances: func() []value.Instance {
 			var all []value.Instance
 			for _, i := range n.Snapshot().Instances().All() {
@@ -171,26 +172,27 @@
 			}
 			return all
 		},
-		Caller:   n.parts.client,
-		Parallel: findParallel,
+		Caller:   n.components.client,
+		Parallel: maxParallelFinds,
 		Timeout:  findTimeout,
 	})
 	if err != nil {
 		return nil, err
 	}
-	return f, f.Register(n.parts.server)
+	return f, f.Register(n.components.server)
 }
 
-// work carries out the control loop's effects.
-func (n *Node) work() {
+// dispatchEffects passes the control loop's effects to the components that carry them out.
+func (n *Node) dispatchEffects() {
 	for e := range n.control.loop.Effects() {
-		n.parts.gossip.Handle(e)
+		n.components.gossip.Handle(e)
 		n.duties.keeper.Take(e)
-		n.log(e)
+		n.recordEvent(e)
 	}
 }
 
-func (n *Node) log(e state.Effect) {
+// recordEvent logs and counts a RecordDecision; it ignores other effects.
+func (n *Node) recordEvent(e state.Effect) {
 	d, ok := e.(state.RecordDecision)
 	if !ok {
 		return
--- a/io/node/node_test.go
+++ b/io/node/node_test.go
@@ -33,7 +33,8 @@
 
 const apiKey = "ward-key"
 
-type rig struct {
+// nodeHarness is a running node with a fake backend server in each of two pools.
+type nodeHarness struct {
 	base  string
 	chat  *fakes.Chat
 	plain *fakes.Plain
@@ -43,30 +44,31 @@
 	ended chan error
 }
 
-func start(t *testing.T) *rig {
+// startNode starts a node and waits until it has a configuration and both backend servers.
+func startNode(t *testing.T) *nodeHarness {
 	t.Helper()
-	f := &rig{chat: &fakes.Chat{Name: "small"}, plain: &fakes.Plain{Name: "desk"}, ended: make(chan error, 1)}
-	engineAt := httptest.NewServer(f.chat)
-	t.Cleanup(engineAt.Close)
-	plainAt := httptest.NewServer(f.plain)
-	t.Cleanup(plainAt.Close)
+	harness := &nodeHarness{chat: &fakes.Chat{Name: "small"}, plain: &fakes.Plain{Name: "desk"}, ended: make(chan error, 1)}
+	chatServer := httptest.NewServer(harness.chat)
+	t.Cleanup(chatServer.Close)
+	plainServer := httptest.NewServer(harness.plain)
+	t.Cleanup(plainServer.Close)
 	store, err := plat.NewEmbedded(plat.EmbeddedConfig{Now: time.Now, History: 256})
 	assert.NilError(t, err)
-	f.store = store
+	harness.store = store
 	l, peers := listen(t), listen(t)
-	f.base = "http://" + l.Addr().String()
-	f.node, err = node.New(config(t, store, peers, []value.BackendServer{
-		{ID: "e-1", Address: engineAt.URL, Pool: "engines", Versions: []value.VersionKey{"drafting-llm/small"}, State: value.ServerLive},
-		{ID: "p-1", Address: plainAt.URL, Pool: "desk", State: value.ServerLive},
+	harness.base = "http://" + l.Addr().String()
+	harness.node, err = node.New(newConfig(t, store, peers, []value.BackendServer{
+		{ID: "e-1", Address: chatServer.URL, Pool: "engines", Versions: []value.VersionKey{"drafting-llm/small"}, State: value.ServerLive},
+		{ID: "p-1", Address: plainServer.URL, Pool: "desk", State: value.ServerLive},
 	}))
 	assert.NilError(t, err)
 	ctx, stop := context.WithCancel(t.Context())
-	f.stop = stop
-	go func() { f.ended <- f.node.Run(ctx, l) }()
+	harness.stop = stop
+	go func() { harness.ended <- harness.node.Run(ctx, l) }()
 	t.Cleanup(stop)
-	assert.NilError(t, f.node.Do(ctx, cmds.InstallConfig{Accepted: value.AcceptedDocument{Document: document(), Digest: "d", Revision: 1}}))
-	await(t, f.node, func(s state.State) bool { return s.Servers().Len() == 2 })
-	return f
+	assert.NilError(t, harness.node.Do(ctx, cmds.InstallConfig{Accepted: value.AcceptedDocument{Document: testDocument(), Digest: "d", Revision: 1}}))
+	awaitState(t, harness.node, func(s state.State) bool { return s.Servers().Len() == 2 })
+	return harness
 }
 
 func listen(t *testing.T) net.Listener {
@@ -76,7 +78,7 @@
 	return l
 }
 
-func config(t *testing.T, store plat.Store, peers net.Listener, servers []value.BackendServer) node.Config {
+func newConfig(t *testing.T, store plat.Store, peers net.Listener, servers []value.BackendServer) node.Config {
 	t.Helper()
 	runner, err := engine.NewHTTP(engine.HTTPConfig{DialTimeout: time.Second, IdleConnections: 4})
 	assert.NilError(t, err)
@@ -98,28 +100,28 @@
 	}
 }
 
-// await returns once the node's control state is as wanted.
-func await(t *testing.T, n *node.Node, wanted func(state.State) bool) {
+// awaitState returns once the node's control state satisfies the condition.
+func awaitState(t *testing.T, n *node.Node, condition func(state.State) bool) {
 	t.Helper()
 	for {
 		s, changed := n.Watch()
-		if wanted(s) {
+		if condition(s) {
 			return
 		}
 		select {
 		case <-changed:
 		case <-t.Context().Done():
-			t.Fatal("test ended")
+			t.Fatal("control state did not satisfy the condition before the test ended")
 		}
 	}
 }
 
-// billed stops the node and returns the requests that its bills charge.
-func (f *rig) billed(t *testing.T) []value.RequestID {
+// stopAndReadBilled stops the node and returns the requests that its bills charge.
+func (h *nodeHarness) stopAndReadBilled(t *testing.T) []value.RequestID {
 	t.Helper()
-	f.stop()
-	assert.NilError(t, <-f.ended)
-	segments, err := bills.Read(t.Context(), f.store)
+	h.stop()
+	assert.NilError(t, <-h.ended)
+	segments, err := bills.Read(t.Context(), h.store)
 	assert.NilError(t, err)
 	var charged []value.RequestID
 	for _, b := range query.Reconcile(segments, nil).Charges {
@@ -128,7 +130,7 @@
 	return charged
 }
 
-func document() value.Document {
+func testDocument() value.Document {
 	return value.Document{
 		ClientAccounts: []value.ClientAccount{{
 			Name: "ward-12", Share: 1,
@@ -146,26 +148,26 @@
 	}
 }
 
-func client(f *rig) openai.Client {
+func newChatClient(harness *nodeHarness) openai.Client {
 	return openai.NewClient(
 		option.WithAPIKey(apiKey),
-		option.WithBaseURL(f.base+"/v1/"),
+		option.WithBaseURL(harness.base+"/v1/"),
 		option.WithHeader("Endivehitch-Kind", "spelling"),
 		option.WithMaxRetries(0),
 	)
 }
 
-func question() openai.ChatCompletionNewParams {
+func chatParams() openai.ChatCompletionNewParams {
 	return openai.ChatCompletionNewParams{
 		Model:    "auto",
 		Messages: []openai.ChatCompletionMessageParamUnion{openai.UserMessage("thali")},
 	}
 }
 
-func TestClientLibraryGetsWholeStreamedAnswer(t *testing.T) {
-	f := start(t)
-	c := client(f)
-	stream := c.Chat.Completions.NewStreaming(t.Context(), question())
+func TestClientLibraryGetsCompleteStreamedAnswer(t *testing.T) {
+	harness := startNode(t)
+	client := newChatClient(harness)
+	stream := client.Chat.Completions.NewStreaming(t.Context(), chatParams())
 	var acc openai.ChatCompletionAccumulator
 	for stream.Next() {
 		acc.AddChunk(stream.Current())
@@ -173,56 +175,56 @@
 	assert.NilError(t, stream.Err())
 	assert.Equal(t, acc.Choices[0].Message.Content, "small on drafting-llm/small answers: thali")
 	assert.Equal(t, acc.Choices[0].FinishReason, "stop")
-	assert.Equal(t, len(f.billed(t)), 1)
+	assert.Equal(t, len(harness.stopAndReadBilled(t)), 1)
 }
 
-func TestClientLibraryGetsWholeAnswer(t *testing.T) {
-	f := start(t)
-	c := client(f)
-	answer, err := c.Chat.Completions.New(t.Context(), question())
+func TestClientLibraryGetsCompleteAnswer(t *testing.T) {
+	harness := startNode(t)
+	client := newChatClient(harness)
+	answer, err := client.Chat.Completions.New(t.Context(), chatParams())
 	assert.NilError(t, err)
 	assert.Equal(t, answer.Choices[0].Message.Content, "small on drafting-llm/small answers: thali")
-	assert.Equal(t, len(f.billed(t)), 1)
+	assert.Equal(t, len(harness.stopAndReadBilled(t)), 1)
 }
 
-func TestCutStreamIsNeverAFalseEnd(t *testing.T) {
-	f := start(t)
-	f.chat.Break(fakes.FaultCut)
-	c := client(f)
-	stream := c.Chat.Completions.NewStreaming(t.Context(), question())
+func TestTruncatedStreamEndsInErrorAndIsNotBilled(t *testing.T) {
+	harness := startNode(t)
+	harness.chat.Break(fakes.FaultCut)
+	client := newChatClient(harness)
+	stream := client.Chat.Completions.NewStreaming(t.Context(), chatParams())
 	for stream.Next() {
 	}
-	assert.Assert(t, stream.Err() != nil, "the caller must see that the answer is not whole")
-	assert.Equal(t, len(f.billed(t)), 0)
+	assert.Assert(t, stream.Err() != nil, "the caller must learn that the answer is incomplete")
+	assert.Equal(t, len(harness.stopAndReadBilled(t)), 0)
 }
 
-func TestReorderRunsOnceAlsoWhenItsAnswerIsLost(t *testing.T) {
-	f := start(t)
-	f.plain.Break(fakes.FaultReset)
-	status, body := send(t, f, "POST", "/v1/services/reorder-desk/orders", "reorder", "k-1", "40 menus")
+func TestReorderRunsOnceWhenItsAnswerIsLost(t *testing.T) {
+	harness := startNode(t)
+	harness.plain.Break(fakes.FaultReset)
+	status, body := send(t, harness, "POST", "/v1/services/reorder-desk/orders", "reorder", "k-1", "40 menus")
 	assert.Equal(t, status, http.StatusBadGateway, body)
-	f.plain.Break(fakes.FaultNone)
-	status, body = send(t, f, "POST", "/v1/services/reorder-desk/orders", "reorder", "k-1", "40 menus")
+	harness.plain.Break(fakes.FaultNone)
+	status, body = send(t, harness, "POST", "/v1/services/reorder-desk/orders", "reorder", "k-1", "40 menus")
 	assert.Equal(t, status, http.StatusConflict)
 	assert.Assert(t, strings.Contains(body, "OutcomeUnknown"), body)
-	assert.Equal(t, f.plain.Effects()["40 menus"], 1)
+	assert.Equal(t, harness.plain.Effects()["40 menus"], 1)
 }
 
 func TestReorderWithoutKeyIsRefused(t *testing.T) {
-	f := start(t)
-	status, body := send(t, f, "POST", "/v1/services/reorder-desk/orders", "reorder", "", "40 menus")
+	harness := startNode(t)
+	status, body := send(t, harness, "POST", "/v1/services/reorder-desk/orders", "reorder", "", "40 menus")
 	assert.Equal(t, status, http.StatusBadRequest)
 	assert.Assert(t, strings.Contains(body, "IdempotencyKeyRequired"), body)
-	assert.Equal(t, len(f.plain.Effects()), 0)
+	assert.Equal(t, len(harness.plain.Effects()), 0)
 }
 
-func TestShutdownFinishesWhatIsInFlight(t *testing.T) {
-	f := start(t)
-	c := client(f)
-	stream := c.Chat.Completions.NewStreaming(t.Context(), question())
+func TestShutdownFinishesRequestInFlight(t *testing.T) {
+	harness := startNode(t)
+	client := newChatClient(harness)
+	stream := client.Chat.Completions.NewStreaming(t.Context(), chatParams())
 	assert.Assert(t, stream.Next())
 	text := stream.Current().Choices[0].Delta.Content
-	f.stop()
+	harness.stop()
 	for stream.Next() {
 		if len(stream.Current().Choices) > 0 {
 			text += stream.Current().Choices[0].Delta.Content
@@ -230,22 +232,22 @@
 	}
 	assert.NilError(t, stream.Err())
 	assert.Equal(t, text, "small on drafting-llm/small answers: thali")
-	assert.NilError(t, <-f.ended)
-	_, err := http.Get(f.base + "/ready")
-	var dial *net.OpError
-	assert.Assert(t, errors.As(err, &dial), "a stopped instance must not be ready")
+	assert.NilError(t, <-harness.ended)
+	_, err := http.Get(harness.base + "/ready")
+	var dialError *net.OpError
+	assert.Assert(t, errors.As(err, &dialError), "a stopped instance must not accept connections")
 }
 
-func TestMetricsShowWhatCallersGot(t *testing.T) {
-	f := start(t)
-	status, body := send(t, f, "POST", "/v1/services/reorder-desk/orders", "reorder", "k-1", "40 menus")
+func TestMetricsCountAnswersRefusalsAndBills(t *testing.T) {
+	harness := startNode(t)
+	status, body := send(t, harness, "POST", "/v1/services/reorder-desk/orders", "reorder", "k-1", "40 menus")
 	assert.Equal(t, status, http.StatusOK, body)
-	status, body = send(t, f, "POST", "/v1/services/reorder-desk/orders", "reorder", "", "40 menus")
+	status, body = send(t, harness, "POST", "/v1/services/reorder-desk/orders", "reorder", "", "40 menus")
 	assert.Equal(t, status, http.StatusBadRequest, body)
-	f.stop()
-	assert.NilError(t, <-f.ended)
+	harness.stop()
+	assert.NilError(t, <-harness.ended)
 	w := httptest.NewRecorder()
-	f.node.Metrics().ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
+	harness.node.Metrics().ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 	for _, line := range []string{
 		`endivehitch_answers_total{kind="reorder"} 1`,
 		`endivehitch_bills_total{outcome="Kept"} 1`,
@@ -257,9 +259,11 @@
 	}
 }
 
-func send(t *testing.T, f *rig, method, path, kind, key, body string) (int, string) {
+// send sends a request to the node and returns the status and the body of the response; an empty
+// key sends no idempotency key.
+func send(t *testing.T, harness *nodeHarness, method, path, kind, key, body string) (int, string) {
 	t.Helper()
-	req, err := http.NewRequestWithContext(t.Context(), method, f.base+path, strings.NewReader(body))
+	req, err := http.NewRequestWithContext(t.Context(), method, harness.base+path, strings.NewReader(body))
 	assert.NilError(t, err)
 	req.Header.Set("Authorization", "Bearer "+apiKey)
 	req.Header.Set("Endivehitch-Kind", kind)
@@ -274,13 +278,13 @@
 	return resp.StatusCode, string(answer)
 }
 
-func TestRefusalSaysWhetherItRan(t *testing.T) {
-	f := start(t)
-	f.chat.Break(fakes.FaultReset)
-	status, body := send(t, f, "POST", "/v1/chat/completions", "spelling", "", `{"messages":[{"role":"user","content":"x"}]}`)
+func TestRefusalStatesWhetherRequestRan(t *testing.T) {
+	harness := startNode(t)
+	harness.chat.Break(fakes.FaultReset)
+	status, body := send(t, harness, "POST", "/v1/chat/completions", "spelling", "", `{"messages":[{"role":"user","content":"x"}]}`)
 	assert.Equal(t, status, http.StatusBadGateway)
 	assert.Assert(t, strings.Contains(body, `"NotRun":false`), body)
-	status, body = send(t, f, "POST", "/v1/chat/completions", "no-such-kind", "", `{"messages":[{"role":"user","content":"x"}]}`)
+	status, body = send(t, harness, "POST", "/v1/chat/completions", "no-such-kind", "", `{"messages":[{"role":"user","content":"x"}]}`)
 	assert.Equal(t, status, http.StatusForbidden)
 	assert.Assert(t, strings.Contains(body, `"NotRun":true`), body)
 }
--- a/io/node/parts.go
+++ b/io/node/parts.go
@@ -22,86 +22,89 @@
 )
 
 const (
-	storeTimeout  = 2 * time.Second
-	storeBurst    = 16
-	storeQueue    = 1024
-	storeWatches  = 64
-	storeTries    = 4
-	storeRetries  = 5
-	backoffFirst  = 50 * time.Millisecond
-	backoffLimit  = 5 * time.Second
-	journalBytes  = 512 << 10
-	answerBytes   = 8 << 10
-	journalKeep   = 24 * time.Hour
-	journalWait   = 30 * time.Second
-	journalGap    = 20 * time.Millisecond
-	journalGroup  = 256
-	journalQueue  = 1024
-	ownerTimeout  = time.Second
-	settleWait    = 2 * time.Second
-	settleBacklog = 4096
-	billCopies    = 1
-	billPatience  = 5 * time.Second
-	billBacklog   = 16384
-	segmentBytes  = 256 << 10
+	storeTimeout         = 2 * time.Second
+	storeBurst           = 16
+	maxQueuedStoreCalls  = 1024
+	maxStoreWatches      = 64
+	maxStoreAttempts     = 4
+	storeRetryRate       = 5
+	backoffFirst         = 50 * time.Millisecond
+	backoffLimit         = 5 * time.Second
+	maxJournalBytes      = 512 << 10
+	maxAnswerBytes       = 8 << 10
+	journalRetention     = 24 * time.Hour
+	claimAbandonAfter    = 30 * time.Second
+	journalWriteInterval = 20 * time.Millisecond
+	maxJournalGroup      = 256
+	maxQueuedClaims      = 1024
+	ownerTimeout         = time.Second
+	settleWait           = 2 * time.Second
+	maxSettleBacklog     = 4096
+	billCopies           = 1
+	billKeepTimeout      = 5 * time.Second
+	maxBillBacklog       = 16384
+	maxSegmentBytes      = 256 << 10
 )
 
-// parts is what the node is put together from, beside the control loop and the faces.
-type parts struct {
-	store  *plat.Budget
+// components holds the parts of the node that request flow and duties build on.
+type components struct {
+	// store is the key-value service, limited to the instance's call budget.
+	store *plat.Budget
+	// server and client are the two sides of the RPC connections between instances.
 	server *peer.Server
 	client *peer.Client
 	gossip *gossip.Gossip
+	// guard lets requests that are not idempotent run at most once.
 	guard  *once.Guard
 	biller *bills.Biller
 }
 
-func newParts(c Config, control *control) (*parts, error) {
-	store, err := newBudget(c)
+func newComponents(c Config, control *controlLoop) (*components, error) {
+	store, err := newStoreBudget(c)
 	if err != nil {
 		return nil, err
 	}
 	server, err := peer.NewServer(peer.ServerConfig{TLS: c.Peers.Server})
 	if err != nil {
-		return nil, fmt.Errorf("make peer server: %w", err)
+		return nil, fmt.Errorf("create peer server: %w", err)
 	}
 	client, err := peer.NewClient(peer.ClientConfig{TLS: c.Peers.Client, Seed: c.Seed})
 	if err != nil {
-		return nil, fmt.Errorf("make peer client: %w", err)
+		return nil, fmt.Errorf("create peer client: %w", err)
 	}
-	p := &parts{store: store, server: server, client: client}
+	p := &components{store: store, server: server, client: client}
 	if err := errors.Join(p.addGossip(c, control), p.addGuard(c, control), p.addBiller(c, control)); err != nil {
 		return nil, err
 	}
 	return p, nil
 }
 
-func backoff() policy.Backoff {
+func retryBackoff() policy.Backoff {
 	return policy.Backoff{First: backoffFirst, Limit: backoffLimit}
 }
 
-// newBudget keeps all calls of the instance to the key-value service inside one budget.
-func newBudget(c Config) (*plat.Budget, error) {
+// newStoreBudget limits all calls of the instance to the key-value service to one budget.
+func newStoreBudget(c Config) (*plat.Budget, error) {
 	b, err := plat.NewBudget(plat.BudgetConfig{
 		Store:   c.Store,
 		Reads:   c.Rates.Reads,
 		Writes:  c.Rates.Writes,
 		Burst:   storeBurst,
-		Queue:   storeQueue,
-		Watches: storeWatches,
+		Queue:   maxQueuedStoreCalls,
+		Watches: maxStoreWatches,
 		Timeout: storeTimeout,
-		Tries:   storeTries,
-		Retries: storeRetries,
-		Backoff: backoff(),
+		Tries:   maxStoreAttempts,
+		Retries: storeRetryRate,
+		Backoff: retryBackoff(),
 		Seed:    c.Seed,
 	})
 	if err != nil {
-		return nil, fmt.Errorf("make store budget: %w", err)
+		return nil, fmt.Errorf("create call budget of key-value service: %w", err)
 	}
 	return b, nil
 }
 
-func (p *parts) addGossip(c Config, control *control) error {
+func (p *components) addGossip(c Config, control *controlLoop) error {
 	g, err := gossip.New(gossip.Config{
 		Control:   control,
 		Caller:    p.client,
@@ -109,18 +112,18 @@
 		List:      c.List,
 		Store:     p.store,
 		Prefix:    conf.Prefix(c.Environment),
-		Decode:    decoder(c.Environment),
+		Decode:    newDecoder(c.Environment),
 		Timing:    fleet.DefaultTiming(),
 		Seed:      c.Seed,
 	})
 	if err != nil {
-		return fmt.Errorf("make gossip: %w", err)
+		return fmt.Errorf("create gossip: %w", err)
 	}
 	p.gossip = g
 	return nil
 }
 
-func (p *parts) addGuard(c Config, control *control) error {
+func (p *components) addGuard(c Config, control *controlLoop) error {
 	g, err := once.New(once.Config{
 		Self:  c.Self.ID,
 		Store: p.store,
@@ -128,55 +131,55 @@
 			return query.Owner(control.Snapshot(), slot)
 		},
 		Caller:       p.client,
-		Gone:         control.gone,
+		Gone:         control.hasDeparted,
 		Now:          time.Now,
-		Rule:         ledger.JournalRule{Retention: journalKeep, AbandonAfter: journalWait, MaxBytes: journalBytes, MaxAnswerBytes: answerBytes},
+		Rule:         ledger.JournalRule{Retention: journalRetention, AbandonAfter: claimAbandonAfter, MaxBytes: maxJournalBytes, MaxAnswerBytes: maxAnswerBytes},
 		Slots:        state.Slots,
 		Writes:       c.Rates.Writes,
-		Interval:     journalGap,
-		Group:        journalGroup,
-		Queue:        journalQueue,
+		Interval:     journalWriteInterval,
+		Group:        maxJournalGroup,
+		Queue:        maxQueuedClaims,
 		OwnerTimeout: ownerTimeout,
 		StoreTimeout: storeTimeout,
 		SettleWait:   settleWait,
-		Backlog:      settleBacklog,
-		Backoff:      backoff(),
+		Backlog:      maxSettleBacklog,
+		Backoff:      retryBackoff(),
 		NewToken:     uuid.NewString,
 		Seed:         c.Seed,
 	})
 	if err != nil {
-		return fmt.Errorf("make guard: %w", err)
+		return fmt.Errorf("create idempotency guard: %w", err)
 	}
 	p.guard = g
 	if err := g.Register(p.server); err != nil {
-		return fmt.Errorf("offer journal: %w", err)
+		return fmt.Errorf("register RPC of idempotency guard: %w", err)
 	}
 	return nil
 }
 
-func (p *parts) addBiller(c Config, control *control) error {
+func (p *components) addBiller(c Config, control *controlLoop) error {
 	b, err := bills.New(bills.Config{
 		Self:         c.Self,
 		Store:        p.store,
 		Caller:       p.client,
 		Holders:      func() []value.Instance { return query.BillReplicas(control.Snapshot()) },
-		Gone:         control.departed,
+		Gone:         control.needsBillTakeover,
 		Copies:       billCopies,
 		Flush:        func() time.Duration { return query.FlushInterval(control.Snapshot()) },
-		Patience:     billPatience,
+		Patience:     billKeepTimeout,
 		Timeout:      storeTimeout,
-		Backlog:      billBacklog,
-		SegmentBytes: segmentBytes,
-		HeldEntries:  billBacklog,
-		Backoff:      backoff(),
+		Backlog:      maxBillBacklog,
+		SegmentBytes: maxSegmentBytes,
+		HeldEntries:  maxBillBacklog,
+		Backoff:      retryBackoff(),
 		Seed:         c.Seed,
 	})
 	if err != nil {
-		return fmt.Errorf("make biller: %w", err)
+		return fmt.Errorf("create biller: %w", err)
 	}
 	p.biller = b
 	if err := b.Register(p.server); err != nil {
-		return fmt.Errorf("offer bills: %w", err)
+		return fmt.Errorf("register RPC of biller: %w", err)
 	}
 	return nil
 }
--- a/io/node/run.go
+++ b/io/node/run.go
@@ -18,33 +18,35 @@
 )
 
 const (
-	headerBytes       = 64 << 10
+	maxHeaderBytes    = 64 << 10
 	readHeaderTimeout = 5 * time.Second
 	idleTimeout       = 90 * time.Second
-	// settleTimeout bounds the last writes of an instance that leaves.
-	settleTimeout = 10 * time.Second
-	// reportEvery and reportBatch bound the reading of load reports, whatever the fleet's size.
-	reportEvery = time.Second
-	reportBatch = 4
+	// flushPendingTimeout limits the last writes of an instance that leaves.
+	flushPendingTimeout = 10 * time.Second
+	// reportInterval and reportBatchSize limit the rate at which load reports are read, independently
+	// of the number of backend servers.
+	reportInterval  = time.Second
+	reportBatchSize = 4
 )
 
-// Run serves callers on the listener until the context ends, then lets requests in flight finish
-// and makes what they left last.
+// Run serves callers on the listener until the context ends. It then lets requests in flight finish
+// and stores their bills and the ends of their claims.
 func (n *Node) Run(ctx context.Context, l net.Listener) error {
-	// The control loop and the peers outlive the context: requests in flight still need them.
-	control, stop := context.WithCancel(context.WithoutCancel(ctx))
+	// The control loop and the RPC connections must outlive ctx, because requests in flight still need
+	// them.
+	parent, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	g, gctx := errgroup.WithContext(control)
-	n.startParts(gctx, g)
-	n.startDuties(ctx, gctx, g)
+	g, controlCtx := errgroup.WithContext(parent)
+	n.startComponents(controlCtx, g)
+	n.startDuties(ctx, controlCtx, g)
 	g.Go(func() error {
 		defer stop()
-		return errors.Join(n.serve(ctx, gctx, l), n.settle(gctx))
+		return errors.Join(n.serve(ctx, controlCtx, l), n.flushPending(controlCtx))
 	})
 	err := g.Wait()
-	n.parts.guard.Close()
-	n.parts.biller.Close()
-	n.parts.client.Close()
+	n.components.guard.Close()
+	n.components.biller.Close()
+	n.components.client.Close()
 	err = errors.Join(err, n.stats.Close())
 	if err != nil {
 		return fmt.Errorf("run instance: %w", err)
@@ -52,18 +54,20 @@
 	return nil
 }
 
-func (n *Node) startParts(ctx context.Context, g *errgroup.Group) {
-	p := n.parts
+// startComponents starts the control loop and the components that run until the last request is
+// done.
+func (n *Node) startComponents(ctx context.Context, g *errgroup.Group) {
+	p := n.components
 	g.Go(func() error {
 		n.control.loop.Run(ctx)
 		return nil
 	})
 	g.Go(func() error {
-		n.work()
+		n.dispatchEffects()
 		return nil
 	})
 	g.Go(func() error { return p.server.Serve(ctx, n.config.Peers.Listener) })
-	g.Go(func() error { return ended(ctx, p.gossip.Run(ctx)) })
+	g.Go(func() error { return ignoreIfCancelled(ctx, p.gossip.Run(ctx)) })
 	g.Go(func() error {
 		p.biller.Run(ctx)
 		return nil
@@ -72,68 +76,71 @@
 		n.flow.Follow(ctx, n.control.Watch)
 		return nil
 	})
-	g.Go(func() error { return n.stats.Run(ctx, n.sources()) })
+	g.Go(func() error { return n.stats.Run(ctx, n.metricSources()) })
 	if n.config.Reporter != nil {
 		g.Go(func() error {
-			n.flow.Poll(ctx, flow.PollConfig{From: n.config.Reporter, Every: reportEvery, Batch: reportBatch})
+			n.flow.Poll(ctx, flow.PollConfig{From: n.config.Reporter, Every: reportInterval, Batch: reportBatchSize})
 			return nil
 		})
 	}
-	servers := &lister{list: n.config.List, control: n.control, log: n.config.Log}
-	g.Go(func() error { return servers.run(ctx) })
+	syncer := &serverSyncer{list: n.config.List, control: n.control, log: n.config.Log}
+	g.Go(func() error { return syncer.run(ctx) })
 }
 
-// sources are the parts whose counts the metrics sample.
-func (n *Node) sources() stats.Sources {
+// metricSources returns the components whose counts the metrics sample.
+func (n *Node) metricSources() stats.Sources {
 	return stats.Sources{
 		Snapshot:  n.control.Snapshot,
-		Usage:     n.parts.store.Usage,
+		Usage:     n.components.store.Usage,
 		Waiting:   n.flow.Waiting,
-		Unsettled: n.parts.guard.Unsettled,
-		Unsafe:    n.parts.biller.Unsafe,
+		Unsettled: n.components.guard.Unsettled,
+		Unsafe:    n.components.biller.Unsafe,
 	}
 }
 
-// startDuties starts the work for roll-outs; duties end with the context, before requests in flight do.
-func (n *Node) startDuties(ctx, control context.Context, g *errgroup.Group) {
+// startDuties starts the work on roll-outs. Leases and their duties end with ctx, before requests
+// in flight are finished; the keeper and the feeder run until controlCtx ends.
+func (n *Node) startDuties(ctx, controlCtx context.Context, g *errgroup.Group) {
 	d := n.duties
-	g.Go(func() error { return d.keeper.Run(control) })
-	g.Go(func() error { return d.feeder.Run(control) })
+	g.Go(func() error { return d.keeper.Run(controlCtx) })
+	g.Go(func() error { return d.feeder.Run(controlCtx) })
 	serving, stop := context.WithCancel(ctx)
-	context.AfterFunc(control, stop)
-	g.Go(func() error { return ended(serving, d.runner.Run(serving)) })
+	context.AfterFunc(controlCtx, stop)
+	g.Go(func() error { return ignoreIfCancelled(serving, d.runner.Run(serving)) })
 }
 
-// ended drops the error of a part that ended with its context.
-func ended(ctx context.Context, err error) error {
+// ignoreIfCancelled returns nil if the context has ended, and the error otherwise.
+func ignoreIfCancelled(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return nil
 	}
 	return err
 }
 
-func (n *Node) serve(ctx, control context.Context, l net.Listener) error {
+// serve serves callers until ctx or controlCtx ends, and then lets the instance leave.
+func (n *Node) serve(ctx, controlCtx context.Context, l net.Listener) error {
 	server := &http.Server{
 		Handler:           n.front.Handler(),
 		ReadHeaderTimeout: readHeaderTimeout,
 		IdleTimeout:       idleTimeout,
-		MaxHeaderBytes:    headerBytes,
+		MaxHeaderBytes:    maxHeaderBytes,
 	}
 	if n.config.TLS != nil {
 		l = tls.NewListener(l, n.config.TLS)
 	}
 	serving, stop := context.WithCancel(ctx)
 	defer stop()
-	defer context.AfterFunc(control, stop)()
-	return httpd.Until(serving, server, l, func(s *http.Server) error { return n.leave(control, s) })
+	defer context.AfterFunc(controlCtx, stop)()
+	return httpd.Until(serving, server, l, func(s *http.Server) error { return n.leave(controlCtx, s) })
 }
 
-// leave lets requests in flight finish.
-func (n *Node) leave(control context.Context, server *http.Server) error {
-	if err := n.Do(control, cmds.Leave{}); err != nil {
+// leave marks the instance as leaving and waits for requests in flight, at most for the grace
+// period.
+func (n *Node) leave(controlCtx context.Context, server *http.Server) error {
+	if err := n.Do(controlCtx, cmds.Leave{}); err != nil {
 		return err
 	}
-	graceful, cancel := context.WithTimeout(control, n.config.Grace)
+	graceful, cancel := context.WithTimeout(controlCtx, n.config.Grace)
 	defer cancel()
 	if err := server.Shutdown(graceful); err != nil {
 		return fmt.Errorf("finish requests in flight: %w", err)
@@ -141,14 +148,14 @@
 	return nil
 }
 
-// settle records the ends of claims and flushes the bills before the instance goes.
-func (n *Node) settle(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
+// flushPending waits until the ends of all claims are recorded, and flushes the bills.
+func (n *Node) flushPending(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, flushPendingTimeout)
 	defer cancel()
-	if err := n.parts.guard.Drain(ctx); err != nil {
-		return fmt.Errorf("settle claims: %w", err)
+	if err := n.components.guard.Drain(ctx); err != nil {
+		return fmt.Errorf("record ends of claims: %w", err)
 	}
-	if err := n.parts.biller.Flush(ctx); err != nil {
+	if err := n.components.biller.Flush(ctx); err != nil {
 		return fmt.Errorf("flush bills: %w", err)
 	}
 	return nil
--- a/io/node/servers.go
+++ b/io/node/servers.go
@@ -13,46 +13,48 @@
 	"endivehitch/io/plat"
 )
 
-// listEvery is the time between two readings of the list of backend servers; a server that leaves
-// gets no new work after the list's own lag and this time.
-const listEvery = time.Second
+// listInterval is the time between two reads of the list of backend servers. A server that leaves
+// gets no new requests once this time and the delay of the list itself have passed.
+const listInterval = time.Second
 
-// lister keeps the control state in step with the platform's list of backend servers.
-type lister struct {
+// serverSyncer applies changes of the platform's list of backend servers to the control state.
+type serverSyncer struct {
 	list    plat.InstanceList
-	control *control
+	control *controlLoop
 	log     *zap.Logger
 	last    []value.BackendServer
 }
 
-// run reads the list until the context ends; while the list is away the last reading stays in force.
-func (l *lister) run(ctx context.Context) error {
+// run reads the list periodically until the context ends. While the list can't be read, the servers
+// from the last successful read stay in force.
+func (s *serverSyncer) run(ctx context.Context) error {
 	for {
-		if err := l.read(ctx); err != nil && ctx.Err() == nil {
-			l.log.Warn("ServersNotRead", zap.Error(err))
+		if err := s.sync(ctx); err != nil && ctx.Err() == nil {
+			s.log.Warn("ServersNotRead", zap.Error(err))
 		}
-		if !clock.Passed(ctx, listEvery) {
+		if !clock.Passed(ctx, listInterval) {
 			return nil
 		}
 	}
 }
 
-func (l *lister) read(ctx context.Context) error {
-	servers, err := l.list.Servers(ctx)
+// sync reads the list once and updates the control state if the list has changed.
+func (s *serverSyncer) sync(ctx context.Context) error {
+	servers, err := s.list.Servers(ctx)
 	if err != nil {
 		return err
 	}
-	if slices.EqualFunc(servers, l.last, sameServer) {
+	if slices.EqualFunc(servers, s.last, isSameServer) {
 		return nil
 	}
-	if err := l.control.Do(ctx, cmds.SyncServers{Servers: servers}); err != nil {
+	if err := s.control.Do(ctx, cmds.SyncServers{Servers: servers}); err != nil {
 		return err
 	}
-	l.last = servers
+	s.last = servers
 	return nil
 }
 
-func sameServer(a, b value.BackendServer) bool {
+func isSameServer(a, b value.BackendServer) bool {
 	return a.ID == b.ID && a.Address == b.Address && a.Pool == b.Pool && a.State == b.State &&
 		a.FailureDomain == b.FailureDomain && slices.Equal(a.Versions, b.Versions)
 }
