--- a/io/logs/async.go
+++ b/io/logs/async.go
@@ -7,31 +7,34 @@
 )
 
 const (
-	// asyncLines is how many lines wait for a slow output before further ones are dropped.
-	asyncLines = 4096
-	// asyncBatch is how many bytes go to the output at once.
-	asyncBatch = 32 << 10
+	// maxQueuedLines is the capacity of the queue; while it is full, further lines are dropped.
+	maxQueuedLines = 4096
+	// maxBatchBytes is the size at which a batch of lines is written without waiting for more; its
+	// last line may go beyond it.
+	maxBatchBytes = 32 << 10
 )
 
-// Async hands lines to an output on a goroutine of its own, so that writers never wait for it.
+// Async writes lines to an output on a goroutine of its own, so that callers never wait for the
+// output.
 //
-// Lines that find the queue full are dropped and counted.
+// Lines are dropped and counted while the queue is full.
 type Async struct {
-	lines   chan []byte
-	dropped atomic.Int64
-	failed  atomic.Int64
-	done    chan struct{}
-	once    sync.Once
+	lines        chan []byte
+	dropped      atomic.Int64
+	failedWrites atomic.Int64
+	done         chan struct{}
+	closeOnce    sync.Once
 }
 
-// NewAsync returns a writer to the output; Close writes what waits.
+// NewAsync returns an asynchronous writer to the output and starts its goroutine, which Close ends.
 func NewAsync(w io.Writer) *Async {
-	a := &Async{lines: make(chan []byte, asyncLines), done: make(chan struct{})}
+	a := &Async{lines: make(chan []byte, maxQueuedLines), done: make(chan struct{})}
 	go a.drain(w)
 	return a
 }
 
-// Write queues a copy of the line; it never fails.
+// Write queues a copy of the line, or drops the line if the queue is full. It never returns an
+// error.
 func (a *Async) Write(b []byte) (int, error) {
 	select {
 	case a.lines <- append([]byte(nil), b...):
@@ -41,32 +44,34 @@
 	return len(b), nil
 }
 
-// Dropped returns how many lines were left out since the last call.
+// Dropped returns the number of dropped lines since the last call, plus the number of writes to the
+// output that failed.
 func (a *Async) Dropped() int64 {
-	return a.dropped.Swap(0) + a.failed.Swap(0)
+	return a.dropped.Swap(0) + a.failedWrites.Swap(0)
 }
 
-// Close writes the lines that wait and ends; nothing may be written afterwards.
+// Close writes the queued lines and returns; Write must not be called afterwards.
 func (a *Async) Close() {
-	a.once.Do(func() { close(a.lines) })
+	a.closeOnce.Do(func() { close(a.lines) })
 	<-a.done
 }
 
+// drain writes the queued lines in batches until the queue is closed.
 func (a *Async) drain(w io.Writer) {
 	defer close(a.done)
-	batch := make([]byte, 0, asyncBatch)
+	batch := make([]byte, 0, maxBatchBytes)
 	for line := range a.lines {
 		batch = append(batch[:0], line...)
-		batch = a.more(batch)
+		batch = a.appendQueued(batch)
 		if _, err := w.Write(batch); err != nil {
-			a.failed.Add(1)
+			a.failedWrites.Add(1)
 		}
 	}
 }
 
-// more adds the lines that wait already.
-func (a *Async) more(batch []byte) []byte {
-	for len(batch) < asyncBatch {
+// appendQueued adds lines that are already queued, until the batch has reached its size.
+func (a *Async) appendQueued(batch []byte) []byte {
+	for len(batch) < maxBatchBytes {
 		select {
 		case line, ok := <-a.lines:
 			if !ok {
--- a/io/logs/doc.go
+++ b/io/logs/doc.go
@@ -1,2 +1,7 @@
-// Package logs writes one JSON line for each decision and keeps the latest ones for explain.
+// Package logs writes log lines in JSON, one for each decision about a request.
+//
+// New returns a zap.Logger of such lines; its output may be an Async, which writes in the
+// background and drops lines rather than block. Recorder logs routing decisions and stores the
+// latest of them, from which the explain command reads. Relayed logs the decisions about relayed
+// requests.
 package logs
--- a/io/logs/logs.go
+++ b/io/logs/logs.go
@@ -9,7 +9,7 @@
 	"endivehitch/core/value"
 )
 
-// New returns a logger of JSON lines with fields in Pascal case.
+// New returns a logger that writes JSON lines with field names in Pascal case.
 func New(w io.Writer, level zapcore.Level) *zap.Logger {
 	enc := zap.NewProductionEncoderConfig()
 	enc.TimeKey = "Time"
@@ -21,8 +21,8 @@
 	return zap.New(zapcore.NewCore(zapcore.NewJSONEncoder(enc), zapcore.Lock(zapcore.AddSync(w)), level))
 }
 
-// Decision writes the log line of a routing decision.
-func Decision(l *zap.Logger, d value.Decision) {
+// LogDecision logs a routing decision.
+func LogDecision(l *zap.Logger, d value.Decision) {
 	l.Info("Decision",
 		zap.String("Request", string(d.Request)),
 		zap.String("Account", string(d.Account)),
--- a/io/logs/recorder.go
+++ b/io/logs/recorder.go
@@ -13,11 +13,11 @@
 // RecorderConfig sets up a Recorder.
 type RecorderConfig struct {
 	Log *zap.Logger
-	// Keep is how many of the latest decisions are kept.
-	Keep int
+	// Capacity is the number of latest decisions that are stored.
+	Capacity int
 }
 
-// Recorder writes a log line for each decision and keeps the latest ones.
+// Recorder logs routing decisions and stores the latest of them.
 type Recorder struct {
 	log    *zap.Logger
 	latest *policy.Cell[policy.Ring[value.Decision]]
@@ -28,19 +28,19 @@
 	if c.Log == nil {
 		return nil, errors.New("recorder: no logger")
 	}
-	return &Recorder{log: c.Log, latest: policy.NewCell(policy.NewRing[value.Decision](c.Keep))}, nil
+	return &Recorder{log: c.Log, latest: policy.NewCell(policy.NewRing[value.Decision](c.Capacity))}, nil
 }
 
-// Record writes and keeps the decision; it doesn't wait for other callers.
+// Record logs and stores the decision; it stores without a lock.
 func (r *Recorder) Record(d value.Decision) {
-	Decision(r.log, d)
+	LogDecision(r.log, d)
 	r.latest.Update(func(ring policy.Ring[value.Decision]) policy.Ring[value.Decision] {
 		return ring.With(d)
 	})
 }
 
-// Of returns the kept decisions about the request, the first one first.
-func (r *Recorder) Of(id value.RequestID) []value.Decision {
+// ForRequest returns the stored decisions about the request, oldest first.
+func (r *Recorder) ForRequest(id value.RequestID) []value.Decision {
 	var found []value.Decision
 	for d := range r.latest.Get().All() {
 		if d.Request == id {
--- a/io/logs/recorder_test.go
+++ b/io/logs/recorder_test.go
@@ -13,20 +13,20 @@
 	"endivehitch/io/logs"
 )
 
-func TestRecorderKeepsARequestsDecisionsInOrder(t *testing.T) {
+func TestRecorderReturnsRequestsLatestDecisionsInOrder(t *testing.T) {
 	var out bytes.Buffer
-	r, err := logs.NewRecorder(logs.RecorderConfig{Log: logs.New(&out, zapcore.InfoLevel), Keep: 4})
+	r, err := logs.NewRecorder(logs.RecorderConfig{Log: logs.New(&out, zapcore.InfoLevel), Capacity: 4})
 	assert.NilError(t, err)
-	q := value.Decision{Request: "q", Step: value.StepAdmit}
-	r.Record(q)
+	admitted := value.Decision{Request: "q", Step: value.StepAdmit}
+	r.Record(admitted)
 	r.Record(value.Decision{Request: "p"})
 	r.Record(value.Decision{Request: "q", Step: value.StepPlan, CostMicros: 7})
-	assert.Equal(t, len(r.Of("q")), 2)
-	assert.Equal(t, r.Of("q")[1].Step, value.StepPlan)
+	assert.Equal(t, len(r.ForRequest("q")), 2)
+	assert.Equal(t, r.ForRequest("q")[1].Step, value.StepPlan)
 	for range 4 {
 		r.Record(value.Decision{Request: "p"})
 	}
-	assert.Equal(t, len(r.Of("q")), 0, "older decisions are dropped")
+	assert.Equal(t, len(r.ForRequest("q")), 0, "decisions beyond the capacity are dropped, oldest first")
 	lines := bytes.Split(bytes.TrimSpace(out.Bytes()), []byte("\n"))
 	assert.Equal(t, len(lines), 7)
 	var third map[string]any
@@ -35,8 +35,8 @@
 	assert.Equal(t, third["CostMicros"], 7.0)
 }
 
-func TestRecorderLosesNothingAmongWriters(t *testing.T) {
-	r, err := logs.NewRecorder(logs.RecorderConfig{Log: logs.New(&bytes.Buffer{}, zapcore.ErrorLevel), Keep: 800})
+func TestConcurrentlyRecordedDecisionsAreAllStored(t *testing.T) {
+	r, err := logs.NewRecorder(logs.RecorderConfig{Log: logs.New(&bytes.Buffer{}, zapcore.ErrorLevel), Capacity: 800})
 	assert.NilError(t, err)
 	var g errgroup.Group
 	for range 8 {
@@ -48,5 +48,5 @@
 		})
 	}
 	assert.NilError(t, g.Wait())
-	assert.Equal(t, len(r.Of("q")), 800)
+	assert.Equal(t, len(r.ForRequest("q")), 800)
 }
--- a/io/logs/relayed.go
+++ b/io/logs/relayed.go
@@ -8,28 +8,27 @@
 	"endivehitch/io/carry"
 )
 
-// Relayed writes a line for each decision about a relayed request.
+// Relayed logs the decisions about relayed requests; it is a carry.Recorder.
 type Relayed struct {
-	// Log takes the lines.
 	Log *zap.Logger
 }
 
-// Record writes the line; it leaves out what the decision doesn't have.
+// Record logs the decision; fields that the decision does not set are omitted.
 func (r Relayed) Record(d carry.Decision) {
 	fields := make([]zap.Field, 0, 16)
-	text := func(name, value string) {
+	addText := func(name, value string) {
 		if value != "" {
 			fields = append(fields, zap.String(name, value))
 		}
 	}
-	text("Request", d.Request)
-	text("Route", string(d.Route))
-	text("Account", string(d.Account))
-	text("Server", string(d.Server))
-	text("Release", string(d.Release))
-	text("Model", string(d.Model))
-	text("Reason", d.Reason)
-	text("Detail", d.Detail)
+	addText("Request", d.Request)
+	addText("Route", string(d.Route))
+	addText("Account", string(d.Account))
+	addText("Server", string(d.Server))
+	addText("Release", string(d.Release))
+	addText("Model", string(d.Model))
+	addText("Reason", d.Reason)
+	addText("Detail", d.Detail)
 	fields = append(fields, zap.Int64("Revision", d.Revision), zap.Int64("ElapsedMs", d.Elapsed.Milliseconds()))
 	if d.Candidates > 0 {
 		fields = append(fields, zap.Int("Candidates", d.Candidates), zap.Float64("Score", d.Score))
@@ -55,7 +54,7 @@
 	r.Log.Info(string(d.Kind), fields...)
 }
 
-// Watch writes a line and counts whenever lines were left out, until the channel is closed.
+// Watch logs and counts the dropped lines at each tick of every, until stop is closed.
 func Watch(log *zap.Logger, a *Async, count func(int64), every <-chan time.Time, stop <-chan struct{}) {
 	for {
 		select {
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -63,7 +63,7 @@
 	if n.components, err = newComponents(c, n.control); err != nil {
 		return nil, fmt.Errorf("create components: %w", err)
 	}
-	if n.recorder, err = logs.NewRecorder(logs.RecorderConfig{Log: c.Log, Keep: maxStoredDecisions}); err != nil {
+	if n.recorder, err = logs.NewRecorder(logs.RecorderConfig{Log: c.Log, Capacity: maxStoredDecisions}); err != nil {
 		return nil, fmt.Errorf("create decision recorder: %w", err)
 	}
 	if n.stats, err = stats.New(stats.Config{Now: time.Now, Period: statsPeriod}); err != nil {
@@ -147,7 +147,7 @@
 
 // Decisions returns the decisions about the request that this instance still stores, oldest first.
 func (n *Node) Decisions(id value.RequestID) []value.Decision {
-	return n.recorder.Of(id)
+	return n.recorder.ForRequest(id)
 }
 
 // Find returns the decisions about the request, oldest first: those of this instance or, if it has
@@ -164,7 +164,7 @@
 func (n *Node) newFinder() (*trace.Finder, error) {
 	f, err := trace.New(trace.Config{
 		Self:  n.config.Self.ID,
-		Local: n.recorder.Of,
+		Local: n.recorder.ForRequest,
 		Instances: func() []value.Instance {
 			var all []value.Instance
 			for _, i := range n.Snapshot().Instances().All() {
--- a/io/stats/measure_test.go
+++ b/io/stats/measure_test.go
@@ -15,7 +15,7 @@
 // BenchmarkMeasureRecord reports what counting a decision costs, as a share of logging and keeping it.
 func BenchmarkMeasureRecord(b *testing.B) {
 	s := rig(b)
-	log, err := logs.NewRecorder(logs.RecorderConfig{Log: logs.New(io.Discard, zapcore.InfoLevel), Keep: 8192})
+	log, err := logs.NewRecorder(logs.RecorderConfig{Log: logs.New(io.Discard, zapcore.InfoLevel), Capacity: 8192})
 	assert.NilError(b, err)
 	const decisions = 200_000
 	took := func(record func(value.Decision)) time.Duration {
