--- a/io/node/node.go
+++ b/io/node/node.go
@@ -99,7 +99,7 @@
 
 func (n *Node) newFront() (*front.Front, error) {
 	return front.New(front.Config{
-		Server:   n.stats.Count(n.flow),
+		Server:   n.stats.Instrument(n.flow),
 		Snapshot: n.control.Snapshot,
 		Able:     n.components.biller.Ready,
 		Keys:     n.config.Keys,
--- a/io/stats/measure_test.go
+++ b/io/stats/measure_test.go
@@ -12,22 +12,23 @@
 	"endivehitch/io/logs"
 )
 
-// BenchmarkMeasureRecord reports what counting a decision costs, as a share of logging and keeping it.
+// BenchmarkMeasureRecord measures the time to count a decision as a share of the time to log and
+// store it.
 func BenchmarkMeasureRecord(b *testing.B) {
-	s := rig(b)
+	s := newStats(b)
 	log, err := logs.NewRecorder(logs.RecorderConfig{Log: logs.New(io.Discard, zapcore.InfoLevel), Capacity: 8192})
 	assert.NilError(b, err)
 	const decisions = 200_000
-	took := func(record func(value.Decision)) time.Duration {
-		began := time.Now()
+	timeRecords := func(record func(value.Decision)) time.Duration {
+		start := time.Now()
 		for range decisions {
 			record(value.Decision{Request: "q", Step: value.StepRoute, Reason: value.ReasonLeastLoaded})
 		}
-		return time.Since(began)
+		return time.Since(start)
 	}
 	for range b.N {
-		logged := took(log.Record)
-		b.ReportMetric(float64(took(s.Record))/float64(logged), "count/log")
+		logTime := timeRecords(log.Record)
+		b.ReportMetric(float64(timeRecords(s.Record))/float64(logTime), "count/log")
 	}
 	assert.NilError(b, s.Close())
 }
--- a/io/stats/pages_test.go
+++ b/io/stats/pages_test.go
@@ -25,14 +25,14 @@
 		if len(m.Labels) > 0 {
 			labels = "`" + strings.Join(m.Labels, "`, `") + "` "
 		}
-		want = append(want, fmt.Sprintf("| `%s` | %s | %s | %s| %s |", m.Name, m.Sort, m.Unit, labels, m.Meaning))
+		want = append(want, fmt.Sprintf("| `%s` | %s | %s | %s| %s |", m.Name, m.Type, m.Unit, labels, m.Meaning))
 	}
-	assert.DeepEqual(t, rows(t, "METRICS.md", "## Metrics"), want)
+	assert.DeepEqual(t, tableRows(t, "METRICS.md", "## Metrics"), want)
 }
 
 func TestPageListsEveryLogLine(t *testing.T) {
 	var listed []string
-	for _, row := range rows(t, "METRICS.md", "## Log lines") {
+	for _, row := range tableRows(t, "METRICS.md", "## Log lines") {
 		listed = append(listed, strings.Split(row, "`")[1])
 	}
 	slices.Sort(listed)
@@ -41,7 +41,7 @@
 
 func TestPageListsEveryRefusal(t *testing.T) {
 	var listed []string
-	for _, row := range rows(t, "FAULTS.md", "## Refusals") {
+	for _, row := range tableRows(t, "FAULTS.md", "## Refusals") {
 		listed = append(listed, strings.Split(row, "`")[1])
 	}
 	slices.Sort(listed)
@@ -50,8 +50,8 @@
 	assert.DeepEqual(t, listed, refusals)
 }
 
-// rows returns the rows of the table under a heading that begin with a name in backquotes.
-func rows(t *testing.T, page, heading string) []string {
+// tableRows returns the rows under the page's heading that begin with a name in backquotes.
+func tableRows(t *testing.T, page, heading string) []string {
 	t.Helper()
 	text, err := os.ReadFile("../../docs/" + page)
 	assert.NilError(t, err)
@@ -74,7 +74,8 @@
 	return f
 }
 
-// logLines returns the messages of all log lines that the code can write, sorted.
+// logLines returns the messages of all log lines that the code can write, sorted, as found in its
+// syntax trees.
 func logLines(t *testing.T) []string {
 	t.Helper()
 	packages := make(map[string][]*ast.File)
@@ -88,33 +89,34 @@
 	}
 	found := make(map[string]bool)
 	for _, files := range packages {
-		s := scan{t: t, files: files, values: packages["../../core/value"]}
+		s := messageScan{t: t, files: files, values: packages["../../core/value"]}
 		for _, text := range s.messages() {
 			found[text] = true
 		}
 	}
-	for _, text := range constants(packages["../../io/carry"], "What") {
+	for _, text := range constants(packages["../../io/carry"], "DecisionKind") {
 		found[text] = true
 	}
 	return slices.Sorted(maps.Keys(found))
 }
 
-// scan finds the messages of one package.
-type scan struct {
-	t             *testing.T
+// messageScan finds the log messages of one package.
+type messageScan struct {
+	t *testing.T
+	// files are the files of the package, and values those of core/value.
 	files, values []*ast.File
 }
 
-func (s scan) messages() []string {
+func (s messageScan) messages() []string {
 	var found []string
 	for _, f := range s.files {
 		for _, decl := range f.Decls {
 			ast.Inspect(decl, func(n ast.Node) bool {
 				switch n := n.(type) {
 				case *ast.CallExpr:
-					found = append(found, logged(n)...)
+					found = append(found, loggedMessages(n)...)
 				case *ast.CompositeLit:
-					found = append(found, s.decided(decl, n)...)
+					found = append(found, s.eventNames(decl, n)...)
 				}
 				return true
 			})
@@ -123,8 +125,9 @@
 	return found
 }
 
-// logged returns the message of a call such as log.Warn("Message").
-func logged(c *ast.CallExpr) []string {
+// loggedMessages returns the message of a call such as log.Warn("Message"), and nothing for other
+// calls.
+func loggedMessages(c *ast.CallExpr) []string {
 	sel, ok := c.Fun.(*ast.SelectorExpr)
 	if !ok || !slices.Contains([]string{"Debug", "Info", "Warn", "Error"}, sel.Sel.Name) || len(c.Args) == 0 {
 		return nil
@@ -132,38 +135,39 @@
 	return literals(c.Args[0])
 }
 
-// decided returns what a Decided can name: a literal, a prefix with each state, what the callers
-// of the enclosing function pass, or what the called function returns.
-func (s scan) decided(in ast.Decl, c *ast.CompositeLit) []string {
-	if sel, ok := c.Type.(*ast.SelectorExpr); !ok || sel.Sel.Name != "Decided" {
+// eventNames returns the names that the event of a RecordDecision can have, which its first field
+// holds: a literal, a prefix with each state, the literals that callers pass to the enclosing
+// function, or those that the called function returns.
+func (s messageScan) eventNames(in ast.Decl, c *ast.CompositeLit) []string {
+	if sel, ok := c.Type.(*ast.SelectorExpr); !ok || sel.Sel.Name != "RecordDecision" {
 		return nil
 	}
 	var found []string
-	switch what := c.Elts[0].(*ast.KeyValueExpr).Value.(type) {
+	switch event := c.Elts[0].(*ast.KeyValueExpr).Value.(type) {
 	case *ast.BasicLit:
-		found = literals(what)
+		found = literals(event)
 	case *ast.BinaryExpr:
-		prefix := literals(what.X)[0]
+		prefix := literals(event.X)[0]
 		for _, st := range constants(s.values, prefix+"State") {
 			found = append(found, prefix+st)
 		}
 	case *ast.Ident:
-		found = s.within(func(n ast.Node) bool {
+		found = s.literalsWithin(func(n ast.Node) bool {
 			call, ok := n.(*ast.CallExpr)
-			return ok && strings.HasSuffix(name(call.Fun), in.(*ast.FuncDecl).Name.Name)
+			return ok && strings.HasSuffix(selectedName(call.Fun), in.(*ast.FuncDecl).Name.Name)
 		})
 	case *ast.CallExpr:
-		found = s.within(func(n ast.Node) bool {
+		found = s.literalsWithin(func(n ast.Node) bool {
 			f, ok := n.(*ast.FuncDecl)
-			return ok && f.Name.Name == name(what.Fun)
+			return ok && f.Name.Name == selectedName(event.Fun)
 		})
 	}
-	assert.Assert(s.t, len(found) > 0, "can't tell what a Decided in %s is named", s.files[0].Name)
+	assert.Assert(s.t, len(found) > 0, "no event name found for a RecordDecision in package %s", s.files[0].Name)
 	return found
 }
 
-// within returns the literals inside the nodes that match.
-func (s scan) within(match func(ast.Node) bool) []string {
+// literalsWithin returns the string literals inside the nodes of the package that match.
+func (s messageScan) literalsWithin(match func(ast.Node) bool) []string {
 	var found []string
 	for _, f := range s.files {
 		ast.Inspect(f, func(n ast.Node) bool {
@@ -176,13 +180,15 @@
 	return found
 }
 
-func name(e ast.Expr) string {
+// selectedName returns the name of a function without its package or receiver.
+func selectedName(e ast.Expr) string {
 	if sel, ok := e.(*ast.SelectorExpr); ok {
 		return sel.Sel.Name
 	}
 	return fmt.Sprint(e)
 }
 
+// literals returns the values of the string literals inside the node.
 func literals(in ast.Node) []string {
 	var found []string
 	ast.Inspect(in, func(n ast.Node) bool {
@@ -195,12 +201,12 @@
 	return found
 }
 
-// constants returns the values of the constants of a type.
-func constants(files []*ast.File, of string) []string {
+// constants returns the values of the constants of the named type.
+func constants(files []*ast.File, typeName string) []string {
 	var found []string
 	for _, f := range files {
 		ast.Inspect(f, func(n ast.Node) bool {
-			if v, ok := n.(*ast.ValueSpec); ok && v.Type != nil && fmt.Sprint(v.Type) == of {
+			if v, ok := n.(*ast.ValueSpec); ok && v.Type != nil && fmt.Sprint(v.Type) == typeName {
 				found = append(found, literals(v)...)
 			}
 			return true
--- a/io/stats/register.go
+++ b/io/stats/register.go
@@ -6,11 +6,11 @@
 	reporter "github.com/uber-go/tally/v4/prometheus"
 )
 
-// buckets are the histograms' upper bounds in seconds.
-var buckets = []float64{0.01, 0.025, 0.05, 0.1, 0.2, 0.48, 1, 2, 5, 10, 30, 60, 120, 300, 600}
+// histogramBuckets are the upper bounds of the buckets of all histograms, in seconds.
+var histogramBuckets = []float64{0.01, 0.025, 0.05, 0.1, 0.2, 0.48, 1, 2, 5, 10, 30, 60, 120, 300, 600}
 
-// register tells Prometheus of each metric with its labels and meaning.
-func register(r reporter.Reporter) error {
+// registerAll registers each metric with its labels and meaning.
+func registerAll(r reporter.Reporter) error {
 	for _, m := range table {
 		if err := registerOne(r, m); err != nil {
 			return fmt.Errorf("register metric %s: %w", m.Name, err)
@@ -21,7 +21,7 @@
 
 func registerOne(r reporter.Reporter, m Metric) error {
 	var err error
-	switch m.Sort {
+	switch m.Type {
 	case Counter:
 		_, err = r.RegisterCounter(m.Name, m.Labels, m.Meaning)
 	case Gauge:
@@ -29,7 +29,7 @@
 	case Histogram:
 		_, err = r.RegisterTimer(m.Name, m.Labels, m.Meaning, &reporter.RegisterTimerOptions{
 			TimerType:        reporter.HistogramTimerType,
-			HistogramBuckets: buckets,
+			HistogramBuckets: histogramBuckets,
 		})
 	}
 	return err
--- a/io/stats/relayed.go
+++ b/io/stats/relayed.go
@@ -13,52 +13,52 @@
 	callFailed   = "Failed"
 )
 
-// RecordRelayed counts the decision about a relayed request.
+// RecordRelayed counts the decision about a relayed request and records its times.
 func (s *Stats) RecordRelayed(d carry.Decision) {
-	s.count(relayed, 1, string(d.Kind), d.Reason)
+	s.count(relayedDecisions, 1, string(d.Kind), d.Reason)
 	if d.FirstByteTime > 0 {
-		s.took(relayedFirst, d.FirstByteTime)
+		s.observe(relayedFirstByte, d.FirstByteTime)
 	}
 	if d.Kind == carry.DecisionAnswered {
-		s.took(relayedWhole, d.Elapsed)
+		s.observe(relayedAnswer, d.Elapsed)
 	}
 }
 
-// RecordStoreCall counts a call to the metadata store.
+// RecordStoreCall counts a call to the metadata store by its name and outcome.
 func (s *Stats) RecordStoreCall(name string, err error) {
 	outcome := callAnswered
 	if err != nil {
 		outcome = callFailed
 	}
-	s.count(relayedStore, 1, name, outcome)
+	s.count(relayedStoreCalls, 1, name, outcome)
 }
 
-// RecordRelayState takes the state's gauges.
+// RecordRelayState sets the gauges that are read from the control state of a relaying instance.
 func (s *Stats) RecordRelayState(v relay.State) {
-	s.set(relayedVersion, float64(v.Config.Version))
-	away := 0.0
+	s.set(relayedConfigVersion, float64(v.Config.Version))
+	unreachable := 0.0
 	if !v.StoreUnreachableSince.IsZero() {
-		away = 1
+		unreachable = 1
 	}
-	s.set(relayedAway, away)
+	s.set(relayedStoreUnreachable, unreachable)
 }
 
-// RecordDropped counts log lines that were left out.
+// RecordDropped counts dropped log lines.
 func (s *Stats) RecordDropped(lines int64) {
 	s.count(linesDropped, lines)
 }
 
-// Both records each decision in two places.
+// Both is a carry.Recorder that passes each decision to another recorder and counts it in Stats.
 type Both struct {
 	First carry.Recorder
 	Stats *Stats
 }
 
-// Record notes the decision in both.
+// Record records the decision in First and Stats.
 func (b Both) Record(d carry.Decision) {
 	b.First.Record(d)
 	b.Stats.RecordRelayed(d)
 }
 
-// Period is how often the metrics of a relaying instance are taken.
+// Period is the Config.Period of an instance that relays requests.
 const Period = time.Second
--- a/io/stats/sample.go
+++ b/io/stats/sample.go
@@ -10,9 +10,9 @@
 	"endivehitch/io/plat"
 )
 
-// Run samples the sources until the context ends.
+// Run samples the sources once every period until the context ends, and once more then.
 func (s *Stats) Run(ctx context.Context, from Sources) error {
-	if !from.whole() {
+	if !from.isComplete() {
 		return errors.New("stats: a source is missing")
 	}
 	ticker := time.NewTicker(s.config.Period)
@@ -29,18 +29,19 @@
 	}
 }
 
-// sample takes all sources once and returns the usage that it has counted up to.
+// sample reads all sources once and returns the store usage up to which calls have been counted.
 func (s *Stats) sample(from Sources, last plat.Usage) plat.Usage {
 	now := from.Usage()
 	s.sampleStore(last, now)
 	s.sampleControl(from.Snapshot())
-	s.set(waiting, float64(from.Waiting()))
-	s.set(inFlight, float64(s.inFlight.Load()))
-	s.set(unsettled, float64(from.Unsettled()))
-	s.set(unsafeBills, float64(from.Unsafe()))
+	s.set(requestsWaiting, float64(from.Waiting()))
+	s.set(requestsInFlight, float64(s.inFlight.Load()))
+	s.set(claimsUnsettled, float64(from.Unsettled()))
+	s.set(billsUnsafe, float64(from.Unsafe()))
 	return now
 }
 
+// sampleStore counts the calls to the key-value service since the last sample.
 func (s *Stats) sampleStore(last, now plat.Usage) {
 	s.count(storeCalls, now.Reads-last.Reads, "Read")
 	s.count(storeCalls, now.Writes-last.Writes, "Write")
@@ -52,38 +53,42 @@
 }
 
 func (s *Stats) sampleControl(now state.State) {
-	s.set(revision, float64(now.Self.Revision))
-	s.set(lag, s.lagOf(now.Self).Seconds())
-	fleet := make(map[value.InstanceState]int)
+	s.set(configRevision, float64(now.Self.Revision))
+	s.set(configLag, s.configLagOf(now.Self).Seconds())
+	instanceCounts := make(map[value.InstanceState]int)
 	for _, i := range now.Instances().All() {
-		fleet[i.State]++
+		instanceCounts[i.State]++
 	}
 	for _, st := range instanceStates() {
-		s.set(instances, float64(fleet[st]), string(st))
+		s.set(instances, float64(instanceCounts[st]), string(st))
 	}
-	pool := make(map[value.ServerState]int)
+	serverCounts := make(map[value.ServerState]int)
 	for _, b := range now.Servers().All() {
-		pool[b.State]++
+		serverCounts[b.State]++
 	}
 	for _, st := range serverStates() {
-		s.set(servers, float64(pool[st]), string(st))
+		s.set(backendServers, float64(serverCounts[st]), string(st))
 	}
 }
 
-func (s *Stats) lagOf(i value.Instance) time.Duration {
+// configLagOf returns the time since the instance has known of a newer configuration revision than
+// the one in force, or zero.
+func (s *Stats) configLagOf(i value.Instance) time.Duration {
 	if i.LaggingSince.IsZero() {
 		return 0
 	}
 	return s.config.Now().Sub(i.LaggingSince)
 }
 
-// Each state is set at every sample, so that one that no longer occurs falls to zero.
+// instanceStates returns all states of instances. A sample sets the gauge of each, so that the
+// gauge of a state that no longer occurs goes back to zero.
 func instanceStates() []value.InstanceState {
 	return []value.InstanceState{
 		value.InstanceLive, value.InstanceLeaving, value.InstanceSuspected, value.InstanceGone,
 	}
 }
 
+// serverStates returns all states of backend servers, for the same reason as instanceStates.
 func serverStates() []value.ServerState {
 	return []value.ServerState{value.ServerLive, value.ServerLeaving}
 }
--- a/io/stats/server.go
+++ b/io/stats/server.go
@@ -11,46 +11,48 @@
 	"endivehitch/io/flow"
 )
 
-// The outcomes of keeping a bill.
+// The outcomes of storing a bill, as values of a label.
 const (
-	billKept    = "Kept"
+	billStored  = "Kept"
 	billRefused = "Refused"
 )
 
-// Server serves a job into a sink; *flow.Flow is one.
+// Server serves a job and writes its answer to a flow.Sink; *flow.Flow is one.
 type Server interface {
-	// Serve returns once the answer is whole; the error is a value.Refusal.
+	// Serve returns once the answer is complete; the error is a value.Refusal.
 	Serve(ctx context.Context, j flow.Job, s flow.Sink) (flow.Result, error)
 }
 
-// Counted is a server whose answers and refusals are counted.
-type Counted struct {
+// InstrumentedServer is a server whose answers and refusals are counted.
+type InstrumentedServer struct {
 	stats *Stats
 	next  Server
 }
 
-// Count returns the server with its answers and refusals counted.
-func (s *Stats) Count(next Server) Counted {
-	return Counted{stats: s, next: next}
+// Instrument returns the server with its answers and refusals counted.
+func (s *Stats) Instrument(next Server) InstrumentedServer {
+	return InstrumentedServer{stats: s, next: next}
 }
 
-// Serve serves the job and counts how it ended; the error is the server's.
-func (c Counted) Serve(ctx context.Context, j flow.Job, sink flow.Sink) (flow.Result, error) {
+// Serve serves the job and counts its answer or refusal; the error is that of the wrapped server.
+func (c InstrumentedServer) Serve(ctx context.Context, j flow.Job, sink flow.Sink) (flow.Result, error) {
 	c.stats.inFlight.Add(1)
 	defer c.stats.inFlight.Add(-1)
-	t := &timed{Sink: sink, stats: c.stats, kind: string(j.Request.Kind), began: c.stats.config.Now()}
-	result, err := c.next.Serve(ctx, j, t)
+	timer := &firstTokenTimer{Sink: sink, stats: c.stats, kind: string(j.Request.Kind), start: c.stats.config.Now()}
+	result, err := c.next.Serve(ctx, j, timer)
 	if err != nil {
-		c.stats.refused(err)
+		c.stats.recordRefusal(err)
 		return result, err
 	}
-	c.stats.answered(t, result)
+	c.stats.recordAnswer(timer, result)
 	return result, nil
 }
 
-func (s *Stats) answered(t *timed, r flow.Result) {
-	s.count(answers, 1, t.kind)
-	s.took(answerTime, s.config.Now().Sub(t.began), t.kind)
+// recordAnswer counts an answered request, its time and its tokens. A result without a version has
+// no tokens.
+func (s *Stats) recordAnswer(timer *firstTokenTimer, r flow.Result) {
+	s.count(answers, 1, timer.kind)
+	s.observe(answerTime, s.config.Now().Sub(timer.start), timer.kind)
 	if r.Version == "" {
 		return
 	}
@@ -58,29 +60,31 @@
 	s.count(tokens, int64(r.Usage.OutputTokens), string(r.Version), "Output")
 }
 
-func (s *Stats) refused(err error) {
+// recordRefusal counts a refused request; an error that is no value.Refusal counts as a failure of
+// the backend server.
+func (s *Stats) recordRefusal(err error) {
 	refusal := value.Refusal{Reason: value.ReasonBackend}
 	errors.As(err, &refusal)
 	s.count(refusals, 1, string(refusal.Reason), strconv.FormatBool(refusal.NotRun))
 	if refusal.Reason == value.ReasonBillNotStored {
-		s.count(keptBills, 1, billRefused)
+		s.count(bills, 1, billRefused)
 	}
 }
 
-// timed notes when the first piece of an answer goes to the caller.
-type timed struct {
+// firstTokenTimer is a flow.Sink that records the time to the first piece of an answer.
+type firstTokenTimer struct {
 	flow.Sink
-	stats *Stats
-	kind  string
-	began time.Time
-	begun bool
+	stats      *Stats
+	kind       string
+	start      time.Time
+	hasStarted bool
 }
 
-// Write passes the piece on.
-func (t *timed) Write(p engine.Piece) error {
-	if !t.begun {
-		t.begun = true
-		t.stats.took(firstToken, t.stats.config.Now().Sub(t.began), t.kind)
+// Write passes the piece on to the wrapped Sink.
+func (t *firstTokenTimer) Write(p engine.Piece) error {
+	if !t.hasStarted {
+		t.hasStarted = true
+		t.stats.observe(firstToken, t.stats.config.Now().Sub(t.start), t.kind)
 	}
 	return t.Sink.Write(p)
 }
--- a/io/stats/stats.go
+++ b/io/stats/stats.go
@@ -16,27 +16,27 @@
 	"endivehitch/io/plat"
 )
 
-// Sources are the parts of the instance whose counts are sampled.
+// Sources are the functions from which Run samples gauges; all are required.
 type Sources struct {
 	Snapshot func() state.State
 	// Usage returns the calls made to the key-value service so far.
 	Usage func() plat.Usage
-	// Waiting returns the requests that wait for a place.
+	// Waiting returns the number of requests that wait for capacity at a backend server.
 	Waiting func() int
-	// Unsettled returns the claims whose end is not yet recorded.
+	// Unsettled returns the number of claims whose end is not yet recorded.
 	Unsettled func() int
-	// Unsafe returns the bills that would be lost with the instance.
+	// Unsafe returns the number of bills that would be lost with the instance.
 	Unsafe func() int
 }
 
-func (s Sources) whole() bool {
+func (s Sources) isComplete() bool {
 	return s.Snapshot != nil && s.Usage != nil && s.Waiting != nil && s.Unsettled != nil && s.Unsafe != nil
 }
 
 // Config sets up Stats.
 type Config struct {
 	Now func() time.Time
-	// Period is the time between two samples, and the age that a served value may have.
+	// Period is the time between two samples, and the maximum age of a value that Handler serves.
 	Period time.Duration
 }
 
@@ -49,7 +49,8 @@
 	inFlight atomic.Int64
 }
 
-// New returns the metrics, or an error that names what the configuration lacks; Close ends their reporting.
+// New returns the metrics and starts their reporting to Handler, which Close ends. The error names
+// what the configuration lacks or which metric can't be registered.
 func New(c Config) (*Stats, error) {
 	switch {
 	case c.Now == nil:
@@ -65,7 +66,7 @@
 		DefaultTimerType: reporter.HistogramTimerType,
 		OnRegisterError:  func(err error) { failed = errors.Join(failed, err) },
 	})
-	if err := errors.Join(register(r), failed); err != nil {
+	if err := errors.Join(registerAll(r), failed); err != nil {
 		return nil, err
 	}
 	s := &Stats{config: c, handler: r.HTTPHandler()}
@@ -77,43 +78,44 @@
 	return s, nil
 }
 
-// Handler serves the metrics in Prometheus's text format.
+// Handler returns a handler that serves the metrics in Prometheus's text format.
 func (s *Stats) Handler() http.Handler {
 	return s.handler
 }
 
-// Close reports what was recorded and ends the reporting.
+// Close passes the last recorded values to Handler and stops the reporting.
 func (s *Stats) Close() error {
 	return s.closer.Close()
 }
 
-// Record counts the decision.
+// Record counts a routing decision; one of step Bill is also counted as a stored bill.
 func (s *Stats) Record(d value.Decision) {
 	s.count(decisions, 1, string(d.Step), string(d.Reason))
 	if d.Step == value.StepBill {
-		s.count(keptBills, 1, billKept)
+		s.count(bills, 1, billStored)
 	}
 }
 
-// RecordEvent counts the control state's decision.
+// RecordEvent counts a decision of the control loop or of a duty.
 func (s *Stats) RecordEvent(d state.RecordDecision) {
 	s.count(events, 1, d.Event)
 }
 
 func (s *Stats) count(m Metric, n int64, labels ...string) {
-	s.labelled(m, labels).Counter(m.Name).Inc(n)
+	s.taggedScope(m, labels).Counter(m.Name).Inc(n)
 }
 
 func (s *Stats) set(m Metric, v float64, labels ...string) {
-	s.labelled(m, labels).Gauge(m.Name).Update(v)
+	s.taggedScope(m, labels).Gauge(m.Name).Update(v)
 }
 
-func (s *Stats) took(m Metric, d time.Duration, labels ...string) {
-	s.labelled(m, labels).Timer(m.Name).Record(d)
+func (s *Stats) observe(m Metric, d time.Duration, labels ...string) {
+	s.taggedScope(m, labels).Timer(m.Name).Record(d)
 }
 
-// labelled returns the scope that holds the metric's labels, in the order of the table.
-func (s *Stats) labelled(m Metric, values []string) tally.Scope {
+// taggedScope returns the scope for the values of the metric's labels, which are in the order of
+// Metric.Labels.
+func (s *Stats) taggedScope(m Metric, values []string) tally.Scope {
 	if len(values) == 0 {
 		return s.scope
 	}
--- a/io/stats/stats_test.go
+++ b/io/stats/stats_test.go
@@ -20,14 +20,14 @@
 	"endivehitch/io/stats"
 )
 
-func rig(t testing.TB) *stats.Stats {
+func newStats(t testing.TB) *stats.Stats {
 	t.Helper()
 	s, err := stats.New(stats.Config{Now: time.Now, Period: time.Second})
 	assert.NilError(t, err)
 	return s
 }
 
-// scrape returns what Prometheus would read.
+// scrape returns the metrics in the text format that Prometheus reads.
 func scrape(t *testing.T, s *stats.Stats) string {
 	t.Helper()
 	w := httptest.NewRecorder()
@@ -36,25 +36,28 @@
 	return w.Body.String()
 }
 
-func shows(t *testing.T, text string, lines ...string) {
+// assertContainsLines fails the test unless the text contains each of the lines.
+func assertContainsLines(t *testing.T, text string, lines ...string) {
 	t.Helper()
-	for _, l := range lines {
-		assert.Assert(t, strings.Contains(text, l+"\n"), "%s is not in:\n%s", l, text)
+	for _, line := range lines {
+		assert.Assert(t, strings.Contains(text, line+"\n"), "%s is not in:\n%s", line, text)
 	}
 }
 
-type sink struct{}
+// discardWriter is a flow.Sink that discards the answer.
+type discardWriter struct{}
 
-func (sink) Begin(engine.Head, value.VersionKey) error { return nil }
-func (sink) Write(engine.Piece) error                  { return nil }
-func (sink) End(engine.Usage) error                    { return nil }
+func (discardWriter) Begin(engine.Head, value.VersionKey) error { return nil }
+func (discardWriter) Write(engine.Piece) error                  { return nil }
+func (discardWriter) End(engine.Usage) error                    { return nil }
 
-// slow answers after three seconds, its first piece after one, or fails.
-type slow struct {
+// slowServer completes its answer after three seconds and writes its first piece after one second;
+// with an error set, it fails at once.
+type slowServer struct {
 	err error
 }
 
-func (s slow) Serve(_ context.Context, _ flow.Job, to flow.Sink) (flow.Result, error) {
+func (s slowServer) Serve(_ context.Context, _ flow.Job, to flow.Sink) (flow.Result, error) {
 	if s.err != nil {
 		return flow.Result{}, s.err
 	}
@@ -65,22 +68,22 @@
 	return flow.Result{Version: "m/v", Usage: usage}, errors.Join(err, to.Write(engine.Piece{}))
 }
 
-func TestEndsOfRequestsAreCounted(t *testing.T) {
+func TestAnswersAndRefusalsAreCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := rig(t)
+		s := newStats(t)
 		job := flow.Job{Request: value.Request{Kind: "draft"}}
-		_, err := s.Count(slow{}).Serve(t.Context(), job, sink{})
+		_, err := s.Instrument(slowServer{}).Serve(t.Context(), job, discardWriter{})
 		assert.NilError(t, err)
 		for _, refusal := range []value.Refusal{
 			{Reason: value.ReasonQueueFull, NotRun: true}, {Reason: value.ReasonBillNotStored},
 		} {
 			job.Request.Kind = "made-up-by-a-caller"
-			_, err = s.Count(slow{err: refusal}).Serve(t.Context(), job, sink{})
+			_, err = s.Instrument(slowServer{err: refusal}).Serve(t.Context(), job, discardWriter{})
 			assert.ErrorIs(t, err, refusal)
 		}
 		assert.NilError(t, s.Close())
 		text := scrape(t, s)
-		shows(
+		assertContainsLines(
 			t, text,
 			`endivehitch_answers_total{kind="draft"} 1`,
 			`endivehitch_refusals_total{not_run="true",reason="QueueFull"} 1`,
@@ -90,20 +93,20 @@
 			`endivehitch_first_token_seconds_count{kind="draft"} 1`,
 			`endivehitch_answer_seconds_sum{kind="draft"} 3`,
 		)
-		assert.Assert(t, !strings.Contains(text, "made-up"), "callers must not add series")
+		assert.Assert(t, !strings.Contains(text, "made-up"), "a kind that a caller invents must not add a time series")
 	})
 }
 
-func TestDecisionsAreCountedWithinOnePeriod(t *testing.T) {
+func TestDecisionsAppearInMetricsWithinOnePeriod(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := rig(t)
+		s := newStats(t)
 		d := value.Decision{Step: value.StepBill, Reason: value.ReasonAnswered}
 		s.Record(d)
 		s.Record(d)
 		s.RecordEvent(state.RecordDecision{Event: "DutyTaken"})
 		time.Sleep(time.Second)
 		synctest.Wait()
-		shows(
+		assertContainsLines(
 			t, scrape(t, s),
 			`endivehitch_decisions_total{reason="Answered",step="Bill"} 2`,
 			`endivehitch_bills_total{outcome="Kept"} 2`,
@@ -113,19 +116,19 @@
 	})
 }
 
-func TestSamplesFollowTheirSources(t *testing.T) {
+func TestSampledGaugesFollowTheirSources(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := rig(t)
+		s := newStats(t)
 		at := time.Now()
 		self := value.Instance{ID: "a", FailureDomain: "guj-a", State: value.InstanceLive}
 		now := state.New(self).WithNewest(9, at).WithInstance(value.Instance{ID: "b", State: value.InstanceSuspected})
-		fleet := policy.NewCell(now)
+		control := policy.NewCell(now)
 		usage := policy.NewCell(plat.Usage{Writes: 5, Throttled: 2})
 		ctx, stop := context.WithCancel(t.Context())
 		ended := make(chan error)
 		go func() {
 			ended <- s.Run(ctx, stats.Sources{
-				Snapshot:  fleet.Get,
+				Snapshot:  control.Get,
 				Usage:     usage.Get,
 				Waiting:   func() int { return 3 },
 				Unsettled: func() int { return 4 },
@@ -134,17 +137,17 @@
 		}()
 		time.Sleep(1500 * time.Millisecond)
 		synctest.Wait()
-		shows(
+		assertContainsLines(
 			t, scrape(t, s), "endivehitch_requests_waiting 3", "endivehitch_claims_unsettled 4", "endivehitch_bills_unsafe 6",
 			`endivehitch_store_calls_total{sort="Write"} 5`, `endivehitch_instances{state="Suspected"} 1`,
 		)
-		fleet.Update(func(s state.State) state.State { return s.WithoutInstance("b") })
+		control.Update(func(s state.State) state.State { return s.WithoutInstance("b") })
 		usage.Update(func(u plat.Usage) plat.Usage { u.Writes = 8; return u })
 		time.Sleep(1500 * time.Millisecond)
 		stop()
 		assert.NilError(t, <-ended)
 		assert.NilError(t, s.Close())
-		shows(
+		assertContainsLines(
 			t, scrape(t, s), "endivehitch_config_lag_seconds 3", `endivehitch_instances{state="Suspected"} 0`,
 			`endivehitch_store_calls_total{sort="Write"} 8`, `endivehitch_store_calls_total{sort="Throttled"} 2`,
 		)
