--- a/io/bills/bills.go
+++ b/io/bills/bills.go
@@ -140,8 +140,8 @@
 	}
 }
 
-// Close stops sending copies and early flushes, and waits for them to end. It does not flush; entries
-// that are safe survive at their holders or in the store.
+// Close stops sending copies and early flushes, and waits for them to end. It does not flush;
+// entries that are safe survive at their holders or in the store.
 func (b *Biller) Close() {
 	b.mu.Lock()
 	b.closed = true
--- a/io/bills/bills_test.go
+++ b/io/bills/bills_test.go
@@ -13,7 +13,8 @@
 	"endivehitch/io/fakes"
 )
 
-// keep has the biller keep the bills from number from up to, but not including, number to.
+// keep keeps the bills with the numbers from, from+1 and so on up to to-1, and fails the test if
+// one is refused.
 func keep(t *testing.T, b biller, from, to int) {
 	t.Helper()
 	for i := from; i < to; i++ {
@@ -30,7 +31,7 @@
 		keep(t, a, 0, 100)
 		assert.Equal(t, a.Unsafe(), 0)
 		harness.kill(a, "a")
-		assert.Equal(t, len(harness.audit(100).Missing), 100, "nothing was flushed yet")
+		assert.Equal(t, len(harness.audit(100).Missing), 100, "nothing has been flushed yet")
 		time.Sleep(3 * flushInterval)
 		got := harness.audit(100)
 		assert.Assert(t, got.Clean(), "%+v", got)
--- a/io/bills/doc.go
+++ b/io/bills/doc.go
@@ -9,7 +9,8 @@
 // segments of an instance form a chain: each is created by compare-and-swap under a key made of the
 // owner and the segment's first sequence number, and only after the segment before it is known to
 // be stored. When an instance has departed, its holders write the rest of its chain. Owner and
-// holders may write the same chain concurrently. Read returns the segments of all instances.
+// holders may write the same chain concurrently: a writer that finds a segment continues after it.
+// Read returns the segments of all instances.
 //
 // docs/BILLS.md describes the alternatives that were considered, and what happens while neither
 // holders nor the key-value service can be reached.
--- a/io/node/run.go
+++ b/io/node/run.go
@@ -57,7 +57,7 @@
 // startComponents starts the control loop and the components that run until the last request is
 // done.
 func (n *Node) startComponents(ctx context.Context, g *errgroup.Group) {
-	p := n.components
+	components := n.components
 	g.Go(func() error {
 		n.control.loop.Run(ctx)
 		return nil
@@ -66,10 +66,10 @@
 		n.dispatchEffects()
 		return nil
 	})
-	g.Go(func() error { return p.server.Serve(ctx, n.config.Peers.Listener) })
-	g.Go(func() error { return ignoreIfCancelled(ctx, p.gossip.Run(ctx)) })
+	g.Go(func() error { return components.server.Serve(ctx, n.config.Peers.Listener) })
+	g.Go(func() error { return ignoreIfCancelled(ctx, components.gossip.Run(ctx)) })
 	g.Go(func() error {
-		p.biller.Run(ctx)
+		components.biller.Run(ctx)
 		return nil
 	})
 	g.Go(func() error {
