--- a/io/admin/admin.go
+++ b/io/admin/admin.go
@@ -18,24 +18,26 @@
 	"endivehitch/io/plat"
 )
 
-// Config sets up the operators' face.
+// Config configures the operators' API.
 type Config struct {
-	// Operators maps the hexadecimal SHA-256 sums of operators' keys to their names.
+	// Operators maps the hexadecimal SHA-256 hashes of operators' keys to the operators' names.
 	Operators map[string]string
-	// Readers maps the sums of keys that may ask and change nothing to their holders' names.
+	// Readers maps the hashes of keys that are accepted for GET requests only to their holders'
+	// names.
 	Readers map[string]string
-	// Metrics serves the instance's metrics; without it there is no such path.
+	// Metrics serves the instance's metrics; if it is nil, the path /metrics doesn't exist.
 	Metrics  http.Handler
 	Store    plat.Store
 	Snapshot func() state.State
 	Now      func() time.Time
-	// Fleet returns the instances with what they say of their configuration.
+	// Fleet returns all known instances with the configuration revision that each reports.
 	Fleet func(context.Context) []value.Instance
-	// Decisions returns the kept decisions about a request, the first one first, wherever they are kept.
+	// Decisions returns the decisions about a request in the order in which they were made, from
+	// whichever instance stores them.
 	Decisions func(context.Context, value.RequestID) ([]value.Decision, error)
 }
 
-// Admin is the operators' face.
+// Admin is the operators' API.
 type Admin struct {
 	config Config
 	routes []route.Route
@@ -46,32 +48,33 @@
 	metricsPath  = "/metrics"
 )
 
-// New returns a face, or an error that names what the configuration lacks.
+// New returns the operators' API, or an error that names a required field of the configuration that
+// is not set.
 func New(c Config) (*Admin, error) {
 	switch {
 	case c.Store == nil:
-		return nil, errors.New("admin: no key-value service")
+		return nil, errors.New("admin: no key-value service is configured")
 	case c.Snapshot == nil:
-		return nil, errors.New("admin: no snapshot")
+		return nil, errors.New("admin: no function for snapshots of the state is configured")
 	case c.Now == nil:
-		return nil, errors.New("admin: no clock")
+		return nil, errors.New("admin: no clock is configured")
 	case c.Decisions == nil || c.Fleet == nil:
-		return nil, errors.New("admin: no decisions or fleet")
+		return nil, errors.New("admin: no function for decisions or for the fleet is configured")
 	}
-	changing := cmds.Config{Store: c.Store, Now: c.Now}
-	asking := query.Config{Snapshot: c.Snapshot, Now: c.Now, Fleet: c.Fleet, Decisions: c.Decisions}
+	commandConfig := cmds.Config{Store: c.Store, Now: c.Now}
+	queryConfig := query.Config{Snapshot: c.Snapshot, Now: c.Now, Fleet: c.Fleet, Decisions: c.Decisions}
 	return &Admin{config: c, routes: []route.Route{
-		cmds.ApplyRoute(changing),
-		cmds.PromoteRoute(changing),
-		cmds.RollOutRoute(changing),
-		query.StatusRoute(asking),
-		query.ExplainRoute(asking),
+		cmds.ApplyRoute(commandConfig),
+		cmds.PromoteRoute(commandConfig),
+		cmds.RollOutRoute(commandConfig),
+		query.StatusRoute(queryConfig),
+		query.ExplainRoute(queryConfig),
 		query.ConfigRoute(c.Store),
 		query.AuditRoute(c.Store),
 	}}, nil
 }
 
-// Handler returns the face's routes behind authentication.
+// Handler returns a handler that authenticates each request and passes it to its route.
 func (a *Admin) Handler() http.Handler {
 	mux := http.NewServeMux()
 	for _, r := range a.routes {
@@ -80,26 +83,27 @@
 	if a.config.Metrics != nil {
 		mux.Handle("GET "+metricsPath, a.config.Metrics)
 	}
-	return alice.New(a.authenticated).Then(mux)
+	return alice.New(a.authenticate).Then(mux)
 }
 
-func (a *Admin) authenticated(next http.Handler) http.Handler {
+func (a *Admin) authenticate(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		key, ok := strings.CutPrefix(r.Header.Get("Authorization"), bearerPrefix)
-		who, known := a.holder(r.Method, conf.HashKey(key))
+		name, known := a.nameOfKeyHolder(r.Method, conf.HashKey(key))
 		if !ok || !known {
 			route.WriteProblem(w, value.ChangeRefused{Reason: value.ReasonNotOperator, Detail: "operator's key is not known"})
 			return
 		}
-		next.ServeHTTP(w, r.WithContext(route.WithOperator(r.Context(), who)))
+		next.ServeHTTP(w, r.WithContext(route.WithOperator(r.Context(), name)))
 	})
 }
 
-// holder returns who may use the method with the key of the given sum.
-func (a *Admin) holder(method, sum string) (string, bool) {
-	if who, ok := a.config.Operators[sum]; ok {
-		return who, true
+// nameOfKeyHolder returns the name of the holder of the key with this hash, and whether the key is
+// accepted for the method.
+func (a *Admin) nameOfKeyHolder(method, keyHash string) (string, bool) {
+	if name, ok := a.config.Operators[keyHash]; ok {
+		return name, true
 	}
-	who, ok := a.config.Readers[sum]
-	return who, ok && method == http.MethodGet
+	name, ok := a.config.Readers[keyHash]
+	return name, ok && method == http.MethodGet
 }
--- a/io/admin/admin_test.go
+++ b/io/admin/admin_test.go
@@ -26,8 +26,9 @@
 
 const trial = value.Environment("trial")
 
-// face serves the operators' face over a store with faults.
-func face(t *testing.T) (route.Client, *fakes.Store) {
+// serveAdmin serves the operators' API and returns a client for it and its store, which can inject
+// faults.
+func serveAdmin(t *testing.T) (route.Client, *fakes.Store) {
 	t.Helper()
 	inner, err := plat.NewEmbedded(plat.EmbeddedConfig{Now: time.Now, History: 16})
 	assert.NilError(t, err)
@@ -54,20 +55,20 @@
 	return route.Client{Base: server.URL, Key: "key", HTTP: server.Client()}, store
 }
 
-func apply(t *testing.T, c route.Client, id value.ChangeID, expect int64) (value.AppliedChange, error) {
+func sendApply(t *testing.T, c route.Client, id value.ChangeID, expect int64) (value.AppliedChange, error) {
 	t.Helper()
 	data, err := os.ReadFile("../../examples/vadodara.yaml")
 	assert.NilError(t, err)
 	return cmds.SendApply(t.Context(), c, cmds.ApplyOrder{Environment: trial, Change: id, Expect: expect, Document: data})
 }
 
-func TestErrorsKeepTheirTypesOverHTTP(t *testing.T) {
-	c, _ := face(t)
-	one, err := apply(t, c, "one", 0)
+func TestClientReturnsErrorsOfTheServersTypes(t *testing.T) {
+	c, _ := serveAdmin(t)
+	one, err := sendApply(t, c, "one", 0)
 	assert.NilError(t, err)
-	assert.Equal(t, one.Change.Who, "asha", "the key says who, not the order")
+	assert.Equal(t, one.Change.Who, "asha", "the operator's name comes from the key, not from the request")
 
-	_, err = apply(t, c, "two", 0)
+	_, err = sendApply(t, c, "two", 0)
 	var conflict value.ChangeConflict
 	assert.Assert(t, errors.As(err, &conflict), "%v", err)
 	assert.Equal(t, conflict.Current.Revision, one.Revision)
@@ -88,20 +89,20 @@
 	assert.Equal(t, refused.Reason, value.ReasonNotInTrial)
 }
 
-func TestReadersKeyChangesNothing(t *testing.T) {
-	c, store := face(t)
+func TestReaderKeyMayQueryButNotChange(t *testing.T) {
+	c, store := serveAdmin(t)
 	c.Key = "reader"
-	_, err := query.AskStatus(t.Context(), c)
+	_, err := query.FetchStatus(t.Context(), c)
 	assert.NilError(t, err)
-	_, err = apply(t, c, "one", 0)
+	_, err = sendApply(t, c, "one", 0)
 	var refused value.ChangeRefused
 	assert.Assert(t, errors.As(err, &refused), "%v", err)
 	assert.Equal(t, refused.Reason, value.ReasonNotOperator)
 	assert.Equal(t, store.Writes(), int64(0))
 }
 
-func TestMetricsNeedAKey(t *testing.T) {
-	c, _ := face(t)
+func TestMetricsRequireAKnownKey(t *testing.T) {
+	c, _ := serveAdmin(t)
 	for key, want := range map[string]int{"": http.StatusUnauthorized, "wrong": http.StatusUnauthorized, "reader": http.StatusTeapot} {
 		req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, c.Base+"/metrics", nil)
 		assert.NilError(t, err)
@@ -113,107 +114,107 @@
 	}
 }
 
-func TestNoKeyNoAnswer(t *testing.T) {
-	c, store := face(t)
+func TestUnknownKeyIsRefusedBeforeTheStoreIsCalled(t *testing.T) {
+	c, store := serveAdmin(t)
 	for _, key := range []string{"", "wrong"} {
 		c.Key = key
-		_, err := apply(t, c, "one", 0)
+		_, err := sendApply(t, c, "one", 0)
 		var refused value.ChangeRefused
 		assert.Assert(t, errors.As(err, &refused), "%v", err)
 		assert.Equal(t, refused.Reason, value.ReasonNotOperator)
-		_, err = query.AskStatus(t.Context(), c)
+		_, err = query.FetchStatus(t.Context(), c)
 		assert.Assert(t, errors.As(err, &refused), "%v", err)
 	}
 	assert.Equal(t, store.Reads()+store.Writes(), int64(0))
 }
 
-// losing answers nothing to a change that the instance has made.
-type losing struct {
+// droppingTransport lets a request take effect and then drops its response.
+type droppingTransport struct {
 	http.RoundTripper
 }
 
-func (l losing) RoundTrip(r *http.Request) (*http.Response, error) {
-	resp, err := l.RoundTripper.RoundTrip(r)
+func (d droppingTransport) RoundTrip(r *http.Request) (*http.Response, error) {
+	resp, err := d.RoundTripper.RoundTrip(r)
 	if err != nil {
 		return nil, err
 	}
 	return nil, errors.Join(errors.New("connection reset"), resp.Body.Close())
 }
 
-func TestInstanceLostBeforeItsAnswer(t *testing.T) {
-	c, store := face(t)
-	sound := c.HTTP
-	c.HTTP = &http.Client{Transport: losing{RoundTripper: sound.Transport}}
-	_, err := apply(t, c, "one", 0)
+func TestLostResponseLeavesOutcomeUnknownAndRetryWritesNothing(t *testing.T) {
+	c, store := serveAdmin(t)
+	working := c.HTTP
+	c.HTTP = &http.Client{Transport: droppingTransport{RoundTripper: working.Transport}}
+	_, err := sendApply(t, c, "one", 0)
 	assert.ErrorType(t, err, value.ChangeUnknown{})
-	c.HTTP = sound
-	_, err = apply(t, c, "one", 0)
+	c.HTTP = working
+	_, err = sendApply(t, c, "one", 0)
 	assert.NilError(t, err)
 	assert.Equal(t, store.Writes(), int64(1))
 }
 
-func TestInstanceNotReached(t *testing.T) {
-	c, _ := face(t)
+func TestUnreachableInstanceIsUnavailable(t *testing.T) {
+	c, _ := serveAdmin(t)
 	c.Base = "http://127.0.0.1:1"
-	_, err := apply(t, c, "one", 0)
+	_, err := sendApply(t, c, "one", 0)
 	assert.ErrorType(t, err, value.ChangeUnavailable{})
 }
 
-func TestUntrustedInstanceGetsNoOrder(t *testing.T) {
+func TestInstanceWithUntrustedCertificateReceivesNoRequest(t *testing.T) {
 	served := false
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { served = true }))
 	server.Config.ErrorLog = log.New(io.Discard, "", 0)
 	server.StartTLS()
-	_, err := apply(t, route.Client{Base: server.URL, Key: "key", HTTP: &http.Client{Transport: &http.Transport{}}}, "one", 0)
+	_, err := sendApply(t, route.Client{Base: server.URL, Key: "key", HTTP: &http.Client{Transport: &http.Transport{}}}, "one", 0)
 	assert.ErrorType(t, err, value.ChangeUnavailable{})
 	server.Close()
 	assert.Assert(t, !served)
 }
 
-func TestQuestions(t *testing.T) {
-	c, _ := face(t)
-	status, err := query.AskStatus(t.Context(), c)
+func TestQueriesReturnTheServersValues(t *testing.T) {
+	c, _ := serveAdmin(t)
+	status, err := query.FetchStatus(t.Context(), c)
 	assert.NilError(t, err)
 	assert.Equal(t, status.Fleet[0].Instance.FailureDomain, value.FailureDomain("guj-a"))
-	x, err := query.AskExplain(t.Context(), c, "q")
+	x, err := query.FetchExplanation(t.Context(), c, "q")
 	assert.NilError(t, err)
 	assert.Equal(t, x.CostMicros, int64(5))
-	_, err = query.AskExplain(t.Context(), c, "unknown")
+	_, err = query.FetchExplanation(t.Context(), c, "unknown")
 	assert.ErrorType(t, err, value.ChangeRefused{})
-	a, err := query.AskAudit(t.Context(), c, []value.RequestID{"q"})
+	a, err := query.FetchAudit(t.Context(), c, []value.RequestID{"q"})
 	assert.NilError(t, err)
 	assert.DeepEqual(t, a.Missing, []value.RequestID{"q"})
-	one, err := apply(t, c, "one", 0)
+	one, err := sendApply(t, c, "one", 0)
 	assert.NilError(t, err)
-	kept, err := query.AskConfig(t.Context(), c, trial)
+	stored, err := query.FetchConfig(t.Context(), c, trial)
 	assert.NilError(t, err)
-	assert.Equal(t, kept.Standing.Change, one.Change)
-	assert.Equal(t, conf.Digest(kept.Bytes), one.Change.Digest)
+	assert.Equal(t, stored.Standing.Change, one.Change)
+	assert.Equal(t, conf.Digest(stored.Bytes), one.Change.Digest)
 }
 
-func TestBodyWithoutEndIsBounded(t *testing.T) {
-	c, _ := face(t)
+func TestEndlessBodyIsRejected(t *testing.T) {
+	c, _ := serveAdmin(t)
 	body := make([]byte, 4<<20)
 	for i := range body {
 		body[i] = ' '
 	}
-	req, err := http.NewRequestWithContext(context.Background(), http.MethodPost, c.Base+"/admin/apply", &endless{body})
+	req, err := http.NewRequestWithContext(context.Background(), http.MethodPost, c.Base+"/admin/apply", &endlessBody{body})
 	assert.NilError(t, err)
 	req.Header.Set("Authorization", "Bearer key")
 	resp, err := c.HTTP.Do(req)
 	if err != nil {
-		// The face may hang up before the whole body is sent.
+		// The server may close the connection before the complete body is sent.
 		return
 	}
 	defer resp.Body.Close()
 	assert.Equal(t, resp.StatusCode, http.StatusBadRequest)
 }
 
-type endless struct {
+type endlessBody struct {
 	data []byte
 }
 
-// Read never ends the body.
-func (e *endless) Read(p []byte) (int, error) {
+// Read fills p and never reports the end of the body.
+func (e *endlessBody) Read(p []byte) (int, error) {
 	return copy(p, e.data), nil
 }
--- a/io/admin/cmds/apply.go
+++ b/io/admin/cmds/apply.go
@@ -13,14 +13,14 @@
 // ApplyOrder asks to put a document in force in an environment.
 type ApplyOrder struct {
 	Environment value.Environment
-	// Change identifies the order; a repeated one takes effect once.
+	// Change identifies the change: orders with the same identifier take effect only once.
 	Change value.ChangeID
-	// Expect is the revision that the operator has seen; zero means none.
+	// Expect is the revision that the document replaces; zero if the environment has none yet.
 	Expect   int64
 	Document []byte
 }
 
-// wireApply is the body of an order to apply; the document's bytes are base64.
+// wireApply is the request's body; JSON encodes the document's bytes as base64.
 type wireApply struct {
 	Environment string
 	Change      string
@@ -30,19 +30,19 @@
 
 const applyPath = "/admin/apply"
 
-// Apply checks the document and puts it in the place of the expected revision.
+// Apply validates the document and replaces the expected revision by it.
 //
 // The error is conf.Faults, value.ChangeConflict, value.ChangeRefused,
 // value.ChangeUnavailable or value.ChangeUnknown.
-func Apply(ctx context.Context, c Config, who string, o ApplyOrder) (value.AppliedChange, error) {
+func Apply(ctx context.Context, c Config, operator string, o ApplyOrder) (value.AppliedChange, error) {
 	if _, err := conf.Parse(o.Document); err != nil {
 		return value.AppliedChange{}, fmt.Errorf("check document: %w", err)
 	}
-	change := value.Change{ID: o.Change, Who: who, At: c.Now(), Expect: o.Expect, Digest: conf.Digest(o.Document)}
-	return write(ctx, c.Store, order{environment: o.Environment, change: change, data: o.Document})
+	change := value.Change{ID: o.Change, Who: operator, At: c.Now(), Expect: o.Expect, Digest: conf.Digest(o.Document)}
+	return write(ctx, c.Store, writeRequest{environment: o.Environment, change: change, data: o.Document})
 }
 
-// ApplyRoute serves orders to apply.
+// ApplyRoute returns the route that serves Apply.
 func ApplyRoute(c Config) route.Route {
 	return route.New(http.MethodPost, applyPath, func(ctx context.Context, w wireApply) (wireApplied, error) {
 		o := ApplyOrder{
@@ -55,7 +55,7 @@
 			return wireApplied{}, err
 		}
 		applied, err := Apply(ctx, c, route.Operator(ctx), o)
-		return toWire(applied), err
+		return toWireApplied(applied), err
 	})
 }
 
@@ -63,5 +63,5 @@
 func SendApply(ctx context.Context, to route.Client, o ApplyOrder) (value.AppliedChange, error) {
 	w := wireApply{Environment: string(o.Environment), Change: string(o.Change), Expect: o.Expect, Document: o.Document}
 	applied, err := route.Call[wireApply, wireApplied](ctx, to, http.MethodPost, applyPath, w)
-	return applied.value(), route.Lost(err, o.Change)
+	return applied.value(), route.UnknownIfUnanswered(err, o.Change)
 }
--- a/io/admin/cmds/promote.go
+++ b/io/admin/cmds/promote.go
@@ -11,15 +11,15 @@
 	"endivehitch/io/conf"
 )
 
-// PromoteOrder asks to move the document accepted in one environment to another, byte for byte.
+// PromoteOrder asks to copy the document in force in one environment, byte for byte, to another.
 type PromoteOrder struct {
 	From value.Environment
 	To   value.Environment
-	// Change identifies the order; a repeated one takes effect once.
+	// Change identifies the change: orders with the same identifier take effect only once.
 	Change value.ChangeID
-	// Expect is the revision of the target that the operator has seen; zero means none.
+	// Expect is the target's revision that the document replaces; zero if the target has none yet.
 	Expect int64
-	// Digest names the document; empty asks for the one that stands.
+	// Digest is the digest of the document to copy; if it is empty, the one in force is copied.
 	Digest string
 }
 
@@ -33,21 +33,24 @@
 
 const promotePath = "/admin/promote"
 
-// Promote moves the very bytes that were accepted, or refuses.
+// Promote copies the bytes of the document in force in one environment to another, or refuses if
+// that document doesn't have the given digest.
 //
-// The error is value.ChangeConflict, value.ChangeRefused, value.ChangeUnavailable or value.ChangeUnknown.
-func Promote(ctx context.Context, c Config, who string, o PromoteOrder) (value.AppliedChange, error) {
+// The error is value.ChangeConflict, value.ChangeRefused, value.ChangeUnavailable or
+// value.ChangeUnknown.
+func Promote(ctx context.Context, c Config, operator string, o PromoteOrder) (value.AppliedChange, error) {
 	from, err := conf.Load(ctx, c.Store, o.From)
 	if err != nil {
-		return value.AppliedChange{}, unread(err)
+		return value.AppliedChange{}, toReadError(err)
 	}
 	to, err := conf.Load(ctx, c.Store, o.To)
 	if err != nil {
-		return value.AppliedChange{}, unread(err)
+		return value.AppliedChange{}, toReadError(err)
 	}
-	change := value.Change{ID: o.Change, Who: who, At: c.Now(), Expect: o.Expect}
-	// A repeated order whose first sending took effect is settled before it is judged anew.
-	w := &writer{order: order{change: change}}
+	change := value.Change{ID: o.Change, Who: operator, At: c.Now(), Expect: o.Expect}
+	// If this is a retry of an order that took effect, its outcome is returned. Checked like a new
+	// order it would be refused, since the document is already in force.
+	w := &writer{request: writeRequest{change: change}}
 	switch query.OutcomeOf(to.Standing, change) {
 	case query.OutcomeApplied, query.OutcomeOvertaken:
 		r := w.settle(to.Standing)
@@ -57,18 +60,18 @@
 	if err != nil {
 		return value.AppliedChange{}, fmt.Errorf("promote from %s to %s: %w", o.From, o.To, err)
 	}
-	return write(ctx, c.Store, order{environment: o.To, change: change.WithDigest(digest), data: from.Bytes})
+	return write(ctx, c.Store, writeRequest{environment: o.To, change: change.WithDigest(digest), data: from.Bytes})
 }
 
-// unread keeps a refusal and turns any other failure to read into an unavailable service.
-func unread(err error) error {
-	if r := fatal(err); r != nil {
+// toReadError returns a refusal as it is and any other error of a read as value.ChangeUnavailable.
+func toReadError(err error) error {
+	if r := toRefusal(err); r != nil {
 		return r.err
 	}
 	return value.ChangeUnavailable{Detail: err.Error()}
 }
 
-// PromoteRoute serves orders to promote.
+// PromoteRoute returns the route that serves Promote.
 func PromoteRoute(c Config) route.Route {
 	return route.New(http.MethodPost, promotePath, func(ctx context.Context, w wirePromote) (wireApplied, error) {
 		o := PromoteOrder{
@@ -82,7 +85,7 @@
 			return wireApplied{}, err
 		}
 		applied, err := Promote(ctx, c, route.Operator(ctx), o)
-		return toWire(applied), err
+		return toWireApplied(applied), err
 	})
 }
 
@@ -90,5 +93,5 @@
 func SendPromote(ctx context.Context, to route.Client, o PromoteOrder) (value.AppliedChange, error) {
 	w := wirePromote{From: string(o.From), To: string(o.To), Change: string(o.Change), Expect: o.Expect, Digest: o.Digest}
 	applied, err := route.Call[wirePromote, wireApplied](ctx, to, http.MethodPost, promotePath, w)
-	return applied.value(), route.Lost(err, o.Change)
+	return applied.value(), route.UnknownIfUnanswered(err, o.Change)
 }
--- a/io/admin/cmds/promote_test.go
+++ b/io/admin/cmds/promote_test.go
@@ -22,7 +22,7 @@
 	return errors.As(err, into)
 }
 
-func (b bench) promote(id string, expect int64, digest string) (value.AppliedChange, error) {
+func (b fixture) promote(id string, expect int64, digest string) (value.AppliedChange, error) {
 	o := cmds.PromoteOrder{From: trial, To: production, Change: value.ChangeID(id), Expect: expect, Digest: digest}
 	return cmds.Promote(b.t.Context(), b.Config, "mette", o)
 }
@@ -34,55 +34,55 @@
 	return refused.Reason
 }
 
-func TestPromoteMovesTheVeryBytes(t *testing.T) {
-	run(t, func(t *testing.T, b bench) {
+func TestPromoteCopiesTheExactBytesOrIsRefused(t *testing.T) {
+	withFixture(t, func(t *testing.T, b fixture) {
 		_, err := b.promote("early", 0, "")
 		assert.Equal(t, reasonOf(t, err), value.ReasonNothingStored)
 		one, err := b.apply("asha", "one", 0, "one")
 		assert.NilError(t, err)
 		moved, err := b.promote("p1", 0, one.Change.Digest)
 		assert.NilError(t, err)
-		assert.DeepEqual(t, b.kept(production).Bytes, document(t, "one"))
+		assert.DeepEqual(t, b.load(production).Bytes, document(t, "one"))
 		assert.Equal(t, moved.Change.Digest, one.Change.Digest)
 
 		_, err = b.apply("asha", "two", one.Revision, "two")
 		assert.NilError(t, err)
 		_, err = b.promote("p2", moved.Revision, one.Change.Digest)
 		assert.Equal(t, reasonOf(t, err), value.ReasonNotInTrial)
-		assert.DeepEqual(t, b.kept(production).Bytes, document(t, "one"))
+		assert.DeepEqual(t, b.load(production).Bytes, document(t, "one"))
 	})
 }
 
-func TestPromoteWithALostAnswerTakesEffectOnce(t *testing.T) {
-	run(t, func(t *testing.T, b bench) {
+func TestRetriedPromoteAfterALostStoreAnswerWritesOnce(t *testing.T) {
+	withFixture(t, func(t *testing.T, b fixture) {
 		_, err := b.apply("asha", "one", 0, "one")
 		assert.NilError(t, err)
-		b.set(fakes.Faults{LostAnswers: 1})
+		b.setFaults(fakes.Faults{LostAnswers: 1})
 		done := make(chan error, 1)
 		go func() {
 			_, err := b.promote("p1", 0, "")
 			done <- err
 		}()
 		synctest.Wait()
-		b.set(fakes.Faults{Down: true})
+		b.setFaults(fakes.Faults{Down: true})
 		assert.ErrorType(t, <-done, value.ChangeUnknown{})
 		writes := b.store.Writes()
-		b.set(fakes.Faults{})
+		b.setFaults(fakes.Faults{})
 		_, err = b.promote("p1", 0, "")
-		assert.NilError(t, err, "the repeated order is not refused as already in force")
+		assert.NilError(t, err, "the retried order is not refused as already in force")
 		assert.Equal(t, b.store.Writes(), writes)
 	})
 }
 
-func TestDamagedBytesAreNotPromoted(t *testing.T) {
-	run(t, func(t *testing.T, b bench) {
+func TestPromoteRefusesBytesThatDontMatchTheDigest(t *testing.T) {
+	withFixture(t, func(t *testing.T, b fixture) {
 		_, err := b.apply("asha", "one", 0, "one")
 		assert.NilError(t, err)
 		e, err := b.store.Get(t.Context(), conf.DocumentKey(trial))
 		assert.NilError(t, err)
-		was := base64.StdEncoding.EncodeToString(document(t, "one"))
-		is := base64.StdEncoding.EncodeToString(document(t, "0ne"))
-		damaged := bytes.Replace(e.Value, []byte(was), []byte(is), 1)
+		original := base64.StdEncoding.EncodeToString(document(t, "one"))
+		altered := base64.StdEncoding.EncodeToString(document(t, "0ne"))
+		damaged := bytes.Replace(e.Value, []byte(original), []byte(altered), 1)
 		_, err = b.store.Swap(t.Context(), plat.Swap{Key: e.Key, Expect: e.Revision, Value: damaged})
 		assert.NilError(t, err)
 		_, err = b.promote("p1", 0, "")
--- a/io/admin/cmds/rollout.go
+++ b/io/admin/cmds/rollout.go
@@ -15,7 +15,7 @@
 	"endivehitch/io/plat"
 )
 
-// RollOutOrder asks to move a roll-out of an environment.
+// RollOutOrder asks to start, advance or withdraw a roll-out of an environment.
 type RollOutOrder struct {
 	Environment value.Environment
 	Name        value.RollOutName
@@ -41,41 +41,42 @@
 
 const rollOutPath = "/admin/rollout"
 
-// RollOut moves a roll-out by compare-and-swap and returns where it stands.
+// RollOut carries out the order and returns the roll-out's progress after it.
 //
-// The error is value.ChangeRefused, value.ChangeUnavailable or value.ChangeUnknown; a
-// repeated order changes nothing once its aim is reached.
+// An order whose aim is already reached changes nothing, so that it may be retried. The error is
+// value.ChangeRefused, value.ChangeUnavailable or value.ChangeUnknown.
 func RollOut(ctx context.Context, c Config, o RollOutOrder) (value.Progress, error) {
-	sent := false
-	pause := pauses
-	for range writeTries {
-		p, done, err := rollOut(ctx, c, o)
+	maybeSent := false
+	backoff := retryBackoff
+	for range maxAttempts {
+		progress, done, err := attemptRollOut(ctx, c, o)
 		if done {
-			return p, err
+			return progress, err
 		}
-		sent = sent || errors.Is(err, plat.ErrUnknown)
-		if err := clock.Wait(ctx, pause.Delay(clock.Random{})); err != nil {
+		maybeSent = maybeSent || errors.Is(err, plat.ErrUnknown)
+		if err := clock.Wait(ctx, backoff.Delay(clock.Random{})); err != nil {
 			break
 		}
-		pause = pause.WithFailure()
+		backoff = backoff.WithFailure()
 	}
-	if sent {
+	if maybeSent {
 		return value.Progress{}, value.ChangeUnknown{Detail: "the key-value service gave no answer; the order may be repeated"}
 	}
 	return value.Progress{}, value.ChangeUnavailable{Detail: "the key-value service was not reached"}
 }
 
-// rollOut makes one attempt and reports whether it settled the order.
-func rollOut(ctx context.Context, c Config, o RollOutOrder) (value.Progress, bool, error) {
-	plan, present, err := readRollOut(ctx, c.Store, o)
+// attemptRollOut makes one attempt and reports whether its result is final, so that no further one
+// is needed.
+func attemptRollOut(ctx context.Context, c Config, o RollOutOrder) (value.Progress, bool, error) {
+	plan, entry, err := readRollOut(ctx, c.Store, o)
 	if err != nil {
-		return value.Progress{}, fatal(err) != nil, err
+		return value.Progress{}, toRefusal(err) != nil, err
 	}
-	was, err := positionOf(plan, present)
+	progress, err := progressOf(plan, entry)
 	if err != nil {
 		return value.Progress{}, true, err
 	}
-	next, changed, err := steps.ApplyOrder(plan, was, o.Order, c.Now())
+	next, changed, err := steps.ApplyOrder(plan, progress, o.Order, c.Now())
 	if err != nil || !changed {
 		return next, true, err
 	}
@@ -83,22 +84,23 @@
 	if err != nil {
 		return value.Progress{}, true, err
 	}
-	_, err = c.Store.Swap(ctx, plat.Swap{Key: present.Key, Expect: present.Revision, Value: data})
+	_, err = c.Store.Swap(ctx, plat.Swap{Key: entry.Key, Expect: entry.Revision, Value: data})
 	return next, err == nil, err
 }
 
-// readRollOut returns the plan in the environment's document and the entry of its position.
-func readRollOut(ctx context.Context, from plat.Reader, o RollOutOrder) (value.RollOut, plat.Entry, error) {
-	record, err := conf.Load(ctx, from, o.Environment)
+// readRollOut returns the roll-out's plan from the environment's document and the entry that stores
+// its progress.
+func readRollOut(ctx context.Context, reader plat.Reader, o RollOutOrder) (value.RollOut, plat.Entry, error) {
+	record, err := conf.Load(ctx, reader, o.Environment)
 	if err != nil {
 		return value.RollOut{}, plat.Entry{}, err
 	}
-	plan, err := planOf(record, o)
+	plan, err := findPlan(record, o)
 	if err != nil {
 		return value.RollOut{}, plat.Entry{}, err
 	}
 	key := conf.RollOutKey(o.Environment, o.Name)
-	entry, err := from.Get(ctx, key)
+	entry, err := reader.Get(ctx, key)
 	if err != nil {
 		return value.RollOut{}, plat.Entry{}, fmt.Errorf("read roll-out %s: %w", o.Name, err)
 	}
@@ -106,7 +108,7 @@
 	return plan, entry, nil
 }
 
-func planOf(record conf.Record, o RollOutOrder) (value.RollOut, error) {
+func findPlan(record conf.Record, o RollOutOrder) (value.RollOut, error) {
 	unknown := value.ChangeRefused{
 		Reason: value.ReasonUnknownRollOut,
 		Detail: fmt.Sprintf("the document of %s has no roll-out %q", o.Environment, o.Name),
@@ -126,39 +128,41 @@
 	return value.RollOut{}, unknown
 }
 
-// positionOf returns where the roll-out stands, which is at its beginning while nothing is kept.
-func positionOf(plan value.RollOut, e plat.Entry) (value.Progress, error) {
+// progressOf returns the roll-out's stored progress, or that of a planned roll-out if none is
+// stored.
+func progressOf(plan value.RollOut, e plat.Entry) (value.Progress, error) {
 	if e.Revision == 0 {
 		return steps.NewProgress(plan), nil
 	}
-	p, err := conf.DecodeProgress(e)
+	progress, err := conf.DecodeProgress(e)
 	if err != nil {
 		return value.Progress{}, err
 	}
-	if p.Version != plan.ToKey() {
-		// The name was used before for another version; the new plan begins after the old one's last epoch.
-		fresh := steps.NewProgress(plan)
-		fresh.Epoch = p.Epoch
-		return fresh, nil
+	if progress.Version != plan.ToKey() {
+		// An earlier roll-out of this name was about another version. The new one goes on from its
+		// epoch, so that epochs under this name only increase.
+		initial := steps.NewProgress(plan)
+		initial.Epoch = progress.Epoch
+		return initial, nil
 	}
-	return p, nil
+	return progress, nil
 }
 
-// RollOutRoute serves orders to roll-outs.
+// RollOutRoute returns the route that serves RollOut.
 func RollOutRoute(c Config) route.Route {
 	return route.New(http.MethodPost, rollOutPath, func(ctx context.Context, w wireRollOut) (wireProgress, error) {
 		o := RollOutOrder{Environment: w.Environment, Name: w.Name, Order: steps.Order{Verb: w.Verb, Stage: w.Stage}}
 		if !environmentPattern.MatchString(string(o.Environment)) {
 			return wireProgress{}, route.BadRequest{Detail: "Environment must be 1 to 31 small letters, digits or '-'"}
 		}
-		p, err := RollOut(ctx, c, o)
-		return wireProgress(p), err
+		progress, err := RollOut(ctx, c, o)
+		return wireProgress(progress), err
 	})
 }
 
 // SendRollOut sends the order to an instance.
 func SendRollOut(ctx context.Context, to route.Client, o RollOutOrder) (value.Progress, error) {
 	w := wireRollOut{Environment: o.Environment, Name: o.Name, Verb: o.Order.Verb, Stage: o.Order.Stage}
-	p, err := route.Call[wireRollOut, wireProgress](ctx, to, http.MethodPost, rollOutPath, w)
-	return value.Progress(p), route.Lost(err, "")
+	progress, err := route.Call[wireRollOut, wireProgress](ctx, to, http.MethodPost, rollOutPath, w)
+	return value.Progress(progress), route.UnknownIfUnanswered(err, "")
 }
--- a/io/admin/cmds/rollout_test.go
+++ b/io/admin/cmds/rollout_test.go
@@ -14,11 +14,11 @@
 	"endivehitch/io/fakes"
 )
 
-func (b bench) rollOut(o steps.Order) (value.Progress, error) {
+func (b fixture) rollOut(o steps.Order) (value.Progress, error) {
 	return cmds.RollOut(b.t.Context(), b.Config, cmds.RollOutOrder{Environment: trial, Name: "medium-3", Order: o})
 }
 
-func (b bench) position() value.Progress {
+func (b fixture) loadProgress() value.Progress {
 	b.t.Helper()
 	e, err := b.store.Get(b.t.Context(), conf.RollOutKey(trial, "medium-3"))
 	assert.NilError(b.t, err)
@@ -27,8 +27,8 @@
 	return p
 }
 
-func TestTwoOperatorsAdvanceOneStage(t *testing.T) {
-	run(t, func(t *testing.T, b bench) {
+func TestConcurrentAdvancesOfOneStageAdvanceOnce(t *testing.T) {
+	withFixture(t, func(t *testing.T, b fixture) {
 		_, err := b.rollOut(steps.Order{Verb: steps.VerbStart})
 		assert.Equal(t, reasonOf(t, err), value.ReasonUnknownRollOut)
 		_, err = b.apply("asha", "one", 0, "one")
@@ -37,7 +37,7 @@
 		assert.Equal(t, reasonOf(t, err), value.ReasonWrongPhase)
 		_, err = b.rollOut(steps.Order{Verb: steps.VerbStart})
 		assert.NilError(t, err)
-		b.set(fakes.Faults{Delay: 10 * time.Millisecond})
+		b.setFaults(fakes.Faults{Delay: 10 * time.Millisecond})
 		errs := make(chan error, 2)
 		for range 2 {
 			go func() {
@@ -47,57 +47,57 @@
 		}
 		assert.NilError(t, <-errs)
 		assert.NilError(t, <-errs)
-		assert.Equal(t, b.position().Stage, 1, "two orders to leave stage 0 leave one stage")
+		assert.Equal(t, b.loadProgress().Stage, 1, "two orders to leave stage 0 advance the roll-out by one stage")
 		_, err = b.rollOut(steps.Order{Verb: steps.VerbAdvance, Stage: 3})
 		assert.Equal(t, reasonOf(t, err), value.ReasonWrongPhase)
 	})
 }
 
-func TestWithdrawalWinsOverAnAdvanceAtTheSameMoment(t *testing.T) {
-	run(t, func(t *testing.T, b bench) {
+func TestWithdrawWinsOverAConcurrentAdvance(t *testing.T) {
+	withFixture(t, func(t *testing.T, b fixture) {
 		_, err := b.apply("asha", "one", 0, "one")
 		assert.NilError(t, err)
 		_, err = b.rollOut(steps.Order{Verb: steps.VerbStart})
 		assert.NilError(t, err)
-		b.set(fakes.Faults{Delay: 10 * time.Millisecond})
+		b.setFaults(fakes.Faults{Delay: 10 * time.Millisecond})
 		done := make(chan error, 2)
 		go func() {
 			_, err := b.rollOut(steps.Order{Verb: steps.VerbWithdraw})
 			done <- err
 		}()
 		go func() {
-			// The advance is refused or comes before the withdrawal.
+			// The advance may be refused, or take effect before the withdrawal.
 			_, _ = b.rollOut(steps.Order{Verb: steps.VerbAdvance, Stage: 0})
 			done <- nil
 		}()
 		assert.NilError(t, <-done)
 		assert.NilError(t, <-done)
-		assert.Equal(t, b.position().Phase, value.PhaseWithdrawn)
+		assert.Equal(t, b.loadProgress().Phase, value.PhaseWithdrawn)
 		_, err = b.rollOut(steps.Order{Verb: steps.VerbStart})
 		assert.Equal(t, reasonOf(t, err), value.ReasonWrongPhase)
 	})
 }
 
-func TestRollOutOrderWithALostAnswer(t *testing.T) {
-	run(t, func(t *testing.T, b bench) {
+func TestRollOutOrderTakesEffectOnceWhenTheStoreAnswerIsLost(t *testing.T) {
+	withFixture(t, func(t *testing.T, b fixture) {
 		_, err := b.apply("asha", "one", 0, "one")
 		assert.NilError(t, err)
-		b.set(fakes.Faults{LostAnswers: 1})
+		b.setFaults(fakes.Faults{LostAnswers: 1})
 		p, err := b.rollOut(steps.Order{Verb: steps.VerbStart})
 		assert.NilError(t, err)
-		assert.DeepEqual(t, p, b.position())
+		assert.DeepEqual(t, p, b.loadProgress())
 		assert.Equal(t, p.Epoch, int64(2), "the order took effect once")
 
-		b.set(fakes.Faults{LostAnswers: 1})
+		b.setFaults(fakes.Faults{LostAnswers: 1})
 		done := make(chan error, 1)
 		go func() {
 			_, err := b.rollOut(steps.Order{Verb: steps.VerbWithdraw})
 			done <- err
 		}()
 		synctest.Wait()
-		b.set(fakes.Faults{Down: true})
+		b.setFaults(fakes.Faults{Down: true})
 		assert.ErrorType(t, <-done, value.ChangeUnknown{})
-		b.set(fakes.Faults{})
-		assert.Equal(t, b.position().Phase, value.PhaseWithdrawn)
+		b.setFaults(fakes.Faults{})
+		assert.Equal(t, b.loadProgress().Phase, value.PhaseWithdrawn)
 	})
 }
--- a/io/admin/cmds/wire.go
+++ b/io/admin/cmds/wire.go
@@ -8,26 +8,26 @@
 	"endivehitch/io/admin/route"
 )
 
-// wireApplied is the answer to an order that took effect.
+// wireApplied is the body of the answer to a change that took effect.
 type wireApplied struct {
-	Change    string
-	Who       string
-	At        time.Time
-	Expect    int64
-	Digest    string
-	Revision  int64
-	Overtaken bool
+	Change     string
+	Who        string
+	At         time.Time
+	Expect     int64
+	Digest     string
+	Revision   int64
+	Superseded bool `json:"Overtaken"`
 }
 
-func toWire(a value.AppliedChange) wireApplied {
+func toWireApplied(applied value.AppliedChange) wireApplied {
 	return wireApplied{
-		Change:    string(a.Change.ID),
-		Who:       a.Change.Who,
-		At:        a.Change.At,
-		Expect:    a.Change.Expect,
-		Digest:    a.Change.Digest,
-		Revision:  a.Revision,
-		Overtaken: a.Superseded,
+		Change:     string(applied.Change.ID),
+		Who:        applied.Change.Who,
+		At:         applied.Change.At,
+		Expect:     applied.Change.Expect,
+		Digest:     applied.Change.Digest,
+		Revision:   applied.Revision,
+		Superseded: applied.Superseded,
 	}
 }
 
@@ -35,13 +35,14 @@
 	return value.AppliedChange{
 		Change:     value.Change{ID: value.ChangeID(w.Change), Who: w.Who, At: w.At, Expect: w.Expect, Digest: w.Digest},
 		Revision:   w.Revision,
-		Superseded: w.Overtaken,
+		Superseded: w.Superseded,
 	}
 }
 
 var environmentPattern = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,30}$`)
 
-// checkOrder refuses an order whose environment or identifier can't be kept.
+// checkOrder returns route.BadRequest if the environment's name or the change identifier is
+// invalid.
 func checkOrder(e value.Environment, id value.ChangeID) error {
 	if !environmentPattern.MatchString(string(e)) {
 		return route.BadRequest{Detail: "Environment must be 1 to 31 small letters, digits or '-'"}
--- a/io/admin/cmds/write.go
+++ b/io/admin/cmds/write.go
@@ -14,146 +14,154 @@
 	"endivehitch/io/plat"
 )
 
-// writeTries bounds how often one change is sent to the key-value service.
-const writeTries = 6
+// maxAttempts is how often a command reads its record and tries to change it.
+const maxAttempts = 6
 
-// pauses are the waits between two of these times.
-var pauses = policy.Backoff{First: 100 * time.Millisecond, Limit: 2 * time.Second}
+// retryBackoff is the wait between two attempts.
+var retryBackoff = policy.Backoff{First: 100 * time.Millisecond, Limit: 2 * time.Second}
 
-// Config sets up the commands.
+// Config configures the commands.
 type Config struct {
 	Store plat.Store
 	Now   func() time.Time
 }
 
-// order is a change to be made to an environment's document.
-type order struct {
+// writeRequest is a change of an environment's document and the new document's bytes.
+type writeRequest struct {
 	environment value.Environment
 	change      value.Change
 	data        []byte
 }
 
-// writer makes one change; it belongs to one goroutine.
+// writer makes one change. It is used by one goroutine only.
 type writer struct {
-	store plat.Store
-	order order
-	// sent is set once the key-value service may have received the change.
-	sent bool
-	// present is what was last seen to stand.
-	present value.CurrentRecord
+	store   plat.Store
+	request writeRequest
+	// maybeSent is set once the change may have taken effect without an answer.
+	maybeSent bool
+	// current is the record in force as it was last read.
+	current value.CurrentRecord
 }
 
-// result ends the attempts at a change.
+// result is the final result of a change, after which no further attempt is made.
 type result struct {
 	applied value.AppliedChange
 	err     error
 }
 
-// write makes the change, or says truly that it was not made or that its outcome is unknown.
+// write makes the change, or returns an error that says whether the change was certainly not made
+// or its outcome is unknown.
 //
-// It is sent again only after reading back that it has not taken effect. An
-// earlier sending that is still under way does no harm: both expect the same
-// revision, so that at most one takes effect.
-func write(ctx context.Context, store plat.Store, o order) (value.AppliedChange, error) {
-	w := &writer{store: store, order: o}
-	pause := pauses
-	for range writeTries {
+// Each attempt first reads the record and sends the change only if it has not taken effect. A
+// change that an earlier attempt sent may still be on its way. That is safe: both expect the same
+// revision, so that at most one of them takes effect.
+func write(ctx context.Context, store plat.Store, request writeRequest) (value.AppliedChange, error) {
+	w := &writer{store: store, request: request}
+	backoff := retryBackoff
+	for range maxAttempts {
 		if r := w.attempt(ctx); r != nil {
 			return r.applied, r.err
 		}
-		if err := clock.Wait(ctx, pause.Delay(clock.Random{})); err != nil {
+		if err := clock.Wait(ctx, backoff.Delay(clock.Random{})); err != nil {
 			break
 		}
-		pause = pause.WithFailure()
+		backoff = backoff.WithFailure()
 	}
-	return value.AppliedChange{}, w.giveUp()
+	return value.AppliedChange{}, w.finalError()
 }
 
-// giveUp says what is certain of a change after the last attempt.
-func (w *writer) giveUp() error {
+// finalError returns the error after the last attempt: ChangeUnknown if the change may have been
+// made, and otherwise an error that says that it was not.
+func (w *writer) finalError() error {
 	switch {
-	case w.sent:
-		return value.ChangeUnknown{Change: w.order.change.ID, Detail: "the key-value service gave no answer"}
-	case w.present.Revision > 0 && w.present.Revision < w.order.change.Expect:
-		return value.ChangeConflict{Attempted: w.order.change, Current: w.present}
+	case w.maybeSent:
+		return value.ChangeUnknown{Change: w.request.change.ID, Detail: "the key-value service gave no answer"}
+	case w.current.Revision > 0 && w.current.Revision < w.request.change.Expect:
+		return value.ChangeConflict{Attempted: w.request.change, Current: w.current}
 	}
 	return value.ChangeUnavailable{Detail: "the key-value service was not reached"}
 }
 
-// attempt reads what stands and sends the change if it is still open; it returns nil if another attempt may help.
+// attempt reads the record in force and sends the change unless its outcome is already known. It
+// returns nil if another attempt may help.
 func (w *writer) attempt(ctx context.Context) *result {
-	record, err := conf.Load(ctx, w.store, w.order.environment)
+	record, err := conf.Load(ctx, w.store, w.request.environment)
 	if err != nil {
-		return fatal(err)
+		return toRefusal(err)
 	}
-	w.present = record.Standing
-	if query.OutcomeOf(record.Standing, w.order.change) != query.OutcomeOpen {
+	w.current = record.Standing
+	if query.OutcomeOf(record.Standing, w.request.change) != query.OutcomeOpen {
 		return w.settle(record.Standing)
 	}
-	data, err := record.WithChange(w.order.data, w.order.change).Encode()
+	data, err := record.WithChange(w.request.data, w.request.change).Encode()
 	if err != nil {
 		return &result{err: err}
 	}
 	return w.send(ctx, data)
 }
 
-func (w *writer) settle(present value.CurrentRecord) *result {
-	mine := w.order.change
-	switch query.OutcomeOf(present, mine) {
+// settle returns the change's final result, judged by the record in force. It returns nil if the
+// change is still open, or if the record is older than the revision that the change expects.
+func (w *writer) settle(current value.CurrentRecord) *result {
+	change := w.request.change
+	switch query.OutcomeOf(current, change) {
 	case query.OutcomeApplied:
-		if mine.Digest != "" && mine.Digest != present.Change.Digest {
-			return &result{err: value.ChangeRefused{Reason: value.ReasonKeyReused, Detail: "change " + string(mine.ID) + " was about another document"}}
+		if change.Digest != "" && change.Digest != current.Change.Digest {
+			return &result{err: value.ChangeRefused{Reason: value.ReasonKeyReused, Detail: "change " + string(change.ID) + " was about another document"}}
 		}
-		return &result{applied: value.AppliedChange{Change: present.Change, Revision: present.Revision}}
+		return &result{applied: value.AppliedChange{Change: current.Change, Revision: current.Revision}}
 	case query.OutcomeOvertaken:
-		return &result{applied: value.AppliedChange{Change: mine, Revision: present.Revision, Superseded: true}}
+		return &result{applied: value.AppliedChange{Change: change, Revision: current.Revision, Superseded: true}}
 	case query.OutcomeConflict:
-		return &result{err: value.ChangeConflict{Attempted: mine, Current: present}}
+		return &result{err: value.ChangeConflict{Attempted: change, Current: current}}
 	case query.OutcomeForgotten:
-		return w.forgotten(present)
+		return w.unknownOutcome(current)
 	}
 	return nil
 }
 
-// forgotten can't tell a late repetition from a change that was never sent.
-func (w *writer) forgotten(present value.CurrentRecord) *result {
-	detail := fmt.Sprintf("revision %d stands, and the trail of changes no longer reaches back to %d", present.Revision, w.order.change.Expect)
-	return &result{err: value.ChangeUnknown{Change: w.order.change.ID, Detail: detail}}
+// unknownOutcome returns ChangeUnknown for a change whose expected revision is older than the
+// stored history: it may be a late retry of a change that took effect, or one that was never sent.
+func (w *writer) unknownOutcome(current value.CurrentRecord) *result {
+	detail := fmt.Sprintf("revision %d stands, and the trail of changes no longer reaches back to %d", current.Revision, w.request.change.Expect)
+	return &result{err: value.ChangeUnknown{Change: w.request.change.ID, Detail: detail}}
 }
 
 func (w *writer) send(ctx context.Context, data []byte) *result {
-	swap := plat.Swap{Key: conf.DocumentKey(w.order.environment), Expect: w.order.change.Expect, Value: data}
+	swap := plat.Swap{Key: conf.DocumentKey(w.request.environment), Expect: w.request.change.Expect, Value: data}
 	revision, err := w.store.Swap(ctx, swap)
 	if err == nil {
-		return &result{applied: value.AppliedChange{Change: w.order.change, Revision: revision}}
+		return &result{applied: value.AppliedChange{Change: w.request.change, Revision: revision}}
 	}
 	var conflict plat.Conflict
 	switch {
 	case errors.As(err, &conflict):
-		return w.lost(conflict)
+		return w.settleConflict(conflict)
 	case errors.Is(err, plat.ErrUnavailable):
 		return nil
 	case errors.Is(err, plat.ErrUnknown), ctx.Err() != nil:
-		w.sent = true
+		w.maybeSent = true
 		return nil
 	}
-	return &result{err: fmt.Errorf("write document of %s: %w", w.order.environment, err)}
+	return &result{err: fmt.Errorf("write document of %s: %w", w.request.environment, err)}
 }
 
-// lost settles a change by the entry that the key-value service named in its place.
-func (w *writer) lost(c plat.Conflict) *result {
-	record, err := conf.DecodeRecord(c.Present)
+// settleConflict returns the change's result, judged by the entry that the key-value service
+// reported when it refused the compare-and-swap.
+func (w *writer) settleConflict(conflict plat.Conflict) *result {
+	record, err := conf.DecodeRecord(conflict.Present)
 	if err != nil {
-		return fatal(err)
+		return toRefusal(err)
 	}
 	if r := w.settle(record.Standing); r != nil {
 		return r
 	}
-	return &result{err: value.ChangeConflict{Attempted: w.order.change, Current: record.Standing}}
+	return &result{err: value.ChangeConflict{Attempted: w.request.change, Current: record.Standing}}
 }
 
-// fatal ends the attempts where reading again can't help.
-func fatal(err error) *result {
+// toRefusal returns a refusal as the final result. For any other error it returns nil, as reading
+// again may help.
+func toRefusal(err error) *result {
 	var refused value.ChangeRefused
 	if errors.As(err, &refused) {
 		return &result{err: err}
--- a/io/admin/query/audit.go
+++ b/io/admin/query/audit.go
@@ -11,14 +11,15 @@
 	"endivehitch/io/plat"
 )
 
-// Audit is the reconciliation of kept bills with answered requests, with sums in place of single charges.
+// Audit is the result of reconciling stored bills with answered requests, with one total per client
+// account.
 type Audit struct {
 	Totals []query.Total
 	// Missing lists answered requests without a bill.
 	Missing []value.RequestID
-	// Doubled lists requests with more than one kept bill, of which one is charged.
-	Doubled []value.RequestID
-	// Unknown lists requests that have a bill and no answer.
+	// Duplicated lists requests with more than one stored bill, of which one is charged.
+	Duplicated []value.RequestID
+	// Unknown lists requests that have a bill but are not among the answered ones.
 	Unknown []value.RequestID
 }
 
@@ -27,10 +28,10 @@
 }
 
 type wireAudit struct {
-	Totals  []wireTotal
-	Missing []value.RequestID
-	Doubled []value.RequestID
-	Unknown []value.RequestID
+	Totals     []wireTotal
+	Missing    []value.RequestID
+	Duplicated []value.RequestID `json:"Doubled"`
+	Unknown    []value.RequestID
 }
 
 type wireTotal struct {
@@ -39,34 +40,35 @@
 	CostMicros int64
 }
 
-// The list of answered requests is too long for a URL, so that this question is a POST.
+// auditPath is queried by POST, since the list of answered requests is too long for a URL.
 const auditPath = "/admin/audit"
 
-// AuditRoute serves the reconciliation of the bills in the key-value service.
-func AuditRoute(from plat.Reader) route.Route {
+// AuditRoute returns the route that reconciles the bills in the key-value service with answered
+// requests.
+func AuditRoute(store plat.Reader) route.Route {
 	return route.New(http.MethodPost, auditPath, func(ctx context.Context, w wireAnswered) (wireAudit, error) {
-		segments, err := bills.Read(ctx, from)
+		segments, err := bills.Read(ctx, store)
 		if err != nil {
 			return wireAudit{}, value.ChangeUnavailable{Detail: err.Error()}
 		}
-		a := query.Reconcile(segments, w.Answered)
-		out := wireAudit{Missing: a.Missing, Doubled: a.Duplicated, Unknown: a.Unknown}
-		for _, t := range a.Totals() {
-			out.Totals = append(out.Totals, wireTotal(t))
+		reconciliation := query.Reconcile(segments, w.Answered)
+		reply := wireAudit{Missing: reconciliation.Missing, Duplicated: reconciliation.Duplicated, Unknown: reconciliation.Unknown}
+		for _, t := range reconciliation.Totals() {
+			reply.Totals = append(reply.Totals, wireTotal(t))
 		}
-		return out, nil
+		return reply, nil
 	})
 }
 
-// AskAudit asks an instance to reconcile the kept bills with the answered requests.
-func AskAudit(ctx context.Context, to route.Client, answered []value.RequestID) (Audit, error) {
-	w, err := route.Ask[wireAnswered, wireAudit](ctx, to, http.MethodPost, auditPath, wireAnswered{Answered: answered})
+// FetchAudit asks an instance to reconcile the stored bills with the answered requests.
+func FetchAudit(ctx context.Context, to route.Client, answered []value.RequestID) (Audit, error) {
+	w, err := route.Query[wireAnswered, wireAudit](ctx, to, http.MethodPost, auditPath, wireAnswered{Answered: answered})
 	if err != nil {
 		return Audit{}, err
 	}
-	a := Audit{Missing: w.Missing, Doubled: w.Doubled, Unknown: w.Unknown}
+	audit := Audit{Missing: w.Missing, Duplicated: w.Duplicated, Unknown: w.Unknown}
 	for _, t := range w.Totals {
-		a.Totals = append(a.Totals, query.Total(t))
+		audit.Totals = append(audit.Totals, query.Total(t))
 	}
-	return a, nil
+	return audit, nil
 }
--- a/io/admin/query/config.go
+++ b/io/admin/query/config.go
@@ -15,45 +15,47 @@
 	Environment value.Environment
 }
 
-type wireKept struct {
+type wireRecord struct {
 	Revision int64
 	Change   value.ChangeID
 	Who      string
 	At       time.Time
 	Expect   int64
 	Digest   string
-	// Document is the kept bytes, as base64.
+	// Document holds the stored bytes, which JSON encodes as base64.
 	Document []byte
 }
 
 const configPath = "/admin/config"
 
-// ConfigRoute serves what the key-value service keeps for an environment.
-func ConfigRoute(from plat.Reader) route.Route {
-	return route.New(http.MethodGet, configPath, func(ctx context.Context, w wireEnvironment) (wireKept, error) {
-		r, err := conf.Load(ctx, from, w.Environment)
+// ConfigRoute returns the route that serves an environment's document and its last change from the
+// key-value service.
+func ConfigRoute(store plat.Reader) route.Route {
+	return route.New(http.MethodGet, configPath, func(ctx context.Context, w wireEnvironment) (wireRecord, error) {
+		record, err := conf.Load(ctx, store, w.Environment)
 		if err != nil {
-			return wireKept{}, value.ChangeUnavailable{Detail: err.Error()}
+			return wireRecord{}, value.ChangeUnavailable{Detail: err.Error()}
 		}
-		if r.Standing.Revision == 0 {
-			return wireKept{}, value.ChangeRefused{Reason: value.ReasonNothingStored, Detail: "no document was accepted in " + string(w.Environment)}
+		if record.Standing.Revision == 0 {
+			return wireRecord{}, value.ChangeRefused{Reason: value.ReasonNothingStored, Detail: "no document was accepted in " + string(w.Environment)}
 		}
-		c := r.Standing.Change
-		return wireKept{
-			Revision: r.Standing.Revision,
-			Change:   c.ID,
-			Who:      c.Who,
-			At:       c.At,
-			Expect:   c.Expect,
-			Digest:   c.Digest,
-			Document: r.Bytes,
+		change := record.Standing.Change
+		return wireRecord{
+			Revision: record.Standing.Revision,
+			Change:   change.ID,
+			Who:      change.Who,
+			At:       change.At,
+			Expect:   change.Expect,
+			Digest:   change.Digest,
+			Document: record.Bytes,
 		}, nil
 	})
 }
 
-// AskConfig asks an instance for the environment's document; the error is value.ChangeRefused where there is none.
-func AskConfig(ctx context.Context, to route.Client, e value.Environment) (conf.Record, error) {
-	w, err := route.Ask[wireEnvironment, wireKept](ctx, to, http.MethodGet, configPath, wireEnvironment{Environment: e})
+// FetchConfig asks an instance for the environment's document. The error is value.ChangeRefused if
+// no document is in force there.
+func FetchConfig(ctx context.Context, to route.Client, e value.Environment) (conf.Record, error) {
+	w, err := route.Query[wireEnvironment, wireRecord](ctx, to, http.MethodGet, configPath, wireEnvironment{Environment: e})
 	if err != nil {
 		return conf.Record{}, err
 	}
--- a/io/admin/query/explain.go
+++ b/io/admin/query/explain.go
@@ -9,7 +9,7 @@
 	"endivehitch/io/admin/route"
 )
 
-type wireQuestion struct {
+type wireRequest struct {
 	Request value.RequestID
 }
 
@@ -22,20 +22,22 @@
 
 const explainPath = "/admin/explain"
 
-// ExplainRoute serves explanations of requests whose decisions the fleet keeps.
+// ExplainRoute returns the route that explains a request by the decisions that the fleet has stored
+// about it.
 func ExplainRoute(c Config) route.Route {
-	return route.New(http.MethodGet, explainPath, func(ctx context.Context, w wireQuestion) (wireExplanation, error) {
+	return route.New(http.MethodGet, explainPath, func(ctx context.Context, w wireRequest) (wireExplanation, error) {
 		decisions, err := c.Decisions(ctx, w.Request)
 		if err != nil {
 			return wireExplanation{}, err
 		}
-		x, err := query.Explain(c.Snapshot(), w.Request, decisions)
-		return wireExplanation(x), err
+		explanation, err := query.Explain(c.Snapshot(), w.Request, decisions)
+		return wireExplanation(explanation), err
 	})
 }
 
-// AskExplain asks an instance why a request went where it went; the error is value.ChangeRefused where it doesn't know.
-func AskExplain(ctx context.Context, to route.Client, id value.RequestID) (query.Explanation, error) {
-	w, err := route.Ask[wireQuestion, wireExplanation](ctx, to, http.MethodGet, explainPath, wireQuestion{Request: id})
+// FetchExplanation asks an instance to explain the routing of a request. The error is
+// value.ChangeRefused if no decisions about the request are stored.
+func FetchExplanation(ctx context.Context, to route.Client, id value.RequestID) (query.Explanation, error) {
+	w, err := route.Query[wireRequest, wireExplanation](ctx, to, http.MethodGet, explainPath, wireRequest{Request: id})
 	return query.Explanation(w), err
 }
--- a/io/admin/query/status.go
+++ b/io/admin/query/status.go
@@ -12,17 +12,18 @@
 	"endivehitch/io/admin/route"
 )
 
-// Config sets up the questions.
+// Config configures the queries.
 type Config struct {
 	Snapshot func() state.State
 	Now      func() time.Time
-	// Fleet returns the instances with what they say of their configuration.
+	// Fleet returns all known instances with the configuration revision that each reports.
 	Fleet func(context.Context) []value.Instance
-	// Decisions returns the kept decisions about a request, the first one first, wherever they are kept.
+	// Decisions returns the decisions about a request in the order in which they were made, from
+	// whichever instance stores them.
 	Decisions func(context.Context, value.RequestID) ([]value.Decision, error)
 }
 
-type wireNothing struct{}
+type wireEmpty struct{}
 
 type wireStatus struct {
 	Self     value.InstanceID
@@ -39,9 +40,9 @@
 	State         value.InstanceState
 	Revision      int64
 	Digest        string
-	// Lag and Silent are durations such as 1.5s.
-	Lag    string
-	Silent string
+	// Lag and SinceLastSeen are durations as text, such as 1.5s.
+	Lag           string
+	SinceLastSeen string `json:"Silent"`
 }
 
 type wireProgress struct {
@@ -54,24 +55,24 @@
 
 const statusPath = "/admin/status"
 
-// StatusRoute serves the instance's view of the fleet.
+// StatusRoute returns the route that serves the fleet's status as the instance knows it.
 func StatusRoute(c Config) route.Route {
-	return route.New(http.MethodGet, statusPath, func(ctx context.Context, _ wireNothing) (wireStatus, error) {
+	return route.New(http.MethodGet, statusPath, func(ctx context.Context, _ wireEmpty) (wireStatus, error) {
 		fleet := c.Fleet(ctx)
-		return statusToWire(query.Report(c.Snapshot(), fleet, c.Now())), nil
+		return toWireStatus(query.Report(c.Snapshot(), fleet, c.Now())), nil
 	})
 }
 
-// AskStatus asks an instance for its view of the fleet.
-func AskStatus(ctx context.Context, to route.Client) (query.Status, error) {
-	w, err := route.Ask[wireNothing, wireStatus](ctx, to, http.MethodGet, statusPath, wireNothing{})
+// FetchStatus asks an instance for the fleet's status as it knows it.
+func FetchStatus(ctx context.Context, to route.Client) (query.Status, error) {
+	w, err := route.Query[wireEmpty, wireStatus](ctx, to, http.MethodGet, statusPath, wireEmpty{})
 	if err != nil {
 		return query.Status{}, err
 	}
 	return w.value()
 }
 
-func statusToWire(s query.Status) wireStatus {
+func toWireStatus(s query.Status) wireStatus {
 	w := wireStatus{Self: s.Self, Digest: s.Digest, Revision: s.Revision, Newest: s.Newest}
 	for _, f := range s.Fleet {
 		w.Fleet = append(w.Fleet, wireInstance{
@@ -81,7 +82,7 @@
 			Revision:      f.Instance.Revision,
 			Digest:        f.Instance.Digest,
 			Lag:           f.Lag.String(),
-			Silent:        f.SinceLastSeen.String(),
+			SinceLastSeen: f.SinceLastSeen.String(),
 		})
 	}
 	for _, p := range s.RollOuts {
@@ -93,11 +94,11 @@
 func (w wireStatus) value() (query.Status, error) {
 	s := query.Status{Self: w.Self, Digest: w.Digest, Revision: w.Revision, Newest: w.Newest}
 	for _, f := range w.Fleet {
-		standing, err := f.value()
+		status, err := f.value()
 		if err != nil {
 			return query.Status{}, err
 		}
-		s.Fleet = append(s.Fleet, standing)
+		s.Fleet = append(s.Fleet, status)
 	}
 	for _, p := range w.RollOuts {
 		s.RollOuts = append(s.RollOuts, value.Progress{Name: p.Name, Phase: p.Phase, Stage: p.Stage, Since: p.Since, Reason: p.Reason})
@@ -110,10 +111,10 @@
 	if err != nil {
 		return query.InstanceStatus{}, fmt.Errorf("decode lag of %s: %w", w.ID, err)
 	}
-	silent, err := time.ParseDuration(w.Silent)
+	sinceLastSeen, err := time.ParseDuration(w.SinceLastSeen)
 	if err != nil {
-		return query.InstanceStatus{}, fmt.Errorf("decode silence of %s: %w", w.ID, err)
+		return query.InstanceStatus{}, fmt.Errorf("decode time since %s was last seen: %w", w.ID, err)
 	}
 	i := value.Instance{ID: w.ID, FailureDomain: w.FailureDomain, State: w.State, Revision: w.Revision, Digest: w.Digest}
-	return query.InstanceStatus{Instance: i, Lag: lag, SinceLastSeen: silent}, nil
+	return query.InstanceStatus{Instance: i, Lag: lag, SinceLastSeen: sinceLastSeen}, nil
 }
--- a/io/admin/route/client.go
+++ b/io/admin/route/client.go
@@ -17,50 +17,51 @@
 	"endivehitch/core/value"
 )
 
-// Client reaches the operators' face of one instance.
+// Client calls the operators' API of one instance.
 type Client struct {
-	// Base is the face's address, such as https://10.0.0.1:7701.
+	// Base is the API's base URL, such as https://10.0.0.1:7701.
 	Base string
-	// Key is the operator's own key.
+	// Key is the operator's key.
 	Key  string
 	HTTP *http.Client
 }
 
-// errNoAnswer marks a call that was sent and not answered.
+// errNoAnswer marks a call that may have reached the instance but got no usable answer.
 var errNoAnswer = errors.New("no answer")
 
-// Call calls a route and returns its answer; its error has the type that the route's function gave it.
+// Call calls a route and returns its result, or an error of the type that the route's function
+// returned.
 //
-// A call that certainly did not reach the instance fails with value.ChangeUnavailable.
+// The error is value.ChangeUnavailable if the request certainly did not reach the instance.
 func Call[In, Out any](ctx context.Context, c Client, method, path string, in In) (Out, error) {
 	var out Out
-	req, err := request(ctx, c, method, path, in)
+	req, err := newRequest(ctx, c, method, path, in)
 	if err != nil {
 		return out, err
 	}
 	resp, err := c.HTTP.Do(req)
 	if err != nil {
-		return out, unsent(err)
+		return out, toSendError(err)
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, answerBytes))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 	if err != nil {
 		return out, fmt.Errorf("read answer: %w: %w", errNoAnswer, err)
 	}
-	return answer[Out](resp, body)
+	return decodeAnswer[Out](resp, body)
 }
 
-// answerBytes bounds what is read of an answer.
-const answerBytes = 64 << 20
+// maxAnswerBytes is the most that is read of an answer.
+const maxAnswerBytes = 64 << 20
 
-func request(ctx context.Context, c Client, method, path string, in any) (*http.Request, error) {
+func newRequest(ctx context.Context, c Client, method, path string, in any) (*http.Request, error) {
 	data, err := json.Marshal(in)
 	if err != nil {
 		return nil, fmt.Errorf("encode request: %w", err)
 	}
 	target := strings.TrimSuffix(c.Base, "/") + path
 	if method == http.MethodGet {
-		query, err := queryOf(data)
+		query, err := encodeQuery(data)
 		if err != nil {
 			return nil, err
 		}
@@ -75,7 +76,7 @@
 	return req, nil
 }
 
-func queryOf(data []byte) (string, error) {
+func encodeQuery(data []byte) (string, error) {
 	var fields map[string]string
 	if err := json.Unmarshal(data, &fields); err != nil {
 		return "", fmt.Errorf("encode query: %w", err)
@@ -87,7 +88,7 @@
 	return "?" + values.Encode(), nil
 }
 
-func answer[Out any](resp *http.Response, body []byte) (Out, error) {
+func decodeAnswer[Out any](resp *http.Response, body []byte) (Out, error) {
 	var out Out
 	if resp.StatusCode == http.StatusOK {
 		if err := json.Unmarshal(body, &out); err != nil {
@@ -95,16 +96,17 @@
 		}
 		return out, nil
 	}
-	kind, _, _ := mime.ParseMediaType(resp.Header.Get("Content-Type"))
-	var p wireProblem
-	if kind != problemType || json.Unmarshal(body, &p) != nil {
+	mediaType, _, _ := mime.ParseMediaType(resp.Header.Get("Content-Type"))
+	var problem wireProblem
+	if mediaType != problemType || json.Unmarshal(body, &problem) != nil {
 		return out, fmt.Errorf("instance answered %s: %w", resp.Status, errNoAnswer)
 	}
-	return out, errorOf(p)
+	return out, toError(problem)
 }
 
-// unsent tells a call that was not sent from one that was sent and not answered.
-func unsent(err error) error {
+// toSendError returns value.ChangeUnavailable if the connection failed before the request was sent;
+// after that the instance may have received it, and the error is errNoAnswer.
+func toSendError(err error) error {
 	var dial *net.OpError
 	var untrusted *tls.CertificateVerificationError
 	if errors.As(err, &dial) && dial.Op == "dial" || errors.As(err, &untrusted) {
@@ -113,16 +115,18 @@
 	return fmt.Errorf("call instance: %w: %w", errNoAnswer, err)
 }
 
-// Lost gives a change whose call was not answered the error that its outcome is unknown.
-func Lost(err error, change value.ChangeID) error {
+// UnknownIfUnanswered turns the error of a call without an answer into value.ChangeUnknown, since
+// the change may have taken effect; it returns other errors as they are.
+func UnknownIfUnanswered(err error, change value.ChangeID) error {
 	if errors.Is(err, errNoAnswer) {
 		return value.ChangeUnknown{Change: change, Detail: err.Error()}
 	}
 	return err
 }
 
-// Ask is Call for a question; one that got no answer fails with value.ChangeUnavailable.
-func Ask[In, Out any](ctx context.Context, c Client, method, path string, in In) (Out, error) {
+// Query is Call for a route that changes nothing: a call without an answer fails with
+// value.ChangeUnavailable.
+func Query[In, Out any](ctx context.Context, c Client, method, path string, in In) (Out, error) {
 	out, err := Call[In, Out](ctx, c, method, path, in)
 	if errors.Is(err, errNoAnswer) {
 		return out, value.ChangeUnavailable{Detail: err.Error()}
--- a/io/admin/route/problem.go
+++ b/io/admin/route/problem.go
@@ -10,17 +10,17 @@
 	"endivehitch/io/conf"
 )
 
-// BadRequest is the error of a request that can't be understood.
+// BadRequest is the error of a request that is malformed or has an invalid field.
 type BadRequest struct {
 	Detail string
 }
 
-// Error returns the detail.
+// Error returns the detail after the words "bad request".
 func (b BadRequest) Error() string {
 	return "bad request: " + b.Detail
 }
 
-// The reasons that stand for errors with a type of their own.
+// The reasons in problem documents by which the client restores an error's type.
 const (
 	reasonFaults      value.Reason = "DocumentFaults"
 	reasonConflict    value.Reason = "Conflict"
@@ -38,12 +38,12 @@
 	Status int    `json:"status"`
 	Detail string `json:"detail,omitempty"`
 	Reason value.Reason
-	// Faults is set where a document has faults.
+	// Faults is set if the document has faults.
 	Faults []wireFault `json:",omitempty"`
-	// Mine and Present are set where another change came first.
-	Mine    *wireChange   `json:",omitempty"`
-	Present *wireStanding `json:",omitempty"`
-	// Change is set where the outcome of a change is unknown.
+	// Attempted and Current are set if the change conflicts with the record in force.
+	Attempted *wireChange        `json:"Mine,omitempty"`
+	Current   *wireCurrentRecord `json:"Present,omitempty"`
+	// Change is set if the outcome of a change is unknown.
 	Change value.ChangeID `json:",omitempty"`
 }
 
@@ -61,22 +61,22 @@
 	Digest string
 }
 
-type wireStanding struct {
+type wireCurrentRecord struct {
 	Revision int64
 	Change   wireChange
 }
 
-// WriteProblem answers with the problem document that the error's type asks for.
+// WriteProblem answers with the status and problem document for the error's type.
 func WriteProblem(w http.ResponseWriter, err error) {
-	p := problemOf(err)
-	p.Type = "about:blank"
-	p.Title = string(p.Reason)
+	problem := toProblem(err)
+	problem.Type = "about:blank"
+	problem.Title = string(problem.Reason)
 	w.Header().Set("Content-Type", problemType)
-	w.WriteHeader(p.Status)
-	_ = json.NewEncoder(w).Encode(p)
+	w.WriteHeader(problem.Status)
+	_ = json.NewEncoder(w).Encode(problem)
 }
 
-func problemOf(err error) wireProblem {
+func toProblem(err error) wireProblem {
 	var (
 		bad         BadRequest
 		faults      conf.Faults
@@ -91,11 +91,11 @@
 	case errors.As(err, &faults):
 		return wireProblem{Status: http.StatusUnprocessableEntity, Reason: reasonFaults, Detail: "the document has faults", Faults: toFaults(faults)}
 	case errors.As(err, &conflict):
-		mine := wireChange(conflict.Attempted)
-		present := wireStanding{Revision: conflict.Current.Revision, Change: wireChange(conflict.Current.Change)}
-		return wireProblem{Status: http.StatusConflict, Reason: reasonConflict, Detail: conflict.Error(), Mine: &mine, Present: &present}
+		attempted := wireChange(conflict.Attempted)
+		current := wireCurrentRecord{Revision: conflict.Current.Revision, Change: wireChange(conflict.Current.Change)}
+		return wireProblem{Status: http.StatusConflict, Reason: reasonConflict, Detail: conflict.Error(), Attempted: &attempted, Current: &current}
 	case errors.As(err, &refused):
-		return wireProblem{Status: refusedStatus(refused.Reason), Reason: refused.Reason, Detail: refused.Detail}
+		return wireProblem{Status: refusalStatus(refused.Reason), Reason: refused.Reason, Detail: refused.Detail}
 	case errors.As(err, &unavailable):
 		return wireProblem{Status: http.StatusServiceUnavailable, Reason: reasonUnavailable, Detail: unavailable.Detail}
 	case errors.As(err, &unknown):
@@ -104,8 +104,8 @@
 	return wireProblem{Status: http.StatusInternalServerError, Reason: reasonFailed, Detail: err.Error()}
 }
 
-func refusedStatus(why value.Reason) int {
-	switch why {
+func refusalStatus(reason value.Reason) int {
+	switch reason {
 	case value.ReasonNotOperator:
 		return http.StatusUnauthorized
 	case value.ReasonUnknownRequest, value.ReasonUnknownRollOut, value.ReasonNothingStored:
@@ -114,8 +114,8 @@
 	return http.StatusConflict
 }
 
-// errorOf gives a problem document its type back.
-func errorOf(p wireProblem) error {
+// toError returns the error that the problem document stands for.
+func toError(p wireProblem) error {
 	switch p.Reason {
 	case value.ReasonBadRequest:
 		return BadRequest{Detail: p.Detail}
@@ -128,9 +128,9 @@
 	case reasonFailed:
 		return errors.New(p.Detail)
 	case reasonConflict:
-		if p.Mine != nil && p.Present != nil {
-			present := value.CurrentRecord{Revision: p.Present.Revision, Change: value.Change(p.Present.Change)}
-			return value.ChangeConflict{Attempted: value.Change(*p.Mine), Current: present}
+		if p.Attempted != nil && p.Current != nil {
+			current := value.CurrentRecord{Revision: p.Current.Revision, Change: value.Change(p.Current.Change)}
+			return value.ChangeConflict{Attempted: value.Change(*p.Attempted), Current: current}
 		}
 	}
 	return value.ChangeRefused{Reason: p.Reason, Detail: p.Detail}
--- a/io/admin/route/route.go
+++ b/io/admin/route/route.go
@@ -8,41 +8,44 @@
 	"net/http"
 )
 
-// bodyBytes bounds a request's body: a document in base64 with room for the rest.
-const bodyBytes = 2 << 20
+// maxBodyBytes is the size limit of a request's body, which may hold a document in base64 besides
+// other fields.
+const maxBodyBytes = 2 << 20
 
-// Route is one path of the operators' face.
+// Route is one path of the operators' API.
 type Route struct {
 	Method  string
 	Path    string
 	Handler http.Handler
 }
 
-// New returns a route that decodes an In, calls the function and encodes its Out or its error.
-func New[In, Out any](method, path string, do func(context.Context, In) (Out, error)) Route {
+// New returns a route that decodes the request as In, calls handle and encodes its result or its
+// error.
+func New[In, Out any](method, path string, handle func(context.Context, In) (Out, error)) Route {
 	handler := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		in, err := decode[In](w, r)
 		if err != nil {
 			WriteProblem(w, BadRequest{Detail: err.Error()})
 			return
 		}
-		out, err := do(r.Context(), in)
+		out, err := handle(r.Context(), in)
 		if err != nil {
 			WriteProblem(w, err)
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
-		// The status has gone out: an answer that can't be written is cut off, which the operator sees.
+		// The status is already sent, so that an error here can't be reported; the client receives
+		// a truncated answer.
 		_ = json.NewEncoder(w).Encode(out)
 	})
 	return Route{Method: method, Path: path, Handler: handler}
 }
 
-// decode reads the body, or for a GET the query, whose fields are then all text.
+// decode decodes the JSON body, or for a GET the URL's query, all of whose fields are strings.
 func decode[In any](w http.ResponseWriter, r *http.Request) (In, error) {
 	var in In
 	if r.Method != http.MethodGet {
-		return in, strict(http.MaxBytesReader(w, r.Body, bodyBytes), &in)
+		return in, decodeStrict(http.MaxBytesReader(w, r.Body, maxBodyBytes), &in)
 	}
 	fields := make(map[string]string)
 	for name, values := range r.URL.Query() {
@@ -58,8 +61,8 @@
 	return in, nil
 }
 
-func strict(from io.Reader, into any) error {
-	d := json.NewDecoder(from)
+func decodeStrict(body io.Reader, into any) error {
+	d := json.NewDecoder(body)
 	d.DisallowUnknownFields()
 	if err := d.Decode(into); err != nil {
 		return fmt.Errorf("decode body: %w", err)
@@ -69,13 +72,13 @@
 
 type operatorKey struct{}
 
-// WithOperator returns a context that carries the name of the operator who asks.
-func WithOperator(ctx context.Context, who string) context.Context {
-	return context.WithValue(ctx, operatorKey{}, who)
+// WithOperator returns a context that carries the name of the operator who sent the request.
+func WithOperator(ctx context.Context, name string) context.Context {
+	return context.WithValue(ctx, operatorKey{}, name)
 }
 
-// Operator returns the name of the operator who asks, or an empty one.
+// Operator returns the operator's name that WithOperator stored in the context, or an empty string.
 func Operator(ctx context.Context) string {
-	who, _ := ctx.Value(operatorKey{}).(string)
-	return who
+	name, _ := ctx.Value(operatorKey{}).(string)
+	return name
 }
--- a/io/shell/query/audit.go
+++ b/io/shell/query/audit.go
@@ -48,7 +48,7 @@
 	if err != nil {
 		return err
 	}
-	a, err := query.AskAudit(ctx, client, answered)
+	a, err := query.FetchAudit(ctx, client, answered)
 	if err != nil {
 		return fmt.Errorf("ask for audit: %w", err)
 	}
@@ -91,7 +91,7 @@
 	}{
 		{"answered without a bill", a.Missing},
 		{"billed without an answer", a.Unknown},
-		{"kept twice and charged once", a.Doubled},
+		{"kept twice and charged once", a.Duplicated},
 	}
 	for _, l := range lists {
 		for _, id := range l.ids {
--- a/io/shell/query/config.go
+++ b/io/shell/query/config.go
@@ -43,7 +43,7 @@
 		return err
 	}
 	e := value.Environment(c.String(flagEnvironment))
-	r, err := query.AskConfig(ctx, client, e)
+	r, err := query.FetchConfig(ctx, client, e)
 	if err != nil {
 		return fmt.Errorf("ask for document: %w", err)
 	}
--- a/io/shell/query/explain.go
+++ b/io/shell/query/explain.go
@@ -44,7 +44,7 @@
 	if err != nil {
 		return err
 	}
-	x, err := query.AskExplain(ctx, client, value.RequestID(c.Args().First()))
+	x, err := query.FetchExplanation(ctx, client, value.RequestID(c.Args().First()))
 	if err != nil {
 		return fmt.Errorf("explain request: %w", err)
 	}
--- a/io/shell/query/status.go
+++ b/io/shell/query/status.go
@@ -54,7 +54,7 @@
 	if err != nil {
 		return core.Status{}, err
 	}
-	s, err := query.AskStatus(ctx, client)
+	s, err := query.FetchStatus(ctx, client)
 	if err != nil {
 		return core.Status{}, fmt.Errorf("ask for status: %w", err)
 	}
--- a/io/shell/start/asks.go
+++ b/io/shell/start/asks.go
@@ -95,7 +95,7 @@
 	if err := s.say("explain %s, asked at %s", id, s.members[other].node.Self.ID); err != nil {
 		return err
 	}
-	x, err := query.AskExplain(ctx, s.operator(other), id)
+	x, err := query.FetchExplanation(ctx, s.operator(other), id)
 	if err != nil {
 		return fmt.Errorf("explain request: %w", err)
 	}
