--- a/io/shell/cmds/apply.go
+++ b/io/shell/cmds/apply.go
@@ -25,20 +25,20 @@
 		Description: "Checks the document and puts it in the place of the revision that you expect.\n" +
 			"If another operator was faster, both changes are shown and the exit code is 4.\n\n" +
 			"Example: endivehitch apply --expect 0 examples/vadodara.yaml",
-		Flags: reach.With(append(changeFlags(), environmentFlag("trial"))...),
+		Flags: reach.WithFlags(append(changeFlags(), environmentFlag("trial"))...),
 		Action: func(ctx context.Context, c *cli.Command) error {
 			if c.Args().Len() != 1 {
-				return exit.UsageError{What: "apply needs one FILE"}
+				return exit.UsageError{Message: "apply needs one FILE"}
 			}
 			return apply(ctx, c)
 		},
 	}
 }
 
-func environmentFlag(usual string) cli.Flag {
+func environmentFlag(defaultValue string) cli.Flag {
 	return &cli.StringFlag{
 		Name: flagEnvironment, Usage: "environment that is changed",
-		Value: usual, Sources: cli.EnvVars("ENDIVEHITCH_ENVIRONMENT"),
+		Value: defaultValue, Sources: cli.EnvVars("ENDIVEHITCH_ENVIRONMENT"),
 	}
 }
 
@@ -51,7 +51,7 @@
 	if _, err := conf.Parse(data); err != nil {
 		return fmt.Errorf("check %s:\n%w", path, err)
 	}
-	client, err := reach.Client(c)
+	client, err := reach.NewClient(c)
 	if err != nil {
 		return err
 	}
--- a/io/shell/cmds/change.go
+++ b/io/shell/cmds/change.go
@@ -14,7 +14,7 @@
 	flagExpect = "expect"
 )
 
-// changeFlags are the flags of every command that changes a document.
+// changeFlags returns the flags of every command that changes a document.
 func changeFlags() []cli.Flag {
 	return []cli.Flag{
 		&cli.Int64Flag{
@@ -32,8 +32,8 @@
 	}
 }
 
-// changeID returns the change's identifier and prints it first, so that the operator
-// has it even if no answer comes.
+// changeID returns the change identifier of the flags, or a new one. It prints it before the order
+// is sent, so that the operator can retry the order if no answer comes.
 func changeID(c *cli.Command) (value.ChangeID, error) {
 	id := c.String(flagChange)
 	if id == "" {
@@ -46,10 +46,10 @@
 }
 
 func printApplied(c *cli.Command, e value.Environment, a value.AppliedChange) error {
-	what := "stands"
+	effect := "stands"
 	if a.Superseded {
-		what = "took effect and was followed by another change; now stands"
+		effect = "took effect and was followed by another change; now stands"
 	}
-	_, err := fmt.Fprintf(c.Root().Writer, "%s: revision %d %s, digest %s\n", e, a.Revision, what, a.Change.Digest)
+	_, err := fmt.Fprintf(c.Root().Writer, "%s: revision %d %s, digest %s\n", e, a.Revision, effect, a.Change.Digest)
 	return err
 }
--- a/io/shell/cmds/promote.go
+++ b/io/shell/cmds/promote.go
@@ -18,9 +18,10 @@
 	flagDigest = "digest"
 )
 
-// Promote returns the command that moves a document from trial to production.
+// Promote returns the command that copies the document in force in one environment to another, by
+// default from trial to production.
 func Promote() *cli.Command {
-	own := append(changeFlags(),
+	flags := append(changeFlags(),
 		&cli.StringFlag{Name: flagFrom, Usage: "environment in which the document was accepted", Value: "trial"},
 		&cli.StringFlag{Name: flagTo, Usage: "environment that it is moved to", Value: "production"},
 		&cli.StringFlag{Name: flagDigest, Usage: "digest that must stand in the first environment (default: whichever does)"},
@@ -30,10 +31,10 @@
 		Usage: "move the document accepted in trial, byte for byte, to production",
 		Description: "Moves the very bytes that stand in trial, or refuses with exit code 5.\n\n" +
 			"Example: endivehitch promote --expect 0",
-		Flags: reach.With(own...),
+		Flags: reach.WithFlags(flags...),
 		Action: func(ctx context.Context, c *cli.Command) error {
 			if c.Args().Present() {
-				return exit.UsageError{What: "promote takes no arguments"}
+				return exit.UsageError{Message: "promote takes no arguments"}
 			}
 			return promote(ctx, c)
 		},
@@ -41,7 +42,7 @@
 }
 
 func promote(ctx context.Context, c *cli.Command) error {
-	client, err := reach.Client(c)
+	client, err := reach.NewClient(c)
 	if err != nil {
 		return err
 	}
--- a/io/shell/cmds/rollout.go
+++ b/io/shell/cmds/rollout.go
@@ -13,13 +13,13 @@
 	"endivehitch/io/shell/reach"
 )
 
-// rollOutOptions describes a command that moves a roll-out.
+// rollOutOptions describes a command that changes a roll-out's progress.
 type rollOutOptions struct {
-	name  string
-	usage string
-	about string
-	verb  steps.Verb
-	flags []cli.Flag
+	name        string
+	usage       string
+	description string
+	verb        steps.Verb
+	flags       []cli.Flag
 }
 
 func rollOutCommand(o rollOutOptions) *cli.Command {
@@ -27,19 +27,19 @@
 		Name:        o.name,
 		Usage:       o.usage,
 		ArgsUsage:   "ROLL-OUT",
-		Description: o.about + "\n\nA repeated order changes nothing once its aim is reached.",
-		Flags:       reach.With(append(o.flags, environmentFlag("trial"))...),
+		Description: o.description + "\n\nA repeated order changes nothing once its aim is reached.",
+		Flags:       reach.WithFlags(append(o.flags, environmentFlag("trial"))...),
 		Action: func(ctx context.Context, c *cli.Command) error {
 			if c.Args().Len() != 1 {
-				return exit.UsageError{What: o.name + " needs the name of one ROLL-OUT"}
+				return exit.UsageError{Message: o.name + " needs the name of one ROLL-OUT"}
 			}
-			return move(ctx, c, o.verb)
+			return sendRollOut(ctx, c, o.verb)
 		},
 	}
 }
 
-func move(ctx context.Context, c *cli.Command, verb steps.Verb) error {
-	client, err := reach.Client(c)
+func sendRollOut(ctx context.Context, c *cli.Command, verb steps.Verb) error {
+	client, err := reach.NewClient(c)
 	if err != nil {
 		return err
 	}
@@ -48,10 +48,10 @@
 		Name:        value.RollOutName(c.Args().First()),
 		Order:       steps.Order{Verb: verb, Stage: c.Int(flagStage)},
 	}
-	p, err := cmds.SendRollOut(ctx, client, order)
+	progress, err := cmds.SendRollOut(ctx, client, order)
 	if err != nil {
-		return fmt.Errorf("move roll-out: %w", err)
+		return fmt.Errorf("change roll-out: %w", err)
 	}
-	_, err = fmt.Fprintf(c.Root().Writer, "%s: roll-out %s is in phase %s at stage %d\n", order.Environment, p.Name, p.Phase, p.Stage)
+	_, err = fmt.Fprintf(c.Root().Writer, "%s: roll-out %s is in phase %s at stage %d\n", order.Environment, progress.Name, progress.Phase, progress.Stage)
 	return err
 }
--- a/io/shell/cmds/rollout_advance.go
+++ b/io/shell/cmds/rollout_advance.go
@@ -13,7 +13,7 @@
 	return rollOutCommand(rollOutOptions{
 		name:  "advance",
 		usage: "move a roll-out to its next stage, without waiting for its conditions",
-		about: "The last stage's advance ends the roll-out. You name the stage to be left, so that two operators don't skip one.\n\n" +
+		description: "The last stage's advance ends the roll-out. You name the stage to be left, so that two operators don't skip one.\n\n" +
 			"Example: endivehitch rollout advance --stage 0 medium-3",
 		verb: steps.VerbAdvance,
 		flags: []cli.Flag{
--- a/io/shell/cmds/rollout_withdraw.go
+++ b/io/shell/cmds/rollout_withdraw.go
@@ -9,9 +9,9 @@
 // WithdrawRollOut returns the command that takes a roll-out's new version out of service.
 func WithdrawRollOut() *cli.Command {
 	return rollOutCommand(rollOutOptions{
-		name:  "withdraw",
-		usage: "take the new version of a roll-out out of service for good",
-		about: "Example: endivehitch rollout withdraw medium-3",
-		verb:  steps.VerbWithdraw,
+		name:        "withdraw",
+		usage:       "take the new version of a roll-out out of service for good",
+		description: "Example: endivehitch rollout withdraw medium-3",
+		verb:        steps.VerbWithdraw,
 	})
 }
--- a/io/shell/exit/code.go
+++ b/io/shell/exit/code.go
@@ -8,30 +8,30 @@
 	"endivehitch/platform/boot"
 )
 
-// Code is what the process returns to its caller.
+// Code is the exit code of the process.
 type Code int
 
 // The exit codes.
 const (
-	// OK says that the command did what was asked.
+	// OK means that the command succeeded.
 	OK Code = iota
-	// Failure says that the command failed for a reason without a code of its own.
+	// Failure means that the command failed for a reason that has no code of its own.
 	Failure
-	// Usage says that the command line was wrong.
+	// Usage means that the command line is invalid.
 	Usage
-	// Faults says that the document has faults, which are listed.
+	// Faults means that the document or the settings file has faults, which are listed.
 	Faults
-	// Conflict says that another change came first.
+	// Conflict means that another change came first, so that this one was not made.
 	Conflict
-	// Refused says that the system understood the request and declined it; nothing changed.
+	// Refused means that the system understood the request and declined it; nothing changed.
 	Refused
-	// Unavailable says that a service was not reached; nothing changed.
+	// Unavailable means that a service was not reached; nothing changed.
 	Unavailable
-	// Unknown says that the change may or may not have taken effect.
+	// Unknown means that the change may or may not have taken effect.
 	Unknown
 )
 
-// Codes lists all exit codes in order.
+// Codes returns all exit codes in ascending order.
 func Codes() []Code {
 	return []Code{OK, Failure, Usage, Faults, Conflict, Refused, Unavailable, Unknown}
 }
@@ -45,38 +45,38 @@
 	return names[c]
 }
 
-// UsageError is a command line that can't be carried out.
+// UsageError is the error of an invalid command line.
 type UsageError struct {
-	What string
+	Message string
 }
 
-// Error returns what is wrong with the command line.
+// Error returns the message, which says what is wrong with the command line.
 func (e UsageError) Error() string {
-	return e.What
+	return e.Message
 }
 
-// Of returns the exit code for a command's error.
-func Of(err error) Code {
+// CodeOf returns the exit code for a command's error, or OK for nil.
+func CodeOf(err error) Code {
 	switch {
 	case err == nil:
 		return OK
-	case is[UsageError](err):
+	case hasType[UsageError](err):
 		return Usage
-	case is[conf.Faults](err), errors.Is(err, boot.ErrSettings):
+	case hasType[conf.Faults](err), errors.Is(err, boot.ErrSettings):
 		return Faults
-	case is[value.ChangeConflict](err):
+	case hasType[value.ChangeConflict](err):
 		return Conflict
-	case is[value.ChangeRefused](err):
+	case hasType[value.ChangeRefused](err):
 		return Refused
-	case is[value.ChangeUnavailable](err):
+	case hasType[value.ChangeUnavailable](err):
 		return Unavailable
-	case is[value.ChangeUnknown](err):
+	case hasType[value.ChangeUnknown](err):
 		return Unknown
 	}
 	return Failure
 }
 
-func is[E error](err error) bool {
+func hasType[E error](err error) bool {
 	var target E
 	return errors.As(err, &target)
 }
--- a/io/shell/lines_test.go
+++ b/io/shell/lines_test.go
@@ -14,7 +14,7 @@
 	"endivehitch/platform/boot"
 )
 
-func TestExplainReadsALogFile(t *testing.T) {
+func TestExplainPrintsTheDecisionsOfALogFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "log")
 	text := `1.5 edge-1 {"Level":"info","Time":"t1","Message":"RunFailed","Request":"q1","Reason":"Slow"}
 {"Level":"info","Time":"t2","Message":"Answered","Request":"q1","Status":200}
@@ -29,7 +29,7 @@
 	assert.ErrorContains(t, err, "q9")
 }
 
-func TestCheckAndEdgeNameTheSettingThatIsWrong(t *testing.T) {
+func TestCheckAndEdgeNameTheInvalidSetting(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "local.toml")
 	assert.NilError(t, os.WriteFile(path, []byte("nodeName = \"n\"\n"), 0o600))
 	for _, args := range [][]string{{"endivehitch", "check", path}, {"endivehitch", "edge", "--settings", path}} {
@@ -37,7 +37,7 @@
 		err := shell.Run(t.Context(), args, &out, &out)
 		assert.ErrorIs(t, err, boot.ErrSettings)
 		assert.ErrorContains(t, err, "listenAddresses.frontend")
-		assert.Equal(t, exit.Of(err), exit.Faults)
+		assert.Equal(t, exit.CodeOf(err), exit.Faults)
 		assert.Assert(t, !strings.Contains(out.String(), "sound"))
 	}
 }
--- a/io/shell/query/audit.go
+++ b/io/shell/query/audit.go
@@ -16,8 +16,9 @@
 	"endivehitch/io/shell/reach"
 )
 
-// errNotClean is the error of an audit that found a request without its one bill.
-var errNotClean = errors.New("bills and answered requests differ")
+// errMismatch is the error of an audit that found an answered request without a bill, or a bill
+// without an answered request.
+var errMismatch = errors.New("bills and answered requests differ")
 
 // Audit returns the command that reconciles bills with answered requests.
 func Audit() *cli.Command {
@@ -31,7 +32,7 @@
 		Flags: reach.Flags(),
 		Action: func(ctx context.Context, c *cli.Command) error {
 			if c.Args().Len() > 1 {
-				return exit.UsageError{What: "audit takes one FILE at most"}
+				return exit.UsageError{Message: "audit takes one FILE at most"}
 			}
 			return audit(ctx, c)
 		},
@@ -39,7 +40,7 @@
 }
 
 func audit(ctx context.Context, c *cli.Command) error {
-	client, err := reach.Client(c)
+	client, err := reach.NewClient(c)
 	if err != nil {
 		return err
 	}
@@ -75,7 +76,7 @@
 }
 
 func printTotals(out io.Writer, a query.Audit) error {
-	t := table(out)
+	t := newTable(out)
 	fmt.Fprintln(t, "CLIENT ACCOUNT\tCHARGES\tMICRO-UNITS")
 	for _, total := range a.Totals {
 		fmt.Fprintf(t, "%s\t%d\t%d\n", total.Account, total.Charges, total.CostMicros)
@@ -84,10 +85,10 @@
 }
 
 func printDifferences(out io.Writer, a query.Audit) error {
-	t := table(out)
+	t := newTable(out)
 	lists := []struct {
-		what string
-		ids  []value.RequestID
+		difference string
+		ids        []value.RequestID
 	}{
 		{"answered without a bill", a.Missing},
 		{"billed without an answer", a.Unknown},
@@ -95,14 +96,14 @@
 	}
 	for _, l := range lists {
 		for _, id := range l.ids {
-			fmt.Fprintf(t, "%s\t%s\n", l.what, id)
+			fmt.Fprintf(t, "%s\t%s\n", l.difference, id)
 		}
 	}
 	if err := t.Flush(); err != nil {
 		return fmt.Errorf("print differences: %w", err)
 	}
 	if len(a.Missing)+len(a.Unknown) > 0 {
-		return errNotClean
+		return errMismatch
 	}
 	return nil
 }
--- a/io/shell/query/check.go
+++ b/io/shell/query/check.go
@@ -13,7 +13,7 @@
 	"endivehitch/platform/boot"
 )
 
-// Check returns the command that names every fault of a document.
+// Check returns the command that validates a document or the platform's settings file.
 func Check() *cli.Command {
 	return &cli.Command{
 		Name:      "check",
@@ -25,14 +25,14 @@
 			"Example: endivehitch check examples/vadodara.yaml",
 		Action: func(_ context.Context, c *cli.Command) error {
 			if c.Args().Len() != 1 {
-				return exit.UsageError{What: "check needs one FILE"}
+				return exit.UsageError{Message: "check needs one FILE"}
 			}
 			return check(c)
 		},
 	}
 }
 
-// settingsExtension ends the names of the platform's settings files.
+// settingsExtension is the extension of the platform's settings files.
 const settingsExtension = ".toml"
 
 func checkSettings(c *cli.Command, path string) error {
--- a/io/shell/query/config.go
+++ b/io/shell/query/config.go
@@ -19,14 +19,15 @@
 	flagBytes       = "bytes"
 )
 
-// Config returns the command that shows what the key-value service keeps for an environment.
+// Config returns the command that shows an environment's document, or its revision, last change and
+// digest.
 func Config() *cli.Command {
 	return &cli.Command{
 		Name:  "config",
 		Usage: "show the accepted document of an environment with its revision",
 		Description: "Shows the revision that apply and promote expect, who made the change and the digest.\n\n" +
 			"Example: endivehitch config --environment production --bytes > production.yaml",
-		Flags: reach.With(
+		Flags: reach.WithFlags(
 			&cli.StringFlag{
 				Name: flagEnvironment, Usage: "environment that is shown",
 				Value: "trial", Sources: cli.EnvVars("ENDIVEHITCH_ENVIRONMENT"),
@@ -38,35 +39,35 @@
 }
 
 func showConfig(ctx context.Context, c *cli.Command) error {
-	client, err := reach.Client(c)
+	client, err := reach.NewClient(c)
 	if err != nil {
 		return err
 	}
 	e := value.Environment(c.String(flagEnvironment))
-	r, err := query.FetchConfig(ctx, client, e)
+	record, err := query.FetchConfig(ctx, client, e)
 	if err != nil {
 		return fmt.Errorf("ask for document: %w", err)
 	}
 	if c.Bool(flagBytes) {
-		_, err := c.Root().Writer.Write(r.Bytes)
+		_, err := c.Root().Writer.Write(record.Bytes)
 		return err
 	}
-	s := r.Standing
+	current := record.Standing
 	_, err = fmt.Fprintf(c.Root().Writer, "%s: revision %d, change %s by %s at %s\ndigest %s\n",
-		e, s.Revision, s.Change.ID, s.Change.Who, s.Change.At.UTC().Format(time.RFC3339), s.Change.Digest)
+		e, current.Revision, current.Change.ID, current.Change.Who, current.Change.At.UTC().Format(time.RFC3339), current.Change.Digest)
 	return err
 }
 
-// PrintExplanation prints an explanation in plain words.
-func PrintExplanation(out io.Writer, x core.Explanation) error {
-	for _, line := range x.Lines {
+// PrintExplanation prints the lines of an explanation and what the request cost in all.
+func PrintExplanation(out io.Writer, explanation core.Explanation) error {
+	for _, line := range explanation.Lines {
 		if _, err := fmt.Fprintln(out, line); err != nil {
 			return fmt.Errorf("print explanation: %w", err)
 		}
 	}
 	total := "It was not billed."
-	if x.Billed {
-		total = fmt.Sprintf("It cost %d micro-units in all.", x.CostMicros)
+	if explanation.Billed {
+		total = fmt.Sprintf("It cost %d micro-units in all.", explanation.CostMicros)
 	}
 	_, err := fmt.Fprintln(out, total)
 	return err
--- a/io/shell/query/doc.go
+++ b/io/shell/query/doc.go
@@ -1,2 +1,7 @@
-// Package query holds the commands of the command line that ask and change nothing, one a file.
+// Package query holds the commands of the command line that show something and change nothing, one
+// per file.
+//
+// Config, Status, RollOutStatus, Explain and Audit send a query of package io/admin/query to an
+// instance by a client of package reach and print the result. Check, and Explain with a log file,
+// read local files only.
 package query
--- a/io/shell/query/explain.go
+++ b/io/shell/query/explain.go
@@ -12,7 +12,8 @@
 	"endivehitch/io/shell/reach"
 )
 
-// Explain returns the command that says why a request went where it went.
+// Explain returns the command that explains the routing of a request by the decisions that an
+// instance or a log file has about it.
 func Explain() *cli.Command {
 	return &cli.Command{
 		Name:      "explain",
@@ -22,31 +23,31 @@
 			"that served it; each keeps its latest decisions only.\n\n" +
 			"Example: endivehitch explain 5a0f8c36-4a0b-4a63-9a43-1c1d1c1f0d4e",
 		Flags: append(reach.Flags(), &cli.StringFlag{
-			Name: logFlag, Usage: "log file to read the decisions from, in place of asking an instance",
+			Name: flagLog, Usage: "log file to read the decisions from, in place of asking an instance",
 			Sources: cli.EnvVars("ENDIVEHITCH_LOG"),
 		}),
 		Action: func(ctx context.Context, c *cli.Command) error {
 			if c.Args().Len() != 1 {
-				return exit.UsageError{What: "explain needs one REQUEST"}
+				return exit.UsageError{Message: "explain needs one REQUEST"}
 			}
 			return explain(ctx, c)
 		},
 	}
 }
 
-const logFlag = "log"
+const flagLog = "log"
 
 func explain(ctx context.Context, c *cli.Command) error {
-	if path := c.String(logFlag); path != "" {
+	if path := c.String(flagLog); path != "" {
 		return explainLog(c.Root().Writer, path, c.Args().First())
 	}
-	client, err := reach.Client(c)
+	client, err := reach.NewClient(c)
 	if err != nil {
 		return err
 	}
-	x, err := query.FetchExplanation(ctx, client, value.RequestID(c.Args().First()))
+	explanation, err := query.FetchExplanation(ctx, client, value.RequestID(c.Args().First()))
 	if err != nil {
 		return fmt.Errorf("explain request: %w", err)
 	}
-	return PrintExplanation(c.Root().Writer, x)
+	return PrintExplanation(c.Root().Writer, explanation)
 }
--- a/io/shell/query/lines.go
+++ b/io/shell/query/lines.go
@@ -11,26 +11,26 @@
 	"strings"
 )
 
-// ErrNoLines is returned when a log file has no line about the request.
+// ErrNoLines is the error of a log file that has no line about the request.
 var ErrNoLines = errors.New("no line about the request")
 
-// longestLine bounds a line of a log file, in bytes.
+// longestLine is the greatest length of a log line that can be read, in bytes.
 const longestLine = 1 << 20
 
-// explainLog prints what a log file says of a request, a decision a line. What stands before the
-// JSON on a line, such as the name of the instance, is kept.
+// explainLog prints each log line about the request as plain text. Text before the JSON object of a
+// line, such as the name of the instance, is printed too.
 func explainLog(w io.Writer, path, request string) error {
 	f, err := os.Open(path)
 	if err != nil {
 		return fmt.Errorf("read log: %w", err)
 	}
-	// The file is only read, so closing it can't lose anything.
+	// The file is only read, so that an error of Close loses nothing.
 	defer func() { _ = f.Close() }()
-	lines := bufio.NewScanner(f)
-	lines.Buffer(nil, longestLine)
+	scanner := bufio.NewScanner(f)
+	scanner.Buffer(nil, longestLine)
 	found := 0
-	for lines.Scan() {
-		text, ok := about(lines.Text(), request)
+	for scanner.Scan() {
+		text, ok := formatLine(scanner.Text(), request)
 		if !ok {
 			continue
 		}
@@ -39,7 +39,7 @@
 			return fmt.Errorf("print decision: %w", err)
 		}
 	}
-	if err := lines.Err(); err != nil {
+	if err := scanner.Err(); err != nil {
 		return fmt.Errorf("read log: %w", err)
 	}
 	if found == 0 {
@@ -48,24 +48,24 @@
 	return nil
 }
 
-// about returns a line in plain words if it is about the request.
-func about(line, request string) (string, bool) {
-	before, text, ok := strings.Cut(line, "{")
-	if !ok || !strings.Contains(text, request) {
+// formatLine returns the log line as plain text, and whether it is about the request.
+func formatLine(line, request string) (string, bool) {
+	prefix, object, ok := strings.Cut(line, "{")
+	if !ok || !strings.Contains(object, request) {
 		return "", false
 	}
 	var fields map[string]any
-	if err := json.Unmarshal([]byte("{"+text), &fields); err != nil || fields["Request"] != request {
+	if err := json.Unmarshal([]byte("{"+object), &fields); err != nil || fields["Request"] != request {
 		return "", false
 	}
-	words := []string{strings.TrimSpace(before), fmt.Sprint(fields["Time"]), fmt.Sprint(fields["Message"])}
+	parts := []string{strings.TrimSpace(prefix), fmt.Sprint(fields["Time"]), fmt.Sprint(fields["Message"])}
 	for _, name := range []string{"Level", "Time", "Message", "Request"} {
 		delete(fields, name)
 	}
-	var rest []string
+	var details []string
 	for name, value := range fields {
-		rest = append(rest, fmt.Sprintf("%s=%v", name, value))
+		details = append(details, fmt.Sprintf("%s=%v", name, value))
 	}
-	slices.Sort(rest)
-	return strings.TrimSpace(strings.Join(append(words, rest...), " ")), true
+	slices.Sort(details)
+	return strings.TrimSpace(strings.Join(append(parts, details...), " ")), true
 }
--- a/io/shell/query/status.go
+++ b/io/shell/query/status.go
@@ -15,7 +15,7 @@
 	"endivehitch/io/shell/reach"
 )
 
-// Status returns the command that shows which instance has which configuration.
+// Status returns the command that shows which instance has which revision of the configuration.
 func Status() *cli.Command {
 	return &cli.Command{
 		Name:  "status",
@@ -33,7 +33,7 @@
 	}
 }
 
-// RollOutStatus returns the command that shows where the roll-outs stand.
+// RollOutStatus returns the command that shows the phase and stage of each roll-out.
 func RollOutStatus() *cli.Command {
 	return &cli.Command{
 		Name:  "status",
@@ -50,7 +50,7 @@
 }
 
 func askStatus(ctx context.Context, c *cli.Command) (core.Status, error) {
-	client, err := reach.Client(c)
+	client, err := reach.NewClient(c)
 	if err != nil {
 		return core.Status{}, err
 	}
@@ -64,7 +64,7 @@
 // columnGap is the space between columns in characters.
 const columnGap = 2
 
-func table(out io.Writer) *tabwriter.Writer {
+func newTable(out io.Writer) *tabwriter.Writer {
 	return tabwriter.NewWriter(out, 0, 0, columnGap, ' ', 0)
 }
 
@@ -73,7 +73,7 @@
 	if digest == "" {
 		digest = "none"
 	}
-	t := table(out)
+	t := newTable(out)
 	fmt.Fprintf(t, "asked instance %s: revision %d of %d known, digest %s\n", s.Self, s.Revision, s.Newest, digest)
 	fmt.Fprintln(t, "INSTANCE\tFAILURE DOMAIN\tSTATE\tREVISION\tDIGEST\tLAG\tSILENT")
 	for _, f := range s.Fleet {
@@ -85,7 +85,7 @@
 }
 
 func printRollOuts(out io.Writer, list []value.Progress) error {
-	t := table(out)
+	t := newTable(out)
 	fmt.Fprintln(t, "ROLL-OUT\tPHASE\tSTAGE\tSINCE\tREASON")
 	for _, p := range list {
 		since := "-"
--- a/io/shell/reach/doc.go
+++ b/io/shell/reach/doc.go
@@ -1,2 +1,5 @@
-// Package reach holds the flags by which commands reach the operators' face of an instance.
+// Package reach holds the flags that the commands for the operators' API share.
+//
+// Flags are the instance's address, the operator's key, the authorities that the instance's
+// certificate is checked by, and the time-out. NewClient makes a route.Client of their values.
 package reach
--- a/io/shell/reach/reach.go
+++ b/io/shell/reach/reach.go
@@ -14,7 +14,7 @@
 	"endivehitch/io/shell/exit"
 )
 
-// The flags' names.
+// The names of the flags.
 const (
 	flagInstance = "instance"
 	flagKey      = "key"
@@ -24,7 +24,7 @@
 
 const defaultTimeout = 15 * time.Second
 
-// Flags returns the flags, which can also be set by environment variables.
+// Flags returns the shared flags, which can also be set by environment variables.
 func Flags() []cli.Flag {
 	return []cli.Flag{
 		&cli.StringFlag{
@@ -46,19 +46,20 @@
 	}
 }
 
-// With returns the shared flags and those of the command itself.
-func With(own ...cli.Flag) []cli.Flag {
-	return append(own, Flags()...)
+// WithFlags returns the command's own flags followed by the shared ones.
+func WithFlags(flags ...cli.Flag) []cli.Flag {
+	return append(flags, Flags()...)
 }
 
-// Client returns the client that the flags describe.
-func Client(c *cli.Command) (route.Client, error) {
+// NewClient returns a client for the instance that the flags name, or exit.UsageError without a
+// key.
+func NewClient(c *cli.Command) (route.Client, error) {
 	if c.String(flagKey) == "" {
-		return route.Client{}, exit.UsageError{What: "an operator's key is needed: --key or ENDIVEHITCH_OPERATOR_KEY"}
+		return route.Client{}, exit.UsageError{Message: "an operator's key is needed: --key or ENDIVEHITCH_OPERATOR_KEY"}
 	}
 	transport := &http.Transport{DisableKeepAlives: true}
 	if path := c.String(flagCA); path != "" {
-		roots, err := Authorities(path)
+		roots, err := ReadAuthorities(path)
 		if err != nil {
 			return route.Client{}, err
 		}
@@ -71,15 +72,15 @@
 	}, nil
 }
 
-// Authorities reads the certificates of a PEM file.
-func Authorities(path string) (*x509.CertPool, error) {
+// ReadAuthorities returns a pool of the certificates in a PEM file.
+func ReadAuthorities(path string) (*x509.CertPool, error) {
 	pem, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("read authorities: %w", err)
+		return nil, fmt.Errorf("read certificates of authorities: %w", err)
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(pem) {
-		return nil, exit.UsageError{What: path + " holds no certificate in PEM"}
+		return nil, exit.UsageError{Message: path + " holds no certificate in PEM"}
 	}
 	return pool, nil
 }
--- a/io/shell/shell.go
+++ b/io/shell/shell.go
@@ -13,27 +13,27 @@
 	"endivehitch/io/shell/start"
 )
 
-// Run carries out the command line and returns its error, if any; exit.Of gives its exit code.
-func Run(ctx context.Context, args []string, out, errs io.Writer) error {
+// Run parses and runs the command line; exit.CodeOf maps its error to the exit code.
+func Run(ctx context.Context, args []string, stdout, stderr io.Writer) error {
 	root := &cli.Command{
 		Name:           "endivehitch",
 		Usage:          "route requests to versions of models at the lowest cost that meets their quality target",
 		Description:    "Start with: endivehitch demo\nEach command explains itself: endivehitch COMMAND --help\nFlags can also be set by the environment variables that their help names.",
-		Writer:         out,
-		ErrWriter:      errs,
-		Commands:       Table(),
-		Action:         unknown,
+		Writer:         stdout,
+		ErrWriter:      stderr,
+		Commands:       Commands(),
+		Action:         helpOrUsageError,
 		ExitErrHandler: func(context.Context, *cli.Command, error) {},
 	}
-	strict(root)
+	reportUsageErrors(root)
 	if err := root.Run(ctx, args); err != nil {
 		return fmt.Errorf("endivehitch: %w", err)
 	}
 	return nil
 }
 
-// Table lists every command.
-func Table() []*cli.Command {
+// Commands returns all commands of the program.
+func Commands() []*cli.Command {
 	return []*cli.Command{
 		start.Demo(),
 		start.Serve(),
@@ -41,7 +41,7 @@
 		query.Check(),
 		cmds.Apply(),
 		cmds.Promote(),
-		rollOut(),
+		rollOutCommand(),
 		query.Config(),
 		query.Status(),
 		query.Explain(),
@@ -49,8 +49,8 @@
 	}
 }
 
-// rollOut gathers the commands about roll-outs.
-func rollOut() *cli.Command {
+// rollOutCommand returns the parent of the commands about roll-outs.
+func rollOutCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "rollout",
 		Usage: "start, advance and withdraw roll-outs, and show where they stand",
@@ -63,23 +63,25 @@
 	}
 }
 
-// strict makes a wrong command line a usage error, for the command and those below it.
-func strict(c *cli.Command) {
-	c.OnUsageError = func(_ context.Context, _ *cli.Command, err error, _ bool) error {
-		return exit.UsageError{What: err.Error()}
+// reportUsageErrors makes the command and its subcommands return exit.UsageError for an invalid
+// command line.
+func reportUsageErrors(command *cli.Command) {
+	command.OnUsageError = func(_ context.Context, _ *cli.Command, err error, _ bool) error {
+		return exit.UsageError{Message: err.Error()}
 	}
-	if len(c.Commands) > 0 && c.Action == nil {
-		c.Action = unknown
+	if len(command.Commands) > 0 && command.Action == nil {
+		command.Action = helpOrUsageError
 	}
-	for _, sub := range c.Commands {
-		strict(sub)
+	for _, sub := range command.Commands {
+		reportUsageErrors(sub)
 	}
 }
 
-// unknown is the action of a command that has commands below it and was given none of them.
-func unknown(_ context.Context, c *cli.Command) error {
+// helpOrUsageError is the action of a command that has subcommands when none of them was named: it
+// prints the help, or returns a usage error if an unknown subcommand was named.
+func helpOrUsageError(_ context.Context, c *cli.Command) error {
 	if c.Args().Present() {
-		return exit.UsageError{What: fmt.Sprintf("no command %q: see %s --help", c.Args().First(), c.FullName())}
+		return exit.UsageError{Message: fmt.Sprintf("no command %q: see %s --help", c.Args().First(), c.FullName())}
 	}
 	return cli.ShowSubcommandHelp(c)
 }
--- a/io/shell/shell_test.go
+++ b/io/shell/shell_test.go
@@ -17,8 +17,8 @@
 	"endivehitch/io/shell/exit"
 )
 
-// documented returns the headings of commands and the rows of flags and exit codes of the page.
-func documented(t *testing.T) []string {
+// pageRows returns the headings of the commands and the rows of their flags from docs/CLI.md.
+func pageRows(t *testing.T) []string {
 	t.Helper()
 	page, err := os.ReadFile("../../docs/CLI.md")
 	assert.NilError(t, err)
@@ -32,7 +32,8 @@
 	return lines
 }
 
-func listed(prefix string, commands []*cli.Command) []string {
+// commandRows returns the headings and rows that the page must have for the commands.
+func commandRows(prefix string, commands []*cli.Command) []string {
 	var lines []string
 	for _, c := range commands {
 		name := prefix + " " + c.Name
@@ -40,7 +41,7 @@
 		for _, f := range c.Flags {
 			lines = append(lines, flagRow(f))
 		}
-		lines = append(lines, listed(name, c.Commands)...)
+		lines = append(lines, commandRows(name, c.Commands)...)
 	}
 	return lines
 }
@@ -51,18 +52,18 @@
 	if names := d.GetEnvVars(); len(names) > 0 {
 		variable = "`" + names[0] + "`"
 	}
-	usual := ""
+	defaultValue := ""
 	if !strings.Contains(d.GetUsage(), "(default: ") {
-		usual = strings.Trim(d.GetValue(), `"[]`)
+		defaultValue = strings.Trim(d.GetValue(), `"[]`)
 	}
 	if r, ok := f.(cli.RequiredFlag); ok && r.IsRequired() {
-		usual = "needed"
+		defaultValue = "needed"
 	}
-	return fmt.Sprintf("| `--%s` | %s | %s | %s |", f.Names()[0], variable, usual, d.GetUsage())
+	return fmt.Sprintf("| `--%s` | %s | %s | %s |", f.Names()[0], variable, defaultValue, d.GetUsage())
 }
 
 func TestPageListsEveryCommandAndFlag(t *testing.T) {
-	assert.DeepEqual(t, documented(t), listed("endivehitch", shell.Table()))
+	assert.DeepEqual(t, pageRows(t), commandRows("endivehitch", shell.Commands()))
 }
 
 func TestPageListsEveryExitCode(t *testing.T) {
@@ -78,10 +79,10 @@
 	t.Helper()
 	var out bytes.Buffer
 	err := shell.Run(t.Context(), strings.Fields("endivehitch "+line), &out, &out)
-	return out.String(), exit.Of(err)
+	return out.String(), exit.CodeOf(err)
 }
 
-func TestExitCodes(t *testing.T) {
+func TestEachCommandLineReturnsItsExitCode(t *testing.T) {
 	cases := map[string]exit.Code{
 		"check ../../examples/vadodara.yaml":     exit.OK,
 		"check ../../examples/portvagt.yaml":     exit.OK,
@@ -103,7 +104,7 @@
 	}
 }
 
-func TestCodeOfEachErrorType(t *testing.T) {
+func TestEachErrorTypeHasItsExitCode(t *testing.T) {
 	cases := map[exit.Code]error{
 		exit.Failure:     errors.New("plain"),
 		exit.Usage:       exit.UsageError{},
@@ -114,14 +115,14 @@
 		exit.Unknown:     value.ChangeUnknown{},
 	}
 	for want, err := range cases {
-		assert.Equal(t, exit.Of(fmt.Errorf("wrapped: %w", err)), want)
+		assert.Equal(t, exit.CodeOf(fmt.Errorf("wrapped: %w", err)), want)
 	}
 }
 
-func TestDemoAnswersAndEnds(t *testing.T) {
+func TestDemoAnswersItsRequestsAndExits(t *testing.T) {
 	out, code := runLine(t, "demo")
 	assert.Equal(t, code, exit.OK, out)
-	for _, part := range []string{
+	for _, text := range []string{
 		"on drafting-llm/small-1 answers: is order 17 printed",
 		"on drafting-llm/large-2 answers: one thali two rotlo",
 		"data: [DONE]",
@@ -129,6 +130,6 @@
 		"also considered: drafting-llm/small-1",
 		"the repeated reorder took effect once",
 	} {
-		assert.Assert(t, strings.Contains(out, part), "no %q in\n%s", part, out)
+		assert.Assert(t, strings.Contains(out, text), "no %q in\n%s", text, out)
 	}
 }
--- a/io/shell/start/asks.go
+++ b/io/shell/start/asks.go
@@ -14,8 +14,8 @@
 	shell "endivehitch/io/shell/query"
 )
 
-// ask is one request of the demo.
-type ask struct {
+// demoRequest is one request that the demo sends.
+type demoRequest struct {
 	title string
 	path  string
 	kind  string
@@ -25,52 +25,53 @@
 
 const chatPath = "/v1/chat/completions"
 
-func chat(text string, stream bool) string {
+func chatBody(text string, stream bool) string {
 	return fmt.Sprintf(`{"model":"auto","stream":%t,"messages":[{"role":"user","content":%q}]}`, stream, text)
 }
 
-var demoAsks = []ask{
-	{title: "a status reply, from the cheap version", path: chatPath, kind: "status-reply", body: chat("is order 17 printed", false)},
-	{title: "a spelling check, streamed", path: chatPath, kind: "spelling", body: chat("dhokla khandvi rotlo", true)},
-	{title: "a menu draft, from the version that reaches its target", path: chatPath, kind: "menu-draft", body: chat("one thali two rotlo", false)},
+var demoRequests = []demoRequest{
+	{title: "a status reply, from the cheap version", path: chatPath, kind: "status-reply", body: chatBody("is order 17 printed", false)},
+	{title: "a spelling check, streamed", path: chatPath, kind: "spelling", body: chatBody("dhokla khandvi rotlo", true)},
+	{title: "a menu draft, from the version that reaches its target", path: chatPath, kind: "menu-draft", body: chatBody("one thali two rotlo", false)},
 	{title: "a reorder, which runs at most once", path: "/v1/services/reorder-desk/orders", kind: "reorder", key: "order-17", body: `{"Sheets":40}`},
 	{title: "the same reorder again, at another instance", path: "/v1/services/reorder-desk/orders", kind: "reorder", key: "order-17", body: `{"Sheets":40}`},
 }
 
-// requests sends each request to the next instance in turn and explains the menu draft.
-func (s *stage) requests(ctx context.Context) error {
-	for i, a := range demoAsks {
-		at := i % len(s.members)
-		if err := s.say("%s, at %s", a.title, s.members[at].node.Self.ID); err != nil {
+// sendRequests sends the requests to the instances in turn, and prints an explanation of the menu
+// draft. It fails unless the reorder, which is sent twice, took effect once.
+func (s *demoFleet) sendRequests(ctx context.Context) error {
+	for i, request := range demoRequests {
+		index := i % len(s.instances)
+		if err := s.printHeading("%s, at %s", request.title, s.instances[index].node.Self.ID); err != nil {
 			return err
 		}
-		id, err := s.send(ctx, at, a)
+		id, err := s.send(ctx, index, request)
 		if err != nil {
-			return fmt.Errorf("%s: %w", a.title, err)
+			return fmt.Errorf("%s: %w", request.title, err)
 		}
-		if a.kind != "menu-draft" {
+		if request.kind != "menu-draft" {
 			continue
 		}
-		if err := s.explain(ctx, at, id); err != nil {
+		if err := s.explain(ctx, index, id); err != nil {
 			return err
 		}
 	}
-	if placed := s.engines.orders.Load(); placed != 1 {
-		return fmt.Errorf("the reorder took effect %d times", placed)
+	if placed := s.servers.placedOrders.Load(); placed != 1 {
+		return fmt.Errorf("the reorder took effect %d times, not once", placed)
 	}
 	return nil
 }
 
-func (s *stage) send(ctx context.Context, at int, a ask) (value.RequestID, error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, s.caller(at)+a.path, strings.NewReader(a.body))
+func (s *demoFleet) send(ctx context.Context, index int, request demoRequest) (value.RequestID, error) {
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, s.callerURL(index)+request.path, strings.NewReader(request.body))
 	if err != nil {
 		return "", fmt.Errorf("build request: %w", err)
 	}
 	req.Header.Set("Authorization", "Bearer "+demoCallerKey)
 	req.Header.Set("Content-Type", "application/json")
-	req.Header.Set("Endivehitch-Kind", a.kind)
-	if a.key != "" {
-		req.Header.Set("Idempotency-Key", a.key)
+	req.Header.Set("Endivehitch-Kind", request.kind)
+	if request.key != "" {
+		req.Header.Set("Idempotency-Key", request.key)
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
@@ -85,23 +86,24 @@
 		return "", fmt.Errorf("print answer: %w", err)
 	}
 	if resp.StatusCode != http.StatusOK {
-		return "", fmt.Errorf("answer is %s", resp.Status)
+		return "", fmt.Errorf("instance answered %s", resp.Status)
 	}
 	return value.RequestID(resp.Header.Get("X-Request-Id")), nil
 }
 
-func (s *stage) explain(ctx context.Context, at int, id value.RequestID) error {
-	other := (at + 1) % len(s.members)
-	if err := s.say("explain %s, asked at %s", id, s.members[other].node.Self.ID); err != nil {
+// explain asks the instance after the one that served the request for the explanation.
+func (s *demoFleet) explain(ctx context.Context, index int, id value.RequestID) error {
+	next := (index + 1) % len(s.instances)
+	if err := s.printHeading("explain %s, asked at %s", id, s.instances[next].node.Self.ID); err != nil {
 		return err
 	}
-	x, err := query.FetchExplanation(ctx, s.operator(other), id)
+	explanation, err := query.FetchExplanation(ctx, s.operatorClient(next), id)
 	if err != nil {
 		return fmt.Errorf("explain request: %w", err)
 	}
-	return shell.PrintExplanation(s.out, x)
+	return shell.PrintExplanation(s.out, explanation)
 }
 
-func newOperator(base string) route.Client {
+func newOperatorClient(base string) route.Client {
 	return route.Client{Base: base, Key: demoOperatorKey, HTTP: http.DefaultClient}
 }
--- a/io/shell/start/demo.go
+++ b/io/shell/start/demo.go
@@ -44,7 +44,7 @@
 
 var demoDomains = []value.FailureDomain{"guj-a", "guj-b", "guj-c"}
 
-// Demo returns the command that shows the system at work on one machine.
+// Demo returns the command that runs a small fleet on one machine and sends it some requests.
 func Demo() *cli.Command {
 	return &cli.Command{
 		Name:  "demo",
@@ -58,45 +58,45 @@
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			if c.Args().Present() {
-				return exit.UsageError{What: "demo takes no arguments"}
+				return exit.UsageError{Message: "demo takes no arguments"}
 			}
 			return demo(ctx, c.Root().Writer, c.Bool("stay"))
 		},
 	}
 }
 
-// stage is what the demo's instances share.
-type stage struct {
-	out      io.Writer
-	store    plat.Store
-	settings conf.Settings
-	signer   *front.Signer
-	runner   engine.Runner
-	engines  *engines
-	members  []member
-	// ready takes one message from each instance that has the document in force.
+// demoFleet holds the demo's instances and what they share.
+type demoFleet struct {
+	out       io.Writer
+	store     plat.Store
+	settings  conf.Settings
+	signer    *front.Signer
+	runner    engine.Runner
+	servers   *fakeServers
+	instances []instance
+	// ready receives one value from each instance once it has the document in force.
 	ready chan struct{}
 }
 
 func demo(ctx context.Context, out io.Writer, stay bool) error {
-	engines := startEngines()
-	defer engines.close()
-	s, err := newStage(zapcore.Lock(zapcore.AddSync(out)), engines)
+	servers := startFakeServers()
+	defer servers.close()
+	s, err := newDemoFleet(zapcore.Lock(zapcore.AddSync(out)), servers)
 	if err != nil {
 		return err
 	}
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	g, gctx := errgroup.WithContext(ctx)
-	for _, m := range s.members {
-		g.Go(func() error { return m.run(gctx) })
+	for _, inst := range s.instances {
+		g.Go(func() error { return inst.run(gctx) })
 	}
 	g.Go(func() error {
 		defer stop()
-		if err := s.play(gctx); err != nil {
+		if err := s.applyAndSend(gctx); err != nil {
 			return err
 		}
-		return s.stay(gctx, stay)
+		return s.waitIfAsked(gctx, stay)
 	})
 	if err := g.Wait(); err != nil {
 		return fmt.Errorf("demo: %w", err)
@@ -104,17 +104,17 @@
 	return s.audit(context.WithoutCancel(ctx))
 }
 
-// audit reads the bills that the instances have left in the key-value service.
-func (s *stage) audit(ctx context.Context) error {
+// audit prints the number of requests that the bills in the key-value service charge for.
+func (s *demoFleet) audit(ctx context.Context) error {
 	segments, err := bills.Read(ctx, s.store)
 	if err != nil {
 		return fmt.Errorf("read bills: %w", err)
 	}
 	charged := query.Reconcile(segments, nil).Charges
-	return s.say("%d requests were answered and %d billed; the repeated reorder took effect once", len(demoAsks), len(charged))
+	return s.printHeading("%d requests were answered and %d billed; the repeated reorder took effect once", len(demoRequests), len(charged))
 }
 
-func newStage(out io.Writer, e *engines) (*stage, error) {
+func newDemoFleet(out io.Writer, servers *fakeServers) (*demoFleet, error) {
 	store, err := openStore("")
 	if err != nil {
 		return nil, err
@@ -125,56 +125,56 @@
 	}
 	signer, err := front.NewSigner(bytes.Repeat([]byte("demo"), 8))
 	if err != nil {
-		return nil, fmt.Errorf("make signer: %w", err)
+		return nil, fmt.Errorf("create signer: %w", err)
 	}
-	s := &stage{
+	s := &demoFleet{
 		out:     out,
 		store:   store,
 		signer:  signer,
 		runner:  runner,
-		engines: e,
+		servers: servers,
 		ready:   make(chan struct{}, demoInstances),
 		settings: conf.Settings{
 			Callers:   map[string]value.AccountName{conf.HashKey(demoCallerKey): demoAccount},
 			Operators: map[string]string{conf.HashKey(demoOperatorKey): "demo"},
-			Servers:   e.listed,
+			Servers:   servers.backends,
 		},
 	}
 	for i := range demoInstances {
-		m, err := s.member(i)
+		inst, err := s.newInstance(i)
 		if err != nil {
 			return nil, err
 		}
-		s.members = append(s.members, m)
+		s.instances = append(s.instances, inst)
 	}
-	s.introduce()
+	s.setInstanceLists()
 	return s, nil
 }
 
-// introduce lists all instances to each one.
-func (s *stage) introduce() {
+// setInstanceLists gives each instance the list of all instances and backend servers.
+func (s *demoFleet) setInstanceLists() {
 	list := plat.Fixed{ListedServers: s.settings.Servers}
-	for _, m := range s.members {
-		i := m.node.Self
-		i.PeerAddress = m.node.Peers.Listener.Addr().String()
+	for _, inst := range s.instances {
+		i := inst.node.Self
+		i.PeerAddress = inst.node.Peers.Listener.Addr().String()
 		list.ListedInstances = append(list.ListedInstances, i)
 	}
-	for i := range s.members {
-		s.members[i].node.List = list
+	for i := range s.instances {
+		s.instances[i].node.List = list
 	}
 }
 
-func (s *stage) member(i int) (member, error) {
-	var at [3]net.Listener
-	for k := range at {
+func (s *demoFleet) newInstance(i int) (instance, error) {
+	var listeners [3]net.Listener
+	for k := range listeners {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
-			return member{}, fmt.Errorf("listen: %w", err)
+			return instance{}, fmt.Errorf("listen: %w", err)
 		}
-		at[k] = l
+		listeners[k] = l
 	}
 	id := value.InstanceID(fmt.Sprintf("demo-%d", i+1))
-	return member{
+	return instance{
 		node: node.Config{
 			Self:        value.Instance{ID: id, FailureDomain: demoDomains[i%len(demoDomains)], State: value.InstanceLive},
 			Environment: demoEnvironment,
@@ -182,69 +182,70 @@
 			Signer:      s.signer,
 			Runner:      s.runner,
 			Store:       s.store,
-			Rates:       node.Rates{Reads: defaultReads, Writes: defaultWrites},
-			Peers:       node.Peers{Listener: at[2]},
+			Rates:       node.Rates{Reads: defaultReadRate, Writes: defaultWriteRate},
+			Peers:       node.Peers{Listener: listeners[2]},
 			Log:         logs.New(s.out, zapcore.InfoLevel).Named(string(id)),
 			Seed:        uint64(i),
 			Grace:       demoGrace,
 		},
-		settings:  s.settings,
-		callers:   at[0],
-		operators: at[1],
-		installed: sync.OnceFunc(func() { s.ready <- struct{}{} }),
+		settings:      s.settings,
+		callers:       listeners[0],
+		operators:     listeners[1],
+		onConfigReady: sync.OnceFunc(func() { s.ready <- struct{}{} }),
 	}, nil
 }
 
-// play applies the document, waits until it is in force everywhere and sends the requests.
-func (s *stage) play(ctx context.Context) error {
+// applyAndSend applies the document, waits until it is in force everywhere and sends the requests.
+func (s *demoFleet) applyAndSend(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, demoTimeout)
 	defer cancel()
 	order := cmds.ApplyOrder{Environment: demoEnvironment, Change: value.ChangeID(uuid.NewString()), Document: demoDocument}
-	applied, err := cmds.SendApply(ctx, s.operator(0), order)
+	applied, err := cmds.SendApply(ctx, s.operatorClient(0), order)
 	if err != nil {
 		return fmt.Errorf("apply document: %w", err)
 	}
-	for range s.members {
+	for range s.instances {
 		select {
 		case <-s.ready:
 		case <-ctx.Done():
-			return fmt.Errorf("await document: %w", ctx.Err())
+			return fmt.Errorf("wait until the document is in force at all instances: %w", ctx.Err())
 		}
 	}
-	if err := s.say("the document with digest %.12s is in force at all %d instances", applied.Change.Digest, len(s.members)); err != nil {
+	if err := s.printHeading("the document with digest %.12s is in force at all %d instances", applied.Change.Digest, len(s.instances)); err != nil {
 		return err
 	}
-	return s.requests(ctx)
+	return s.sendRequests(ctx)
 }
 
-// stay tells how to reach the instances and waits until the context ends, if asked to.
-func (s *stage) stay(ctx context.Context, stay bool) error {
+// waitIfAsked prints the instances' addresses and keys and waits until the context ends. Without
+// stay it returns at once.
+func (s *demoFleet) waitIfAsked(ctx context.Context, stay bool) error {
 	if !stay {
 		return nil
 	}
-	for i, m := range s.members {
-		if err := s.say("%s: callers %s, operators %s", m.node.Self.ID, s.caller(i), s.operator(i).Base); err != nil {
+	for i, inst := range s.instances {
+		if err := s.printHeading("%s: callers %s, operators %s", inst.node.Self.ID, s.callerURL(i), s.operatorClient(i).Base); err != nil {
 			return err
 		}
 	}
-	if err := s.say("callers' key %s, operators' key %s; stop with SIGINT", demoCallerKey, demoOperatorKey); err != nil {
+	if err := s.printHeading("callers' key %s, operators' key %s; stop with SIGINT", demoCallerKey, demoOperatorKey); err != nil {
 		return err
 	}
 	<-ctx.Done()
 	return nil
 }
 
-func (s *stage) caller(i int) string {
-	return "http://" + s.members[i].callers.Addr().String()
+func (s *demoFleet) callerURL(i int) string {
+	return "http://" + s.instances[i].callers.Addr().String()
 }
 
-func (s *stage) operator(i int) route.Client {
-	return newOperator("http://" + s.members[i].operators.Addr().String())
+func (s *demoFleet) operatorClient(i int) route.Client {
+	return newOperatorClient("http://" + s.instances[i].operators.Addr().String())
 }
 
-func (s *stage) say(format string, args ...any) error {
+func (s *demoFleet) printHeading(format string, args ...any) error {
 	if _, err := fmt.Fprintf(s.out, "== "+format+"\n", args...); err != nil {
-		return fmt.Errorf("print: %w", err)
+		return fmt.Errorf("print heading: %w", err)
 	}
 	return nil
 }
--- a/io/shell/start/edge.go
+++ b/io/shell/start/edge.go
@@ -18,16 +18,18 @@
 )
 
 const (
-	droppedEvery = time.Second
-	// settingsEvery is how often the settings file is looked at, as not every change is told.
-	settingsEvery = 2 * time.Second
+	// droppedInterval is how often the number of dropped log lines is reported.
+	droppedInterval = time.Second
+	// settingsInterval is how often the settings file is read, since the platform doesn't announce
+	// every change by a signal.
+	settingsInterval = 2 * time.Second
 )
 
 type edgeOptions struct {
 	settings string
 }
 
-// Edge is the command that runs one instance on the users' platform.
+// Edge returns the command that runs one instance on the users' platform.
 func Edge() *cli.Command {
 	o := new(edgeOptions)
 	return &cli.Command{
@@ -42,9 +44,10 @@
 }
 
 func (o *edgeOptions) run(ctx context.Context) error {
-	// The signal is taken until the process ends, since it would end a leaving instance otherwise.
-	changed := make(chan os.Signal, 1)
-	signal.Notify(changed, syscall.SIGHUP)
+	// SIGHUP is caught until the process ends, also while the instance leaves: uncaught, it would
+	// end the process.
+	reload := make(chan os.Signal, 1)
+	signal.Notify(reload, syscall.SIGHUP)
 	settings, err := boot.Read(o.settings)
 	if err != nil {
 		return fmt.Errorf("edge: %w", err)
@@ -61,26 +64,26 @@
 			log.Warn("MetricsNotClosed", zap.Error(err))
 		}
 	}()
-	instance, err := boot.New(boot.Config{
+	relay, err := boot.New(boot.Config{
 		Settings: settings, Log: log, Now: time.Now, Recorder: stats.Both{First: logs.Relayed{Log: log}, Stats: metrics},
 		OnStoreCall: metrics.RecordStoreCall, Metrics: metrics.Handler(), OnSample: metrics.RecordRelayState,
 	})
 	if err != nil {
 		return fmt.Errorf("edge: %w", err)
 	}
-	ticker := time.NewTicker(droppedEvery)
+	ticker := time.NewTicker(droppedInterval)
 	defer ticker.Stop()
 	go logs.Watch(log, out, metrics.RecordDropped, ticker.C, ctx.Done())
-	go o.watcher(instance, log, changed).Run(ctx)
-	return instance.Run(ctx)
+	go o.watcher(relay, log, reload).Run(ctx)
+	return relay.Run(ctx)
 }
 
-// watcher puts changed settings in force.
-func (o *edgeOptions) watcher(i *boot.Instance, log *zap.Logger, told <-chan os.Signal) boot.Watcher {
+// watcher returns the watcher that passes changed settings to the instance.
+func (o *edgeOptions) watcher(relay *boot.Instance, log *zap.Logger, reload <-chan os.Signal) boot.Watcher {
 	return boot.Watcher{
-		Path: o.settings, Signals: told, Interval: settingsEvery,
+		Path: o.settings, Signals: reload, Interval: settingsInterval,
 		Apply: func(s boot.Settings) {
-			i.Reload(s)
+			relay.Reload(s)
 			log.Info("Reloaded")
 		},
 		Failed: func(err error) { log.Error("ReloadFailed", zap.Error(err)) },
--- a/io/shell/start/engines.go
+++ b/io/shell/start/engines.go
@@ -10,50 +10,51 @@
 	"endivehitch/io/fakes"
 )
 
-// engines are the demo's stand-in backend servers, in this process and on loopback.
-type engines struct {
-	running []*httptest.Server
-	listed  []value.BackendServer
-	// orders counts the reorders that took effect.
-	orders atomic.Int64
+// fakeServers are the demo's backend servers: stand-ins in this process that listen on loopback.
+type fakeServers struct {
+	servers  []*httptest.Server
+	backends []value.BackendServer
+	// placedOrders counts the reorders that took effect.
+	placedOrders atomic.Int64
 }
 
-func startEngines() *engines {
-	e := new(engines)
+func startFakeServers() *fakeServers {
+	s := new(fakeServers)
 	for i := range 2 {
-		e.model(fmt.Sprintf("small-%d", i+1), "drafting-small", "drafting-llm/small-1", i)
-		e.model(fmt.Sprintf("large-%d", i+1), "drafting-large", "drafting-llm/large-2", i)
+		s.addModel(fmt.Sprintf("small-%d", i+1), "drafting-small", "drafting-llm/small-1", i)
+		s.addModel(fmt.Sprintf("large-%d", i+1), "drafting-large", "drafting-llm/large-2", i)
 	}
-	e.add("desk-1", "reorder-desk", 0, http.HandlerFunc(e.placeOrder))
-	return e
+	s.add("desk-1", "reorder-desk", 0, http.HandlerFunc(s.placeOrder))
+	return s
 }
 
-func (e *engines) model(id string, pool value.PoolName, v value.VersionKey, place int) {
-	e.add(id, pool, place, &fakes.Chat{Name: id}, v)
+func (s *fakeServers) addModel(id string, pool value.PoolName, version value.VersionKey, index int) {
+	s.add(id, pool, index, &fakes.Chat{Name: id}, version)
 }
 
-func (e *engines) add(id string, pool value.PoolName, place int, h http.Handler, versions ...value.VersionKey) {
-	server := httptest.NewServer(h)
-	e.running = append(e.running, server)
-	e.listed = append(e.listed, value.BackendServer{
+func (s *fakeServers) add(id string, pool value.PoolName, index int, handler http.Handler, versions ...value.VersionKey) {
+	server := httptest.NewServer(handler)
+	s.servers = append(s.servers, server)
+	s.backends = append(s.backends, value.BackendServer{
 		ID:            value.ServerID(id),
 		Address:       server.URL,
 		Pool:          pool,
-		FailureDomain: demoDomains[place%len(demoDomains)],
+		FailureDomain: demoDomains[index%len(demoDomains)],
 		Versions:      versions,
 		State:         value.ServerLive,
 	})
 }
 
-func (e *engines) close() {
-	for _, s := range e.running {
+func (s *fakeServers) close() {
+	for _, s := range s.servers {
 		s.Close()
 	}
 }
 
-// placeOrder is a plain service that takes a reorder.
-func (e *engines) placeOrder(w http.ResponseWriter, _ *http.Request) {
+// placeOrder handles a request to the plain service: it counts the reorder and answers with its
+// number.
+func (s *fakeServers) placeOrder(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
-	// The caller sees an answer that could not be written as cut off.
-	_, _ = fmt.Fprintf(w, `{"Order":%d}`+"\n", e.orders.Add(1))
+	// A failed write can't be reported; the caller receives a truncated answer.
+	_, _ = fmt.Fprintf(w, `{"Order":%d}`+"\n", s.placedOrders.Add(1))
 }
--- a/io/shell/start/member.go
+++ b/io/shell/start/member.go
@@ -24,45 +24,47 @@
 	stopTimeout       = 2 * time.Second
 )
 
-// member is one instance with its faces.
-type member struct {
+// instance is the configuration of one instance with its listeners for callers and operators.
+type instance struct {
 	node      node.Config
 	settings  conf.Settings
 	callers   net.Listener
 	operators net.Listener
-	// installed, if set, is told of each configuration that has come into force.
-	installed func()
+	// onConfigReady, if set, is called, maybe repeatedly, while a configuration is in force and
+	// backend servers are known.
+	onConfigReady func()
 }
 
-// run serves until the context ends and requests in flight are finished.
-func (m member) run(ctx context.Context) error {
-	n, err := node.New(m.node)
+// run serves callers and operators until the context ends, and then lets requests in flight finish.
+func (i instance) run(ctx context.Context) error {
+	n, err := node.New(i.node)
 	if err != nil {
-		return fmt.Errorf("make instance: %w", err)
+		return fmt.Errorf("create instance: %w", err)
 	}
-	face, err := m.face(n)
+	api, err := i.newAPI(n)
 	if err != nil {
 		return err
 	}
 	g, gctx := errgroup.WithContext(ctx)
-	g.Go(func() error { return n.Run(gctx, m.callers) })
-	g.Go(func() error { return m.serveOperators(gctx, face) })
+	g.Go(func() error { return n.Run(gctx, i.callers) })
+	g.Go(func() error { return i.serveOperators(gctx, api) })
 	g.Go(func() error {
-		m.tell(gctx, n)
+		i.watchConfig(gctx, n)
 		return nil
 	})
 	if err := g.Wait(); err != nil {
-		return fmt.Errorf("run instance %s: %w", m.node.Self.ID, err)
+		return fmt.Errorf("run instance %s: %w", i.node.Self.ID, err)
 	}
 	return nil
 }
 
-// tell reports each document that comes into force together with the backend servers that serve it.
-func (m member) tell(ctx context.Context, n *node.Node) {
-	for m.installed != nil {
-		s, changed := n.Watch()
-		if s.Config.Revision > 0 && s.Servers().Len() > 0 {
-			m.installed()
+// watchConfig calls onConfigReady for the present state and after each change of it, if a
+// configuration is in force and backend servers are known.
+func (i instance) watchConfig(ctx context.Context, n *node.Node) {
+	for i.onConfigReady != nil {
+		snapshot, changed := n.Watch()
+		if snapshot.Config.Revision > 0 && snapshot.Servers().Len() > 0 {
+			i.onConfigReady()
 		}
 		select {
 		case <-changed:
@@ -72,10 +74,10 @@
 	}
 }
 
-func (m member) face(n *node.Node) (*admin.Admin, error) {
-	face, err := admin.New(admin.Config{
-		Operators: m.settings.Operators,
-		Readers:   m.settings.Readers,
+func (i instance) newAPI(n *node.Node) (*admin.Admin, error) {
+	api, err := admin.New(admin.Config{
+		Operators: i.settings.Operators,
+		Readers:   i.settings.Readers,
 		Metrics:   n.Metrics(),
 		Store:     n.Store(),
 		Snapshot:  n.Snapshot,
@@ -84,27 +86,27 @@
 		Decisions: n.Find,
 	})
 	if err != nil {
-		return nil, fmt.Errorf("make operators' face: %w", err)
+		return nil, fmt.Errorf("create operators' API: %w", err)
 	}
-	return face, nil
+	return api, nil
 }
 
-func (m member) serveOperators(ctx context.Context, face *admin.Admin) error {
+func (i instance) serveOperators(ctx context.Context, api *admin.Admin) error {
 	server := &http.Server{
-		Handler:           face.Handler(),
+		Handler:           api.Handler(),
 		ReadHeaderTimeout: readHeaderTimeout,
 		ReadTimeout:       readTimeout,
 		IdleTimeout:       idleTimeout,
 	}
-	l := m.operators
-	if m.node.TLS != nil {
-		l = tls.NewListener(l, m.node.TLS)
+	listener := i.operators
+	if i.node.TLS != nil {
+		listener = tls.NewListener(listener, i.node.TLS)
 	}
-	return httpd.Until(ctx, server, l, func(s *http.Server) error {
-		stopping, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopTimeout)
+	return httpd.Until(ctx, server, listener, func(s *http.Server) error {
+		shutdownCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopTimeout)
 		defer cancel()
-		if err := s.Shutdown(stopping); err != nil && !errors.Is(err, context.DeadlineExceeded) {
-			return fmt.Errorf("stop operators' face: %w", err)
+		if err := s.Shutdown(shutdownCtx); err != nil && !errors.Is(err, context.DeadlineExceeded) {
+			return fmt.Errorf("stop operators' API: %w", err)
 		}
 		return nil
 	})
--- a/io/shell/start/options.go
+++ b/io/shell/start/options.go
@@ -19,7 +19,7 @@
 	"endivehitch/io/shell/exit"
 )
 
-// options is what the flags of serve say.
+// options holds the values of the flags of serve and what the files that they name contain.
 type options struct {
 	self        value.Instance
 	environment value.Environment
@@ -39,29 +39,30 @@
 
 const (
 	defaultGrace = 30 * time.Second
-	// defaultReads and defaultWrites leave room for seven instances at one key-value service.
-	defaultReads  = 100
-	defaultWrites = 30
+	// defaultReadRate and defaultWriteRate, in calls a second, are low enough for seven instances
+	// to share one key-value service.
+	defaultReadRate  = 100
+	defaultWriteRate = 30
 )
 
 func serveFlags() []cli.Flag {
 	return []cli.Flag{
-		text("id", "identifier of this instance; a restarted one needs a new one (default: a new one)", ""),
-		text("failure-domain", "failure domain that this instance runs in", "local"),
-		text("environment", "environment whose document is in force here", "trial"),
-		text("callers", "address on which callers are served", "127.0.0.1:7700"),
-		text("operators", "address on which operators are served", "127.0.0.1:7701"),
-		text("peers", "address on which other instances are served", "127.0.0.1:7702"),
-		text("peer-ca", "PEM file of the authority of all instances' certificates; without it instances talk without TLS", ""),
-		text("peer-cert", "PEM file of this instance's certificate towards other instances", ""),
-		text("peer-key", "PEM file of that certificate's private key", ""),
-		number("store-reads", "calls a second that read the key-value service, at most", defaultReads),
-		number("store-writes", "calls a second that change the key-value service, at most", defaultWrites),
-		text("platform", "address of the platform's key-value service, such as http://10.0.0.5:2379 (default: an embedded one in memory)", ""),
-		text("settings", "file of key hashes and backend servers", ""),
-		text("document", "document to start with; only with the embedded key-value service", ""),
-		text("tls-cert", "PEM file of the certificate for callers and operators", ""),
-		text("tls-key", "PEM file of the certificate's private key", ""),
+		stringFlag("id", "identifier of this instance; a restarted one needs a new one (default: a new one)", ""),
+		stringFlag("failure-domain", "failure domain that this instance runs in", "local"),
+		stringFlag("environment", "environment whose document is in force here", "trial"),
+		stringFlag("callers", "address on which callers are served", "127.0.0.1:7700"),
+		stringFlag("operators", "address on which operators are served", "127.0.0.1:7701"),
+		stringFlag("peers", "address on which other instances are served", "127.0.0.1:7702"),
+		stringFlag("peer-ca", "PEM file of the authority of all instances' certificates; without it instances talk without TLS", ""),
+		stringFlag("peer-cert", "PEM file of this instance's certificate towards other instances", ""),
+		stringFlag("peer-key", "PEM file of that certificate's private key", ""),
+		floatFlag("store-reads", "calls a second that read the key-value service, at most", defaultReadRate),
+		floatFlag("store-writes", "calls a second that change the key-value service, at most", defaultWriteRate),
+		stringFlag("platform", "address of the platform's key-value service, such as http://10.0.0.5:2379 (default: an embedded one in memory)", ""),
+		stringFlag("settings", "file of key hashes and backend servers", ""),
+		stringFlag("document", "document to start with; only with the embedded key-value service", ""),
+		stringFlag("tls-cert", "PEM file of the certificate for callers and operators", ""),
+		stringFlag("tls-key", "PEM file of the certificate's private key", ""),
 		&cli.StringSliceFlag{
 			Name: "session-key", Usage: "key for session tokens as 64 or more hexadecimal digits; the first signs, all are accepted (default: a new one, for a single instance)",
 			Sources: cli.EnvVars("ENDIVEHITCH_SESSION_KEY"),
@@ -70,16 +71,16 @@
 			Name: "grace", Usage: "how long requests in flight may take after SIGTERM",
 			Value: defaultGrace, Sources: cli.EnvVars("ENDIVEHITCH_GRACE"),
 		},
-		text("log-level", "least level of log lines: debug, info, warn or error", "info"),
+		stringFlag("log-level", "least level of log lines: debug, info, warn or error", "info"),
 	}
 }
 
-func text(name, usage, usual string) cli.Flag {
-	return &cli.StringFlag{Name: name, Usage: usage, Value: usual, Sources: cli.EnvVars(variable(name))}
+func stringFlag(name, usage, defaultValue string) cli.Flag {
+	return &cli.StringFlag{Name: name, Usage: usage, Value: defaultValue, Sources: cli.EnvVars(environmentVariable(name))}
 }
 
-func number(name, usage string, usual float64) cli.Flag {
-	return &cli.FloatFlag{Name: name, Usage: usage, Value: usual, Sources: cli.EnvVars(variable(name))}
+func floatFlag(name, usage string, defaultValue float64) cli.Flag {
+	return &cli.FloatFlag{Name: name, Usage: usage, Value: defaultValue, Sources: cli.EnvVars(environmentVariable(name))}
 }
 
 func readOptions(c *cli.Command) (options, error) {
@@ -102,11 +103,11 @@
 		o.self.ID = value.InstanceID(uuid.NewString())
 	}
 	if o.platform != "" && o.document != "" {
-		return options{}, exit.UsageError{What: "--document is for the embedded key-value service; use apply with a platform"}
+		return options{}, exit.UsageError{Message: "--document is for the embedded key-value service; use apply with a platform"}
 	}
 	level, err := zapcore.ParseLevel(c.String("log-level"))
 	if err != nil {
-		return options{}, exit.UsageError{What: err.Error()}
+		return options{}, exit.UsageError{Message: err.Error()}
 	}
 	o.level = level
 	return o.withFiles(c)
@@ -117,7 +118,7 @@
 	if o.settings, err = readSettings(c.String("settings")); err != nil {
 		return options{}, err
 	}
-	if o.signer, err = readSigner(c.StringSlice("session-key"), o.platform != ""); err != nil {
+	if o.signer, err = newSigner(c.StringSlice("session-key"), o.platform != ""); err != nil {
 		return options{}, err
 	}
 	if o.tls, err = readTLS(c.String("tls-cert"), c.String("tls-key")); err != nil {
@@ -142,32 +143,34 @@
 	return s, nil
 }
 
-// sessionKeyBytes is the length of a key made here.
+// sessionKeyBytes is the length of a generated session key.
 const sessionKeyBytes = 32
 
-// readSigner makes a key where none is given, which only a single instance can do with.
-func readSigner(given []string, fleet bool) (*front.Signer, error) {
-	if len(given) == 0 && fleet {
-		return nil, exit.UsageError{What: "instances that share a platform need the same --session-key"}
+// newSigner returns a signer with the given keys, or with a new key if there is none. Instances
+// that share a platform must be given their keys, since each has to accept the others' session
+// tokens.
+func newSigner(hexKeys []string, shared bool) (*front.Signer, error) {
+	if len(hexKeys) == 0 && shared {
+		return nil, exit.UsageError{Message: "instances that share a platform need the same --session-key"}
 	}
 	var keys [][]byte
-	for _, text := range given {
-		key, err := hex.DecodeString(text)
+	for _, hexKey := range hexKeys {
+		key, err := hex.DecodeString(hexKey)
 		if err != nil {
-			return nil, exit.UsageError{What: "a session key is not hexadecimal"}
+			return nil, exit.UsageError{Message: "a session key is not hexadecimal"}
 		}
 		keys = append(keys, key)
 	}
 	if len(keys) == 0 {
 		key := make([]byte, sessionKeyBytes)
 		if _, err := rand.Read(key); err != nil {
-			return nil, fmt.Errorf("make session key: %w", err)
+			return nil, fmt.Errorf("generate session key: %w", err)
 		}
 		keys = append(keys, key)
 	}
 	s, err := front.NewSigner(keys...)
 	if err != nil {
-		return nil, exit.UsageError{What: err.Error()}
+		return nil, exit.UsageError{Message: err.Error()}
 	}
 	return s, nil
 }
--- a/io/shell/start/peertls.go
+++ b/io/shell/start/peertls.go
@@ -8,7 +8,8 @@
 	"endivehitch/io/shell/reach"
 )
 
-// peerTLS holds both sides of the mutually authenticated connections between instances; nil goes without TLS.
+// peerTLS holds the TLS settings of both sides of the connections between instances, which
+// authenticate each other. Without TLS both are nil.
 type peerTLS struct {
 	server *tls.Config
 	client *tls.Config
@@ -19,21 +20,21 @@
 		return peerTLS{}, nil
 	}
 	if ca == "" || cert == "" || key == "" {
-		return peerTLS{}, exit.UsageError{What: "--peer-ca, --peer-cert and --peer-key go together"}
+		return peerTLS{}, exit.UsageError{Message: "--peer-ca, --peer-cert and --peer-key go together"}
 	}
-	pool, err := reach.Authorities(ca)
+	pool, err := reach.ReadAuthorities(ca)
 	if err != nil {
-		return peerTLS{}, fmt.Errorf("read authority of instances: %w", err)
+		return peerTLS{}, fmt.Errorf("read authority of instances' certificates: %w", err)
 	}
-	own, err := tls.LoadX509KeyPair(cert, key)
+	certificate, err := tls.LoadX509KeyPair(cert, key)
 	if err != nil {
-		return peerTLS{}, fmt.Errorf("read certificate towards instances: %w", err)
+		return peerTLS{}, fmt.Errorf("read certificate for connections to other instances: %w", err)
 	}
 	return peerTLS{
 		server: &tls.Config{
-			Certificates: []tls.Certificate{own}, ClientCAs: pool,
+			Certificates: []tls.Certificate{certificate}, ClientCAs: pool,
 			ClientAuth: tls.RequireAndVerifyClientCert, MinVersion: tls.VersionTLS13,
 		},
-		client: &tls.Config{Certificates: []tls.Certificate{own}, RootCAs: pool, MinVersion: tls.VersionTLS13},
+		client: &tls.Config{Certificates: []tls.Certificate{certificate}, RootCAs: pool, MinVersion: tls.VersionTLS13},
 	}, nil
 }
--- a/io/shell/start/serve.go
+++ b/io/shell/start/serve.go
@@ -24,10 +24,10 @@
 )
 
 const (
-	dialTimeout     = time.Second
-	idleConnections = 64
-	historyEvents   = 4096
-	platformTimeout = 5 * time.Second
+	dialTimeout           = time.Second
+	idleConnections       = 64
+	historyEvents         = 4096
+	responseHeaderTimeout = 5 * time.Second
 )
 
 // Serve returns the command that runs one instance.
@@ -41,7 +41,7 @@
 		Flags: serveFlags(),
 		Action: func(ctx context.Context, c *cli.Command) error {
 			if c.Args().Present() {
-				return exit.UsageError{What: "serve takes no arguments"}
+				return exit.UsageError{Message: "serve takes no arguments"}
 			}
 			o, err := readOptions(c)
 			if err != nil {
@@ -52,8 +52,8 @@
 	}
 }
 
-// variable returns the environment variable that stands for the flag.
-func variable(flag string) string {
+// environmentVariable returns the name of the environment variable that sets the flag.
+func environmentVariable(flag string) string {
 	return "ENDIVEHITCH_" + strings.ToUpper(strings.ReplaceAll(flag, "-", "_"))
 }
 
@@ -63,7 +63,7 @@
 		return err
 	}
 	if o.document != "" {
-		if err := seed(ctx, store, o); err != nil {
+		if err := applyInitialDocument(ctx, store, o); err != nil {
 			return err
 		}
 	}
@@ -83,7 +83,7 @@
 	if err != nil {
 		return fmt.Errorf("listen for other instances: %w", err)
 	}
-	return member{
+	return instance{
 		node: node.Config{
 			Self:        o.self,
 			Environment: o.environment,
@@ -109,31 +109,33 @@
 func newRunner() (*engine.HTTP, error) {
 	runner, err := engine.NewHTTP(engine.HTTPConfig{DialTimeout: dialTimeout, IdleConnections: idleConnections})
 	if err != nil {
-		return nil, fmt.Errorf("make engine client: %w", err)
+		return nil, fmt.Errorf("create client of backend servers: %w", err)
 	}
 	return runner, nil
 }
 
-// openStore returns the platform's key-value service, or an embedded one where there is no platform.
+// openStore returns a client of the platform's key-value service, or an embedded store if the
+// platform's address is empty.
 func openStore(platform string) (plat.Store, error) {
 	if platform == "" {
 		store, err := plat.NewEmbedded(plat.EmbeddedConfig{Now: time.Now, History: historyEvents})
 		if err != nil {
-			return nil, fmt.Errorf("make embedded store: %w", err)
+			return nil, fmt.Errorf("create embedded store: %w", err)
 		}
 		return store, nil
 	}
-	// A watch waits as long as it likes, so that only the head of an answer is bounded.
-	client := &http.Client{Transport: &http.Transport{ResponseHeaderTimeout: platformTimeout}}
+	// A watch's response stays open without limit, so that only the wait for a response's headers
+	// has a time-out.
+	client := &http.Client{Transport: &http.Transport{ResponseHeaderTimeout: responseHeaderTimeout}}
 	store, err := plat.NewEtcd(plat.EtcdConfig{Base: platform, Client: client})
 	if err != nil {
-		return nil, fmt.Errorf("reach platform: %w", err)
+		return nil, fmt.Errorf("create client of the platform's key-value service: %w", err)
 	}
 	return store, nil
 }
 
-// seed puts the document into an embedded store.
-func seed(ctx context.Context, store plat.Store, o options) error {
+// applyInitialDocument applies the document that the flags name to an embedded store.
+func applyInitialDocument(ctx context.Context, store plat.Store, o options) error {
 	data, err := os.ReadFile(o.document)
 	if err != nil {
 		return fmt.Errorf("read document: %w", err)
--- a/main.go
+++ b/main.go
@@ -17,6 +17,6 @@
 	defer stop()
 	if err := shell.Run(ctx, os.Args, os.Stdout, os.Stderr); err != nil {
 		fmt.Fprintln(os.Stderr, err)
-		os.Exit(int(exit.Of(err)))
+		os.Exit(int(exit.CodeOf(err)))
 	}
 }
