--- a/io/proof/cell.go
+++ b/io/proof/cell.go
@@ -13,13 +13,13 @@
 	"endivehitch/io/conf"
 )
 
-// Cell is a step together with the faults that strike at it.
+// Cell is one cell of the fault matrix: a step and the faults that begin when it is first reached.
 type Cell struct {
 	Step   Step
 	Faults []Fault
 }
 
-// Name returns the step and the faults.
+// Name returns the step and the faults, such as "Route/ServerDies+StoreSlow".
 func (c Cell) Name() string {
 	names := make([]string, 0, len(c.Faults))
 	for _, f := range c.Faults {
@@ -28,155 +28,170 @@
 	return string(c.Step) + "/" + strings.Join(names, "+")
 }
 
-// Absent returns why the cell can't exist, or nothing.
-func (c Cell) Absent() string {
+// ReasonNotApplicable returns why a fault can't occur at the step, or "" if all of them can.
+func (c Cell) ReasonNotApplicable() string {
 	for _, f := range c.Faults {
-		if why := f.Absent(c.Step); why != "" {
+		if why := f.ReasonNotApplicable(c.Step); why != "" {
 			return f.Name + ": " + why
 		}
 	}
 	return ""
 }
 
-// Outcome is what became of a cell.
+// Outcome is the result of running a cell.
 type Outcome struct {
-	Facts    Facts
-	Breaches []Breach
-	// Reached is set where the step was reached, so that the faults struck.
+	Observations Observations
+	Violations   []Violation
+	// Reached is set if the step was reached, so that the faults began.
 	Reached bool
 }
 
-// The times of a cell's scenario.
+// Times and counts of a cell's scenario.
 const (
-	rounds     = 16
-	roundEvery = 2 * time.Second
-	settling   = time.Minute
-	patience   = 20 * time.Second
-	retryAfter = 5 * time.Second
-	keyTries   = 4
+	rounds         = 16
+	roundInterval  = 2 * time.Second
+	settleTime     = time.Minute
+	requestTimeout = 20 * time.Second
+	retryDelay     = 5 * time.Second
+	maxOrderTries  = 4
 )
 
-// Play runs the cell's scenario with one property's mechanism broken, or none; it is to be called in a bubble of virtual time.
-func Play(c Cell, broken Line) (Outcome, error) {
-	f, err := newFleet(c, broken)
+// RunCell runs the cell's scenario and checks the invariants. A non-empty brokenInvariant disables
+// the mechanism that upholds this invariant, to show that Check detects its violation. The caller
+// runs it in a testing/synctest bubble, so that its waits take no real time.
+func RunCell(cell Cell, brokenInvariant Invariant) (Outcome, error) {
+	fleet, err := newFleet(cell, brokenInvariant)
 	if err != nil {
 		return Outcome{}, fmt.Errorf("start fleet: %w", err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	if err := f.watch(ctx); err != nil {
+	if err := fleet.watchStore(ctx); err != nil {
 		cancel()
 		return Outcome{}, err
 	}
 	_ = clock.Wait(ctx, 2*time.Second)
-	f.struck.Store(c.Step == StepApply || c.Step == StepSpread)
-	f.apply(firstDocument)
+	// The first document is applied without faults, also in cells whose faults begin at a change of
+	// the document.
+	fleet.triggered.Store(cell.Step == StepApply || cell.Step == StepSpread)
+	fleet.applyDocument(firstDocument)
 	_ = clock.Wait(ctx, time.Second)
-	f.struck.Store(false)
+	fleet.triggered.Store(false)
 	var scenario sync.WaitGroup
-	scenario.Go(f.traffic)
-	scenario.Go(f.operate)
+	scenario.Go(fleet.sendTraffic)
+	scenario.Go(fleet.runOperator)
 	scenario.Wait()
-	_ = clock.Wait(ctx, settling)
+	_ = clock.Wait(ctx, settleTime)
 	cancel()
-	facts, err := f.stop()
+	observations, err := fleet.stop()
 	if err != nil {
 		return Outcome{}, fmt.Errorf("read bills: %w", err)
 	}
-	return Outcome{Facts: facts, Breaches: Check(DeskBounds(), facts), Reached: f.struck.Load()}, nil
+	return Outcome{Observations: observations, Violations: Check(ScenarioBounds(), observations), Reached: fleet.triggered.Load()}, nil
 }
 
-// traffic sends a round of requests to every instance from time to time.
-func (f *Fleet) traffic() {
+// sendTraffic sends a round of requests to every instance each roundInterval, and returns once all
+// callers have finished.
+func (f *Fleet) sendTraffic() {
 	var callers sync.WaitGroup
 	for round := range rounds {
-		for i, n := range f.all() {
-			if n.ended() {
+		for i, n := range f.allInstances() {
+			if n.hasEnded() {
 				continue
 			}
 			for k := range 2 {
-				callers.Go(func() { f.ask(n, f.draft(fmt.Sprintf("%s-%d-%d", n.self.ID, round, k), bothVersions, "")) })
+				callers.Go(func() {
+					f.sendRequest(n, f.newSpellingRequest(fmt.Sprintf("%s-%d-%d", n.self.ID, round, k), bothVersions, ""))
+				})
 			}
-			callers.Go(func() { f.ask(n, f.draft(fmt.Sprintf("%s-%d-only", n.self.ID, round), smallOnly, "")) })
-			callers.Go(func() { f.ask(n, f.draft(fmt.Sprintf("%s-%d-pin", n.self.ID, round), bothVersions, smallVersion)) })
-			callers.Go(func() { f.order(i, round) })
+			callers.Go(func() {
+				f.sendRequest(n, f.newSpellingRequest(fmt.Sprintf("%s-%d-only", n.self.ID, round), smallOnly, ""))
+			})
+			callers.Go(func() {
+				f.sendRequest(n, f.newSpellingRequest(fmt.Sprintf("%s-%d-pin", n.self.ID, round), bothVersions, smallVersion))
+			})
+			callers.Go(func() { f.placeOrder(i, round) })
 		}
-		_ = clock.Wait(context.Background(), roundEvery)
+		_ = clock.Wait(context.Background(), roundInterval)
 	}
 	callers.Wait()
 }
 
-func (f *Fleet) draft(id string, a value.AccountName, pinned value.VersionKey) value.Request {
+func (f *Fleet) newSpellingRequest(id string, account value.AccountName, pinned value.VersionKey) value.Request {
 	now := time.Now()
 	session := value.SessionID("")
 	if pinned != "" {
 		session = "session-1"
 	}
 	return value.Request{
-		ID: value.RequestID(id), Account: a, Kind: spelling, Session: session, Pinned: pinned,
-		Stream: true, Arrived: now, Deadline: now.Add(patience),
+		ID: value.RequestID(id), Account: account, Kind: spelling, Session: session, Pinned: pinned,
+		Stream: true, Arrived: now, Deadline: now.Add(requestTimeout),
 	}
 }
 
-// order places a reorder; every caller of a round sends the same key, and repeats it until it is answered.
-func (f *Fleet) order(first, round int) {
-	for try := range keyTries {
-		n := f.live(first + try)
-		if n == nil {
+// placeOrder sends a reorder request and retries it at the next instance until it is answered or
+// maxOrderTries is reached. All callers of a round send the same idempotency key.
+func (f *Fleet) placeOrder(first, round int) {
+	for try := range maxOrderTries {
+		target := f.liveInstance(first + try)
+		if target == nil {
 			return
 		}
 		now := time.Now()
-		r := f.ask(n, value.Request{
+		r := f.sendRequest(target, value.Request{
 			ID:      value.RequestID(fmt.Sprintf("order-%d-%d-%d", first, round, try)),
 			Account: bothVersions, Kind: reorder, Key: value.IdempotencyKey(fmt.Sprintf("key-%d", round)),
-			Question: uint64(round) + 1, Arrived: now, Deadline: now.Add(patience),
+			Question: uint64(round) + 1, Arrived: now, Deadline: now.Add(requestTimeout),
 		})
-		if r.Ended {
+		if r.Complete {
 			return
 		}
-		_ = clock.Wait(context.Background(), retryAfter)
+		_ = clock.Wait(context.Background(), retryDelay)
 	}
 }
 
-// operate does the control's work in the order of the steps.
-func (f *Fleet) operate() {
+// runOperator does the control work, in the order of the steps.
+func (f *Fleet) runOperator() {
 	ctx := context.Background()
 	_ = clock.Wait(ctx, 500*time.Millisecond)
-	f.apply(nextDocument)
-	f.reachAt(StepSpread)
+	f.applyDocument(nextDocument)
+	f.reachStepAtLiveInstance(StepSpread)
 	_ = clock.Wait(ctx, time.Second)
-	f.command(StepStart, cmds.StartRollOut{Name: rollOut})
+	f.sendCommand(StepStart, cmds.StartRollOut{Name: rollOut})
 	_ = clock.Wait(ctx, 2*time.Second)
-	f.command(StepAdvance, cmds.AdvanceRollOut{Name: rollOut, Stage: 0, Forced: true})
+	f.sendCommand(StepAdvance, cmds.AdvanceRollOut{Name: rollOut, Stage: 0, Forced: true})
 	_ = clock.Wait(ctx, 2*time.Second)
-	f.withdraw()
+	f.withdrawVersion()
 	now := time.Now()
-	f.list.retire(leavingServer, now)
-	f.note(func(x Facts) Facts { return x.WithLeaving(Event[value.ServerID]{Subject: leavingServer, At: now}) })
+	f.instanceList.markLeaving(leavingServer, now)
+	f.record(func(x Observations) Observations {
+		return x.WithLeaving(Event[value.ServerID]{Subject: leavingServer, At: now})
+	})
 	_ = clock.Wait(ctx, time.Second)
-	f.all()[2].leave()
+	f.allInstances()[2].leave()
 }
 
-func (f *Fleet) reachAt(s Step) {
-	if n := f.live(1); n != nil {
-		f.reach(s, n)
+func (f *Fleet) reachStepAtLiveInstance(s Step) {
+	if n := f.liveInstance(1); n != nil {
+		f.reachStep(s, n)
 	}
 }
 
-func (f *Fleet) command(s Step, c command) {
-	n := f.live(1)
+func (f *Fleet) sendCommand(s Step, c command) {
+	n := f.liveInstance(1)
 	if n == nil {
 		return
 	}
-	f.background(func() { _ = n.loop.Do(n.ctx, c) })
-	f.reach(s, n)
+	f.runInBackground(func() { _ = n.loop.Do(n.ctx, c) })
+	f.reachStep(s, n)
 }
 
-// withdraw repeats the operator's order until the store shows it.
-func (f *Fleet) withdraw() {
+// withdrawVersion sends the operator's order to withdraw the next version until the store holds it,
+// at most six times.
+func (f *Fleet) withdrawVersion() {
 	for range 6 {
-		f.command(StepWithdraw, cmds.WithdrawVersion{Version: nextVersion, Reason: value.ReasonOperator})
+		f.sendCommand(StepWithdraw, cmds.WithdrawVersion{Version: nextVersion, Reason: value.ReasonOperator})
 		_ = clock.Wait(context.Background(), 2*time.Second)
-		e, err := f.inner.Get(context.Background(), conf.WithdrawalKey(environment, nextVersion))
+		e, err := f.faultFreeStore.Get(context.Background(), conf.WithdrawalKey(environment, nextVersion))
 		if err == nil && e.Revision > 0 {
 			return
 		}
--- a/io/proof/desk.go
+++ b/io/proof/desk.go
@@ -6,7 +6,7 @@
 	"endivehitch/core/value"
 )
 
-// What the small fleet serves.
+// Names in the scenario's configuration documents; a document's stored text is its name.
 const (
 	environment   = value.Environment("production")
 	smallVersion  = value.VersionKey("drafting-llm/small")
@@ -22,7 +22,7 @@
 	otherDocument = "third"
 )
 
-func desk(name string) value.Document {
+func scenarioDocument(name string) value.Document {
 	kinds := []value.KindName{spelling, reorder}
 	return value.Document{
 		Name: name,
@@ -59,16 +59,16 @@
 	}
 }
 
-// DeskBounds returns what must hold of the small fleet.
-func DeskBounds() Bounds {
+// ScenarioBounds returns the bounds that the scenario's fleet must keep.
+func ScenarioBounds() Bounds {
 	return Bounds{
-		Config:  15 * time.Second,
-		Leaving: 5 * time.Second,
-		Allowed: map[value.AccountName][]value.VersionKey{
+		ConfigDelay:  15 * time.Second,
+		LeavingDelay: 5 * time.Second,
+		AllowedVersions: map[value.AccountName][]value.VersionKey{
 			bothVersions: {smallVersion, nextVersion},
 			smallOnly:    {smallVersion},
 		},
-		Text: func(r value.Request) string {
+		AnswerText: func(r value.Request) string {
 			if r.Key != "" {
 				return "answer to " + string(r.Key)
 			}
--- a/io/proof/facts.go
+++ b/io/proof/facts.go
@@ -8,102 +8,104 @@
 	"endivehitch/core/value"
 )
 
-// Run is one run as the backend server saw it.
-type Run struct {
-	Request value.RequestID
-	Key     value.IdempotencyKey
-	Server  value.ServerID
-	Version value.VersionKey
-	At      time.Time
+// Attempt is one attempt to run a request, as the backend server received it.
+type Attempt struct {
+	Request   value.RequestID
+	Key       value.IdempotencyKey
+	Server    value.ServerID
+	Version   value.VersionKey
+	StartedAt time.Time
 }
 
-// Reply is what one caller was told.
+// Reply is what one caller received for its request.
 type Reply struct {
 	Request value.Request
-	At      time.Time
+	SentAt  time.Time
 	Text    string
-	// Ended is set once the caller learned that the answer is whole.
-	Ended bool
-	// NotRun is set where the caller was refused with the claim that nothing ran.
+	// Complete is set once the caller received the end of the answer.
+	Complete bool
+	// NotRun is set if the request was refused with the claim that it was not run.
 	NotRun bool
-	// Cut is set where a graceful shutdown ended the connection first.
-	Cut bool
+	// CutOff is set if a graceful shutdown closed the connection before the answer was complete.
+	CutOff bool
 }
 
-// Event says that something came into force for a subject.
+// Event is a change that took effect for a subject, such as a revision at an instance.
 type Event[K ~string] struct {
 	Subject  K
 	Revision int64
 	At       time.Time
 }
 
-// Facts is what callers, backend servers, operators and the store saw of one cell; it is immutable.
-type Facts struct {
-	Runs      []Run
-	Replies   []Reply
-	Segments  []ledger.Segment
-	Accepted  []Event[value.ChangeID]
-	InForce   []Event[value.InstanceID]
-	Withdrawn []Event[value.VersionKey]
-	Leaving   []Event[value.ServerID]
-	// Ended lists the instances that were killed or have left.
-	Ended []value.InstanceID
-	// Healed is when the last fault ended.
-	Healed time.Time
+// Observations is what callers, backend servers, operators and the store observed while one cell
+// ran. It is immutable.
+type Observations struct {
+	Attempts     []Attempt
+	Replies      []Reply
+	BillSegments []ledger.Segment
+	Accepted     []Event[value.ChangeID]
+	InForce      []Event[value.InstanceID]
+	Withdrawn    []Event[value.VersionKey]
+	Leaving      []Event[value.ServerID]
+	// EndedInstances lists the instances that were killed or have left.
+	EndedInstances []value.InstanceID
+	// FaultsEndedAt is when the last fault ended.
+	FaultsEndedAt time.Time
 }
 
-// WithRun returns facts with one more run.
-func (f Facts) WithRun(r Run) Facts {
-	f.Runs = append(slices.Clip(f.Runs), r)
+// WithAttempt returns a copy with the attempt added.
+func (f Observations) WithAttempt(r Attempt) Observations {
+	f.Attempts = append(slices.Clip(f.Attempts), r)
 	return f
 }
 
-// WithReply returns facts with one more reply.
-func (f Facts) WithReply(r Reply) Facts {
+// WithReply returns a copy with the reply added.
+func (f Observations) WithReply(r Reply) Observations {
 	f.Replies = append(slices.Clip(f.Replies), r)
 	return f
 }
 
-// WithSegments returns facts with what the store holds of bills.
-func (f Facts) WithSegments(s []ledger.Segment) Facts {
-	f.Segments = s
+// WithBillSegments returns a copy with the bill segments that the store holds.
+func (f Observations) WithBillSegments(s []ledger.Segment) Observations {
+	f.BillSegments = s
 	return f
 }
 
-// WithAccepted returns facts with one more accepted configuration.
-func (f Facts) WithAccepted(e Event[value.ChangeID]) Facts {
+// WithAccepted returns a copy with the configuration added that the store accepted.
+func (f Observations) WithAccepted(e Event[value.ChangeID]) Observations {
 	f.Accepted = append(slices.Clip(f.Accepted), e)
 	return f
 }
 
-// WithInForce returns facts with one more configuration in force at an instance.
-func (f Facts) WithInForce(e Event[value.InstanceID]) Facts {
+// WithInForce returns a copy with the configuration added that came into force at an instance.
+func (f Observations) WithInForce(e Event[value.InstanceID]) Observations {
 	f.InForce = append(slices.Clip(f.InForce), e)
 	return f
 }
 
-// WithWithdrawn returns facts with one more withdrawn version.
-func (f Facts) WithWithdrawn(e Event[value.VersionKey]) Facts {
+// WithWithdrawn returns a copy with the withdrawn version added.
+func (f Observations) WithWithdrawn(e Event[value.VersionKey]) Observations {
 	f.Withdrawn = append(slices.Clip(f.Withdrawn), e)
 	return f
 }
 
-// WithLeaving returns facts with one more backend server that is leaving.
-func (f Facts) WithLeaving(e Event[value.ServerID]) Facts {
+// WithLeaving returns a copy with the backend server added that is leaving.
+func (f Observations) WithLeaving(e Event[value.ServerID]) Observations {
 	f.Leaving = append(slices.Clip(f.Leaving), e)
 	return f
 }
 
-// WithEnded returns facts with one more instance that is no longer there.
-func (f Facts) WithEnded(id value.InstanceID) Facts {
-	f.Ended = append(slices.Clip(f.Ended), id)
+// WithEndedInstance returns a copy with the instance added to the ended ones.
+func (f Observations) WithEndedInstance(id value.InstanceID) Observations {
+	f.EndedInstances = append(slices.Clip(f.EndedInstances), id)
 	return f
 }
 
-// WithHealed returns facts whose last fault ended at the time or later.
-func (f Facts) WithHealed(at time.Time) Facts {
-	if at.After(f.Healed) {
-		f.Healed = at
+// WithFaultsEndedAt returns a copy whose last fault ended at the given time, unless a later end is
+// recorded.
+func (f Observations) WithFaultsEndedAt(at time.Time) Observations {
+	if at.After(f.FaultsEndedAt) {
+		f.FaultsEndedAt = at
 	}
 	return f
 }
--- a/io/proof/fault.go
+++ b/io/proof/fault.go
@@ -7,125 +7,130 @@
 	"endivehitch/io/fakes"
 )
 
-// Fault is one way in which the surroundings fail.
+// Fault is one failure of an instance or of what it depends on: backend servers, store, network.
 type Fault struct {
 	Name string
-	// Lasts is how long the fault is in force.
-	Lasts time.Duration
-	// Begin brings the fault about at the instance that reached the step; it must not block.
-	Begin func(f *Fleet, at *node)
-	// End heals the fault.
-	End func(f *Fleet, at *node)
-	// Absent returns why the fault can't exist at the step, or nothing.
-	Absent func(s Step) string
+	// Duration is the time from Begin to End.
+	Duration time.Duration
+	// Begin injects the fault, where it concerns one instance at the one that reached the step. It
+	// must not block.
+	Begin func(f *Fleet, at *instance)
+	// End removes the fault.
+	End func(f *Fleet, at *instance)
+	// ReasonNotApplicable returns why the fault can't occur at the step, or "" if it can.
+	ReasonNotApplicable func(s Step) string
 }
 
-// outage is how long most faults last.
-const outage = 6 * time.Second
+// faultDuration is the duration of most faults.
+const faultDuration = 6 * time.Second
 
-func anywhere(Step) string { return "" }
+func appliesEverywhere(Step) string { return "" }
 
-func streaming(s Step) string {
-	if !s.Streams() {
+func appliesDuringAttempt(s Step) string {
+	if !s.IsDuringAttempt() {
 		return "no answer is under way at the step"
 	}
 	return ""
 }
 
-func changing(s Step) string {
-	if !s.Changes() {
+func appliesDuringConfigChange(s Step) string {
+	if !s.IsDuringConfigChange() {
 		return "no change of the document is under way at the step"
 	}
 	return ""
 }
 
-// ofServers is a fault of backend servers while it lasts.
-func ofServers(name string, b Behaviour, absent func(Step) string) Fault {
+// newServerFault returns a fault of faultDuration that makes backend servers behave as given.
+func newServerFault(name string, behaviour Behaviour, reasonNotApplicable func(Step) string) Fault {
 	return Fault{
-		Name: name, Lasts: outage, Absent: absent,
-		Begin: func(f *Fleet, _ *node) { f.behave(name, b) },
-		End:   func(f *Fleet, _ *node) { f.behave(name, Behaviour{}) },
+		Name: name, Duration: faultDuration, ReasonNotApplicable: reasonNotApplicable,
+		Begin: func(f *Fleet, _ *instance) { f.setBehaviour(name, behaviour) },
+		End:   func(f *Fleet, _ *instance) { f.setBehaviour(name, Behaviour{}) },
 	}
 }
 
-// ofStore is a fault of the key-value service while it lasts.
-func ofStore(name string, set func(fakes.Faults, bool) fakes.Faults) Fault {
+// newStoreFault returns a fault of the key-value store of faultDuration; set switches it on or off.
+func newStoreFault(name string, set func(fakes.Faults, bool) fakes.Faults) Fault {
 	return Fault{
-		Name: name, Lasts: outage, Absent: anywhere,
-		Begin: func(f *Fleet, _ *node) { f.setStore(func(s fakes.Faults) fakes.Faults { return set(s, true) }) },
-		End:   func(f *Fleet, _ *node) { f.setStore(func(s fakes.Faults) fakes.Faults { return set(s, false) }) },
+		Name: name, Duration: faultDuration, ReasonNotApplicable: appliesEverywhere,
+		Begin: func(f *Fleet, _ *instance) {
+			f.updateStoreFaults(func(s fakes.Faults) fakes.Faults { return set(s, true) })
+		},
+		End: func(f *Fleet, _ *instance) {
+			f.updateStoreFaults(func(s fakes.Faults) fakes.Faults { return set(s, false) })
+		},
 	}
 }
 
-func nothing(*Fleet, *node) {}
+func noop(*Fleet, *instance) {}
 
-// Faults lists the faults.
+// Faults returns all faults of the matrix.
 func Faults() []Fault {
 	return append(serverFaults(), append(storeFaults(), instanceFaults()...)...)
 }
 
 func serverFaults() []Fault {
-	reset := ofServers("ServerResets", Behaviour{Dead: true}, streaming)
-	reset.Lasts = pieceTime / 2
+	reset := newServerFault("ServerResets", Behaviour{Reset: true}, appliesDuringAttempt)
+	reset.Duration = pieceDelay / 2
 	return []Fault{
-		ofServers("ServerDies", Behaviour{Dead: true, Only: leavingServer}, anywhere),
+		newServerFault("ServerDies", Behaviour{Reset: true, Server: leavingServer}, appliesEverywhere),
 		reset,
-		ofServers("ServerStalls", Behaviour{Stall: true, Only: "engine-2"}, anywhere),
-		ofServers("ServersLate", Behaviour{Late: 2 * time.Second}, anywhere),
-		ofServers("AnswersAnothers", Behaviour{Another: true}, anywhere),
-		ofServers("ServersRefuse", Behaviour{Unsent: true}, anywhere),
-		ofServers("VersionTurnsBad", Behaviour{Status: http.StatusInternalServerError, Version: nextVersion}, anywhere),
-		ofServers("PoolRunsOut", Behaviour{Status: http.StatusServiceUnavailable}, anywhere),
+		newServerFault("ServerStalls", Behaviour{Stall: true, Server: "engine-2"}, appliesEverywhere),
+		newServerFault("ServersLate", Behaviour{ExtraDelay: 2 * time.Second}, appliesEverywhere),
+		newServerFault("AnswersAnothers", Behaviour{WrongRequest: true}, appliesEverywhere),
+		newServerFault("ServersRefuse", Behaviour{RefuseConnection: true}, appliesEverywhere),
+		newServerFault("VersionTurnsBad", Behaviour{Status: http.StatusInternalServerError, Version: nextVersion}, appliesEverywhere),
+		newServerFault("PoolRunsOut", Behaviour{Status: http.StatusServiceUnavailable}, appliesEverywhere),
 	}
 }
 
 func storeFaults() []Fault {
 	return []Fault{
-		ofStore("StoreDown", func(s fakes.Faults, on bool) fakes.Faults { return s.WithDown(on) }),
-		ofStore("StoreSlow", func(s fakes.Faults, on bool) fakes.Faults {
+		newStoreFault("StoreDown", func(s fakes.Faults, on bool) fakes.Faults { return s.WithDown(on) }),
+		newStoreFault("StoreSlow", func(s fakes.Faults, on bool) fakes.Faults {
 			if !on {
 				return s.WithDelay(0)
 			}
 			return s.WithDelay(3 * time.Second)
 		}),
-		ofStore("StoreStale", func(s fakes.Faults, on bool) fakes.Faults { return s.WithStale(on) }),
-		ofStore("StoreLosesAnswers", func(s fakes.Faults, on bool) fakes.Faults {
+		newStoreFault("StoreStale", func(s fakes.Faults, on bool) fakes.Faults { return s.WithStale(on) }),
+		newStoreFault("StoreLosesAnswers", func(s fakes.Faults, on bool) fakes.Faults {
 			if !on {
 				return s.WithLostAnswers(0)
 			}
 			return s.WithLostAnswers(3)
 		}),
 		{
-			Name: "TwoOperators", Absent: changing, End: nothing,
-			Begin: func(f *Fleet, _ *node) { f.background(func() { f.apply(otherDocument) }) },
+			Name: "TwoOperators", ReasonNotApplicable: appliesDuringConfigChange, End: noop,
+			Begin: func(f *Fleet, _ *instance) { f.runInBackground(func() { f.applyDocument(otherDocument) }) },
 		},
 	}
 }
 
 func instanceFaults() []Fault {
 	return []Fault{
-		{Name: "InstanceKilled", Begin: func(_ *Fleet, n *node) { n.kill() }, End: nothing, Absent: anywhere},
+		{Name: "InstanceKilled", Begin: func(_ *Fleet, n *instance) { n.kill() }, End: noop, ReasonNotApplicable: appliesEverywhere},
 		{
-			Name: "InstanceReplaced", End: nothing, Absent: anywhere,
-			Begin: func(f *Fleet, n *node) {
+			Name: "InstanceReplaced", End: noop, ReasonNotApplicable: appliesEverywhere,
+			Begin: func(f *Fleet, n *instance) {
 				n.kill()
-				f.background(f.replace)
+				f.runInBackground(f.startReplacement)
 			},
 		},
 		{
-			Name: "InstancePaused", Lasts: outage, Absent: anywhere,
-			Begin: func(_ *Fleet, n *node) { n.pause() },
-			End:   func(_ *Fleet, n *node) { n.resume() },
+			Name: "InstancePaused", Duration: faultDuration, ReasonNotApplicable: appliesEverywhere,
+			Begin: func(_ *Fleet, n *instance) { n.pause() },
+			End:   func(_ *Fleet, n *instance) { n.resume() },
 		},
 		{
-			Name: "PeersCut", Lasts: outage, Absent: anywhere,
-			Begin: func(f *Fleet, _ *node) { f.cut(true) },
-			End:   func(f *Fleet, _ *node) { f.cut(false) },
+			Name: "PeersCut", Duration: faultDuration, ReasonNotApplicable: appliesEverywhere,
+			Begin: func(f *Fleet, _ *instance) { f.setPeersCut(true) },
+			End:   func(f *Fleet, _ *instance) { f.setPeersCut(false) },
 		},
 		{
-			Name: "ListAway", Lasts: outage, Absent: anywhere,
-			Begin: func(f *Fleet, _ *node) { f.list.set(func(l *list) { l.away = true }) },
-			End:   func(f *Fleet, _ *node) { f.list.set(func(l *list) { l.away = false }) },
+			Name: "ListAway", Duration: faultDuration, ReasonNotApplicable: appliesEverywhere,
+			Begin: func(f *Fleet, _ *instance) { f.instanceList.update(func(l *instanceList) { l.unreachable = true }) },
+			End:   func(f *Fleet, _ *instance) { f.instanceList.update(func(l *instanceList) { l.unreachable = false }) },
 		},
 	}
 }
--- a/io/proof/fleet.go
+++ b/io/proof/fleet.go
@@ -20,100 +20,105 @@
 	"endivehitch/io/plat"
 )
 
-// history is how many changes the store's watches can start back from.
-const history = 10000
+// watchHistory is how many past changes the store keeps for watches that start at an old revision.
+const watchHistory = 10000
 
-// Fleet is three instances with their surroundings, for one cell.
+// Fleet is the test environment of one cell: three instances, and the store, network, instance list
+// and backend servers that they use.
 type Fleet struct {
-	cell   Cell
-	broken Line
-	seed   uint64
+	cell            Cell
+	brokenInvariant Invariant
+	seed            uint64
 
-	inner  *plat.Embedded
-	store  *fakes.Store
-	mesh   fakes.Mesh
-	list   *list
-	tokens atomic.Int64
-	struck atomic.Bool
-	facts  policy.Cell[Facts]
-	acts   policy.Cell[policy.Table[string, Behaviour]]
-	faults policy.Cell[fakes.Faults]
-	asked  policy.Cell[policy.Table[value.RequestID, value.Request]]
-	others sync.WaitGroup
+	// faultFreeStore is the store below the faults of store.
+	faultFreeStore *plat.Embedded
+	store          *fakes.Store
+	mesh           fakes.Mesh
+	instanceList   *instanceList
+	lastToken      atomic.Int64
+	// triggered is set once the cell's faults have begun.
+	triggered    atomic.Bool
+	observations policy.Cell[Observations]
+	behaviours   policy.Cell[policy.Table[string, Behaviour]]
+	storeFaults  policy.Cell[fakes.Faults]
+	requests     policy.Cell[policy.Table[value.RequestID, value.Request]]
+	background   sync.WaitGroup
 
-	mu    sync.Mutex
-	nodes []*node
+	mu        sync.Mutex
+	instances []*instance
 }
 
-func newFleet(c Cell, broken Line) (*Fleet, error) {
-	e, err := plat.NewEmbedded(plat.EmbeddedConfig{Now: time.Now, History: history})
+func newFleet(cell Cell, brokenInvariant Invariant) (*Fleet, error) {
+	store, err := plat.NewEmbedded(plat.EmbeddedConfig{Now: time.Now, History: watchHistory})
 	if err != nil {
-		return nil, fmt.Errorf("make store: %w", err)
+		return nil, fmt.Errorf("create store: %w", err)
 	}
-	f := &Fleet{cell: c, broken: broken, seed: 1, inner: e, store: fakes.NewStore(e), list: &list{servers: backendServers()}}
-	f.cut(false)
+	f := &Fleet{cell: cell, brokenInvariant: brokenInvariant, seed: 1, faultFreeStore: store, store: fakes.NewStore(store), instanceList: &instanceList{servers: backendServers()}}
+	f.setPeersCut(false)
 	for _, id := range []value.InstanceID{"a", "b", "c"} {
-		if _, err := f.start(id); err != nil {
+		if _, err := f.startInstance(id); err != nil {
 			return nil, err
 		}
 	}
 	return f, nil
 }
 
-func (f *Fleet) token() string { return fmt.Sprint("token-", f.tokens.Add(1)) }
+func (f *Fleet) newToken() string { return fmt.Sprint("token-", f.lastToken.Add(1)) }
 
-func (f *Fleet) note(change func(Facts) Facts) { f.facts.Update(change) }
+func (f *Fleet) record(change func(Observations) Observations) { f.observations.Update(change) }
 
-func (f *Fleet) background(do func()) { f.others.Go(do) }
+func (f *Fleet) runInBackground(do func()) { f.background.Go(do) }
 
-func (f *Fleet) join(n *node) {
-	f.list.set(func(l *list) { l.instances = append(l.instances, n.self) })
+func (f *Fleet) addInstance(n *instance) {
+	f.instanceList.update(func(l *instanceList) { l.instances = append(l.instances, n.self) })
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.nodes = append(f.nodes, n)
+	f.instances = append(f.instances, n)
 }
 
-func (f *Fleet) all() []*node {
+func (f *Fleet) allInstances() []*instance {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return append([]*node(nil), f.nodes...)
+	return append([]*instance(nil), f.instances...)
 }
 
-// live returns the first instance that can be asked, from the given one on.
-func (f *Fleet) live(first int) *node {
-	all := f.all()
+// liveInstance returns the first instance, from the given index on, that has neither been killed nor
+// left, or nil.
+func (f *Fleet) liveInstance(first int) *instance {
+	all := f.allInstances()
 	for i := range all {
-		if n := all[(first+i)%len(all)]; !n.ended() && n.ctx.Err() == nil {
+		if n := all[(first+i)%len(all)]; !n.hasEnded() && n.ctx.Err() == nil {
 			return n
 		}
 	}
 	return nil
 }
 
-func (f *Fleet) replace() {
-	// The platform starts the new instance some time after the old one has ended.
+func (f *Fleet) startReplacement() {
+	// The platform takes a while to start a replacement for an instance that has ended.
 	if clock.Wait(context.Background(), time.Second) == nil {
-		_, _ = f.start("d")
+		_, _ = f.startInstance("d")
 	}
 }
 
-// reach strikes with the cell's faults the first time that its step is reached.
-func (f *Fleet) reach(s Step, at *node) {
-	if s != f.cell.Step || at.ended() || f.struck.Swap(true) {
+// reachStep begins the cell's faults the first time that its step is reached, and ends each after
+// its duration.
+func (f *Fleet) reachStep(s Step, at *instance) {
+	if s != f.cell.Step || at.hasEnded() || f.triggered.Swap(true) {
 		return
 	}
 	for _, fault := range f.cell.Faults {
 		fault.Begin(f, at)
-		f.background(func() {
-			_ = clock.Wait(context.Background(), fault.Lasts)
+		f.runInBackground(func() {
+			_ = clock.Wait(context.Background(), fault.Duration)
 			fault.End(f, at)
-			f.note(func(x Facts) Facts { return x.WithHealed(time.Now()) })
+			f.record(func(x Observations) Observations { return x.WithFaultsEndedAt(time.Now()) })
 		})
 	}
 }
 
-func (f *Fleet) behave(name string, b Behaviour) {
-	f.acts.Update(func(t policy.Table[string, Behaviour]) policy.Table[string, Behaviour] {
+func (f *Fleet) setBehaviour(name string, b Behaviour) {
+	f.behaviours.Update(func(t policy.Table[string, Behaviour]) policy.Table[string, Behaviour] {
 		if b == (Behaviour{}) {
 			return t.Without(name)
 		}
@@ -121,111 +126,112 @@
 	})
 }
 
-// behaviour joins the behaviours in force at the server.
-func (f *Fleet) behaviour(s value.ServerID, v value.VersionKey) Behaviour {
+// behaviourOf returns the combination of all behaviours in force for the version at the server.
+func (f *Fleet) behaviourOf(server value.ServerID, version value.VersionKey) Behaviour {
 	var joined Behaviour
-	for _, b := range f.acts.Get().All() {
-		if !b.covers(s, v) {
+	for _, b := range f.behaviours.Get().All() {
+		if !b.appliesTo(server, version) {
 			continue
 		}
-		joined.Dead = joined.Dead || b.Dead
+		joined.Reset = joined.Reset || b.Reset
 		joined.Stall = joined.Stall || b.Stall
-		joined.Another = joined.Another || b.Another
-		joined.Unsent = joined.Unsent || b.Unsent
-		joined.Late = max(joined.Late, b.Late)
+		joined.WrongRequest = joined.WrongRequest || b.WrongRequest
+		joined.RefuseConnection = joined.RefuseConnection || b.RefuseConnection
+		joined.ExtraDelay = max(joined.ExtraDelay, b.ExtraDelay)
 		joined.Status = max(joined.Status, b.Status)
 	}
 	return joined
 }
 
-func (f *Fleet) setStore(change func(fakes.Faults) fakes.Faults) {
-	_ = f.store.Set(f.faults.Update(change))
+func (f *Fleet) updateStoreFaults(change func(fakes.Faults) fakes.Faults) {
+	_ = f.store.Set(f.storeFaults.Update(change))
 }
 
-func (f *Fleet) cut(off bool) {
+func (f *Fleet) setPeersCut(cut bool) {
 	f.mesh.Set(func(_, _ value.Instance) fakes.Fate {
-		return fakes.Fate{Delay: time.Millisecond, Unsent: off}
+		return fakes.Fate{Delay: time.Millisecond, Unsent: cut}
 	})
 }
 
-func (f *Fleet) ran(b value.BackendServer, c engine.Call) {
-	f.note(func(x Facts) Facts {
-		return x.WithRun(Run{Request: c.Request, Key: c.Key, Server: b.ID, Version: c.Version, At: time.Now()})
+func (f *Fleet) recordAttempt(server value.BackendServer, call engine.Call) {
+	f.record(func(x Observations) Observations {
+		return x.WithAttempt(Attempt{Request: call.Request, Key: call.Key, Server: server.ID, Version: call.Version, StartedAt: time.Now()})
 	})
 }
 
-func (f *Fleet) request(id value.RequestID) value.Request {
-	r, _ := f.asked.Get().Get(id)
+func (f *Fleet) requestByID(id value.RequestID) value.Request {
+	r, _ := f.requests.Get().Get(id)
 	return r
 }
 
-// ask sends the request to the instance and notes what its caller is told.
-func (f *Fleet) ask(n *node, r value.Request) Reply {
-	reply := Reply{Request: r, At: time.Now()}
-	f.asked.Update(func(t policy.Table[value.RequestID, value.Request]) policy.Table[value.RequestID, value.Request] {
+// sendRequest sends the request to the instance and records the reply that its caller receives.
+func (f *Fleet) sendRequest(n *instance, r value.Request) Reply {
+	reply := Reply{Request: r, SentAt: time.Now()}
+	f.requests.Update(func(t policy.Table[value.RequestID, value.Request]) policy.Table[value.RequestID, value.Request] {
 		return t.With(r.ID, r)
 	})
-	if !n.enter() {
-		// The connection is refused, so that the caller was not served at all.
+	if !n.acceptCaller() {
+		// The connection is refused: the caller received no reply, so there is none to check.
 		return reply
 	}
-	f.reach(StepAccept, n)
-	s := &sink{node: n}
+	f.reachStep(StepAccept, n)
+	writer := &responseWriter{instance: n}
 	served := make(chan Reply, 1)
 	go func(reply Reply) {
 		defer n.serving.Done()
-		ctx, cancel := context.WithCancel(n.life)
+		ctx, cancel := context.WithCancel(n.processCtx)
 		defer cancel()
-		_, err := n.flow.Serve(ctx, flow.Job{Request: r, Call: engine.Call{Stream: r.Key == "", Key: r.Key}}, s)
-		served <- reply.with(n, s, err)
+		_, err := n.flow.Serve(ctx, flow.Job{Request: r, Call: engine.Call{Stream: r.Key == "", Key: r.Key}}, writer)
+		served <- reply.withResult(n, writer, err)
 	}(reply)
 	select {
 	case reply = <-served:
-	case <-n.life.Done():
-		reply = reply.afterEnd(n, served)
+	case <-n.processCtx.Done():
+		reply = reply.afterProcessEnd(n, served)
 	}
-	f.note(func(x Facts) Facts { return x.WithReply(reply) })
+	f.record(func(x Observations) Observations { return x.WithReply(reply) })
 	return reply
 }
 
-// afterEnd returns the reply of a process that has ended: a connection that was not served to its
-// end went with the process, and what the process still does stands still with it.
-func (r Reply) afterEnd(n *node, served <-chan Reply) Reply {
+// afterProcessEnd returns the reply of a caller whose instance has ended: the served reply if there
+// is one, else an empty reply, which is cut off if the instance left gracefully.
+func (r Reply) afterProcessEnd(n *instance, served <-chan Reply) Reply {
 	select {
-	case whole := <-served:
-		return whole
+	case complete := <-served:
+		return complete
 	default:
-		r.Cut = n.ctx.Err() != nil
+		r.CutOff = n.ctx.Err() != nil
 		return r
 	}
 }
 
-// with returns the reply as the caller saw it.
-func (r Reply) with(n *node, s *sink, err error) Reply {
-	r.Text = s.text
-	r.Ended = s.done
+// withResult returns the reply as the caller received it.
+func (r Reply) withResult(n *instance, writer *responseWriter, err error) Reply {
+	r.Text = writer.text
+	r.Complete = writer.ended
 	var refusal value.Refusal
-	if errors.As(err, &refusal) && !n.ended() {
+	if errors.As(err, &refusal) && !n.hasEnded() {
 		r.NotRun = refusal.NotRun
 	}
-	// The process ended by its own will, not by a kill, while the caller waited.
-	r.Cut = !s.done && n.ended() && n.ctx.Err() != nil
+	// A graceful shutdown ends ctx; a kill ends only processCtx.
+	r.CutOff = !writer.ended && n.hasEnded() && n.ctx.Err() != nil
 	return r
 }
 
-// apply swaps the document, as an operator who reads back where the answer was lost.
-func (f *Fleet) apply(text string) {
+// applyDocument writes the document to the store. Like an operator, it reads the document back where
+// the answer was lost, and gives up on a conflict.
+func (f *Fleet) applyDocument(text string) {
 	key := conf.DocumentKey(environment)
 	for range 20 {
-		e, err := f.store.Get(context.Background(), key)
-		if err == nil && string(e.Value) == text {
+		entry, err := f.store.Get(context.Background(), key)
+		if err == nil && string(entry.Value) == text {
 			return
 		}
 		if err == nil {
-			if n := f.live(0); n != nil {
-				f.reach(StepApply, n)
+			if n := f.liveInstance(0); n != nil {
+				f.reachStep(StepApply, n)
 			}
-			_, err = f.store.Swap(context.Background(), plat.Swap{Key: key, Expect: e.Revision, Value: []byte(text)})
+			_, err = f.store.Swap(context.Background(), plat.Swap{Key: key, Expect: entry.Revision, Value: []byte(text)})
 		}
 		var conflict plat.Conflict
 		if err == nil || errors.As(err, &conflict) {
@@ -235,44 +241,44 @@
 	}
 }
 
-// watch notes what the store accepts, below its faults.
-func (f *Fleet) watch(ctx context.Context) error {
-	events, err := f.inner.Watch(ctx, conf.Prefix(environment), 0)
+// watchStore records the changes that the store accepts, without the store's faults.
+func (f *Fleet) watchStore(ctx context.Context) error {
+	events, err := f.faultFreeStore.Watch(ctx, conf.Prefix(environment), 0)
 	if err != nil {
-		return fmt.Errorf("watch the store: %w", err)
+		return fmt.Errorf("watch store: %w", err)
 	}
-	f.background(func() {
-		withdrawn := conf.WithdrawalKey(environment, "")
+	f.runInBackground(func() {
+		withdrawalPrefix := conf.WithdrawalKey(environment, "")
 		for e := range events {
-			f.saw(e.Entry, withdrawn)
+			f.recordStoreChange(e.Entry, withdrawalPrefix)
 		}
 	})
 	return nil
 }
 
-func (f *Fleet) saw(e plat.Entry, withdrawn string) {
+func (f *Fleet) recordStoreChange(entry plat.Entry, withdrawalPrefix string) {
 	now := time.Now()
-	if e.Key == conf.DocumentKey(environment) {
-		f.note(func(x Facts) Facts {
-			return x.WithAccepted(Event[value.ChangeID]{Subject: value.ChangeID(e.Value), Revision: e.Revision, At: now})
+	if entry.Key == conf.DocumentKey(environment) {
+		f.record(func(x Observations) Observations {
+			return x.WithAccepted(Event[value.ChangeID]{Subject: value.ChangeID(entry.Value), Revision: entry.Revision, At: now})
 		})
 	}
-	if v, ok := strings.CutPrefix(e.Key, withdrawn); ok {
-		f.note(func(x Facts) Facts {
-			return x.WithWithdrawn(Event[value.VersionKey]{Subject: value.VersionKey(v), Revision: e.Revision, At: now})
+	if v, ok := strings.CutPrefix(entry.Key, withdrawalPrefix); ok {
+		f.record(func(x Observations) Observations {
+			return x.WithWithdrawn(Event[value.VersionKey]{Subject: value.VersionKey(v), Revision: entry.Revision, At: now})
 		})
 	}
 }
 
-// stop gathers what the store holds and ends the fleet.
-func (f *Fleet) stop() (Facts, error) {
-	segments, err := bills.Read(context.Background(), f.inner)
-	facts := f.facts.Get().WithSegments(segments)
-	for _, n := range f.all() {
+// stop reads the bills that the store holds, ends the fleet and returns all observations.
+func (f *Fleet) stop() (Observations, error) {
+	segments, err := bills.Read(context.Background(), f.faultFreeStore)
+	observations := f.observations.Get().WithBillSegments(segments)
+	for _, n := range f.allInstances() {
 		n.stop()
 	}
 	f.mesh.Drain()
 	f.store.Drain()
-	f.others.Wait()
-	return facts, err
+	f.background.Wait()
+	return observations, err
 }
--- a/io/proof/grid.go
+++ b/io/proof/grid.go
@@ -6,8 +6,8 @@
 	"text/tabwriter"
 )
 
-// Singles returns a cell for each fault at each step.
-func Singles() []Cell {
+// SingleFaultCells returns a cell for each fault at each step.
+func SingleFaultCells() []Cell {
 	var cells []Cell
 	for _, s := range Steps() {
 		for _, f := range Faults() {
@@ -17,15 +17,15 @@
 	return cells
 }
 
-// Sample returns one cell for each step, with the faults in turn.
-func Sample() []Cell {
+// SampleCells returns one cell for each step and rotates through the faults.
+func SampleCells() []Cell {
 	var cells []Cell
 	faults := Faults()
 	for i, s := range Steps() {
 		for j := range faults {
-			// Cells that can't exist are passed over for the next fault.
+			// A fault that can't occur at the step is replaced by the next one that can.
 			c := Cell{Step: s, Faults: []Fault{faults[(i+j)%len(faults)]}}
-			if c.Absent() == "" {
+			if c.ReasonNotApplicable() == "" {
 				cells = append(cells, c)
 				break
 			}
@@ -34,8 +34,8 @@
 	return cells
 }
 
-// Pairs returns a cell for each two faults at each step.
-func Pairs() []Cell {
+// FaultPairCells returns a cell for each pair of faults at each step.
+func FaultPairCells() []Cell {
 	var cells []Cell
 	faults := Faults()
 	for _, s := range Steps() {
@@ -48,21 +48,22 @@
 	return cells
 }
 
-// State says what became of a cell.
+// State is the result of a cell.
 type State string
 
-// The states of a cell.
+// The states of a cell: all invariants held, one was violated, the step was not reached, or a fault
+// can't occur at the step.
 const (
-	StateHeld   State = "Held"
-	StateRed    State = "Red"
-	StateMissed State = "Missed"
-	StateAbsent State = "NotApplicable"
+	StateHeld          State = "Held"
+	StateRed           State = "Red"
+	StateMissed        State = "Missed"
+	StateNotApplicable State = "NotApplicable"
 )
 
-// State returns Red for a breach and Missed where the faults never struck.
+// State returns StateRed after a violation and StateMissed if the faults never began.
 func (o Outcome) State() State {
 	switch {
-	case len(o.Breaches) > 0:
+	case len(o.Violations) > 0:
 		return StateRed
 	case !o.Reached:
 		return StateMissed
@@ -70,28 +71,28 @@
 	return StateHeld
 }
 
-// Grid counts the states of cells by step; it is immutable.
-type Grid struct {
+// StateCounts is the number of cells in each state, by step. It is immutable.
+type StateCounts struct {
 	counts map[Step]map[State]int
 }
 
-// With returns a grid with one more cell in the state.
-func (g Grid) With(c Cell, s State) Grid {
+// With returns a copy that counts the cell in the state.
+func (g StateCounts) With(cell Cell, state State) StateCounts {
 	next := make(map[Step]map[State]int, len(g.counts)+1)
 	for step, counts := range g.counts {
 		next[step] = counts
 	}
-	row := make(map[State]int, len(next[c.Step])+1)
-	for state, n := range next[c.Step] {
-		row[state] = n
+	row := make(map[State]int, len(next[cell.Step])+1)
+	for rowState, n := range next[cell.Step] {
+		row[rowState] = n
 	}
-	row[s]++
-	next[c.Step] = row
-	return Grid{counts: next}
+	row[state]++
+	next[cell.Step] = row
+	return StateCounts{counts: next}
 }
 
 // Total returns how many cells are in the state.
-func (g Grid) Total(s State) int {
+func (g StateCounts) Total(s State) int {
 	n := 0
 	for _, row := range g.counts {
 		n += row[s]
@@ -99,30 +100,30 @@
 	return n
 }
 
-// Print writes the grid, one line a step.
-func (g Grid) Print(w io.Writer, title string) error {
-	states := []State{StateHeld, StateRed, StateMissed, StateAbsent}
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintf(t, "%s\tRun\t", title)
+// Print writes a table with a row for each step; Run counts the cells that were run.
+func (g StateCounts) Print(w io.Writer, title string) error {
+	states := []State{StateHeld, StateRed, StateMissed, StateNotApplicable}
+	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
+	fmt.Fprintf(table, "%s\tRun\t", title)
 	for _, s := range states {
-		fmt.Fprintf(t, "%s\t", s)
+		fmt.Fprintf(table, "%s\t", s)
 	}
-	fmt.Fprintln(t)
+	fmt.Fprintln(table)
 	for _, step := range Steps() {
 		row := g.counts[step]
-		fmt.Fprintf(t, "%s\t%d\t", step, row[StateHeld]+row[StateRed]+row[StateMissed])
+		fmt.Fprintf(table, "%s\t%d\t", step, row[StateHeld]+row[StateRed]+row[StateMissed])
 		for _, s := range states {
-			fmt.Fprintf(t, "%d\t", row[s])
+			fmt.Fprintf(table, "%d\t", row[s])
 		}
-		fmt.Fprintln(t)
+		fmt.Fprintln(table)
 	}
-	fmt.Fprintf(t, "Total\t%d\t", g.Total(StateHeld)+g.Total(StateRed)+g.Total(StateMissed))
+	fmt.Fprintf(table, "Total\t%d\t", g.Total(StateHeld)+g.Total(StateRed)+g.Total(StateMissed))
 	for _, s := range states {
-		fmt.Fprintf(t, "%d\t", g.Total(s))
+		fmt.Fprintf(table, "%d\t", g.Total(s))
 	}
-	fmt.Fprintln(t)
-	if err := t.Flush(); err != nil {
-		return fmt.Errorf("print grid: %w", err)
+	fmt.Fprintln(table)
+	if err := table.Flush(); err != nil {
+		return fmt.Errorf("print state counts: %w", err)
 	}
 	return nil
 }
--- a/io/proof/lines.go
+++ b/io/proof/lines.go
@@ -8,126 +8,131 @@
 	"endivehitch/core/value"
 )
 
-// Line names one of the properties that must always hold.
-type Line string
+// Invariant names a property that must hold whatever fails.
+type Invariant string
 
-// The ten properties.
+// The ten invariants.
 const (
-	LineAllowed   Line = "AllowedVersion"
-	LineWithdrawn Line = "WithdrawnGetsNoWork"
-	LineSession   Line = "SessionKeepsVersion"
-	LineBilled    Line = "BilledOnce"
-	LineWhole     Line = "WholeOwnAnswer"
-	LineNotRun    Line = "NotRunIsTrue"
-	LineOnce      Line = "AtMostOnce"
-	LineLeaving   Line = "LeavingGetsNoWork"
-	LineShutdown  Line = "ShutdownCutsNothing"
-	LineConfig    Line = "ConfigInForce"
+	InvariantAllowedVersion      Invariant = "AllowedVersion"
+	InvariantWithdrawnGetsNoWork Invariant = "WithdrawnGetsNoWork"
+	InvariantSessionKeepsVersion Invariant = "SessionKeepsVersion"
+	InvariantBilledOnce          Invariant = "BilledOnce"
+	InvariantCompleteOwnAnswer   Invariant = "WholeOwnAnswer"
+	InvariantNotRunIsTrue        Invariant = "NotRunIsTrue"
+	InvariantAtMostOnce          Invariant = "AtMostOnce"
+	InvariantLeavingGetsNoWork   Invariant = "LeavingGetsNoWork"
+	InvariantShutdownCutsNothing Invariant = "ShutdownCutsNothing"
+	InvariantConfigInForce       Invariant = "ConfigInForce"
 )
 
-// Lines lists the properties in the order of the brief.
-func Lines() []Line {
-	return []Line{
-		LineAllowed, LineWithdrawn, LineSession, LineBilled, LineWhole,
-		LineNotRun, LineOnce, LineLeaving, LineShutdown, LineConfig,
+// Invariants returns all invariants, in the order in which the requirements list them.
+func Invariants() []Invariant {
+	return []Invariant{
+		InvariantAllowedVersion, InvariantWithdrawnGetsNoWork, InvariantSessionKeepsVersion, InvariantBilledOnce, InvariantCompleteOwnAnswer,
+		InvariantNotRunIsTrue, InvariantAtMostOnce, InvariantLeavingGetsNoWork, InvariantShutdownCutsNothing, InvariantConfigInForce,
 	}
 }
 
-// Bounds are the times that the properties allow for news to spread.
+// Bounds is what Check needs to know about the scenario: how long updates may take to reach all
+// instances, and what is allowed and expected of requests.
 type Bounds struct {
-	// Config is how long a configuration or withdrawal may take, from its acceptance or the end of faults.
-	Config time.Duration
-	// Leaving is how long a leaving backend server may still get work.
-	Leaving time.Duration
-	// Allowed lists the versions that each client account may use.
-	Allowed map[value.AccountName][]value.VersionKey
-	// Text returns the whole answer to a request.
-	Text func(value.Request) string
+	// ConfigDelay is how long a configuration or withdrawal may take to come into force, counted
+	// from its acceptance or from the end of the last fault if that is later.
+	ConfigDelay time.Duration
+	// LeavingDelay is how long a leaving backend server may still receive attempts, counted in the
+	// same way.
+	LeavingDelay time.Duration
+	// AllowedVersions lists the versions that each client account may use.
+	AllowedVersions map[value.AccountName][]value.VersionKey
+	// AnswerText returns the complete answer to a request.
+	AnswerText func(value.Request) string
 }
 
-// Breach is one violation of a property.
-type Breach struct {
-	Line   Line
-	Detail string
+// Violation is one case in which an invariant did not hold.
+type Violation struct {
+	Invariant Invariant
+	Detail    string
 }
 
-// Check returns the breaches of all ten properties; it knows nothing of the product's decisions.
-func Check(b Bounds, f Facts) []Breach {
-	c := checker{bounds: b, facts: f, asked: make(map[value.RequestID]Reply)}
-	for _, r := range f.Replies {
-		c.asked[r.Request.ID] = r
+// Check returns all violations of the ten invariants. It judges by the observations alone and shares
+// no code with the decisions that it checks.
+func Check(bounds Bounds, observations Observations) []Violation {
+	c := checker{bounds: bounds, observations: observations, replies: make(map[value.RequestID]Reply)}
+	for _, r := range observations.Replies {
+		c.replies[r.Request.ID] = r
 	}
-	c.runs()
-	c.bills()
-	c.replies()
-	c.once()
-	c.config()
-	return c.found
+	c.checkAttempts()
+	c.checkBills()
+	c.checkReplies()
+	c.checkIdempotency()
+	c.checkConfig()
+	return c.violations
 }
 
 type checker struct {
-	bounds Bounds
-	facts  Facts
-	asked  map[value.RequestID]Reply
-	found  []Breach
+	bounds       Bounds
+	observations Observations
+	replies      map[value.RequestID]Reply
+	violations   []Violation
 }
 
-func (c *checker) expect(ok bool, l Line, format string, args ...any) {
-	if !ok {
-		c.found = append(c.found, Breach{Line: l, Detail: fmt.Sprintf(format, args...)})
+func (c *checker) require(holds bool, invariant Invariant, format string, args ...any) {
+	if !holds {
+		c.violations = append(c.violations, Violation{Invariant: invariant, Detail: fmt.Sprintf(format, args...)})
 	}
 }
 
-// since returns the time from which on news must have arrived.
-func (c *checker) since(at time.Time, bound time.Duration) time.Time {
-	if c.facts.Healed.After(at) {
-		at = c.facts.Healed
+// deadline returns when a change must have reached all instances: the delay after the change, or
+// after the end of the last fault if that is later.
+func (c *checker) deadline(changed time.Time, delay time.Duration) time.Time {
+	if c.observations.FaultsEndedAt.After(changed) {
+		changed = c.observations.FaultsEndedAt
 	}
-	return at.Add(bound)
+	return changed.Add(delay)
 }
 
-func (c *checker) runs() {
-	for _, r := range c.facts.Runs {
-		q := c.asked[r.Request].Request
-		if r.Version != "" {
-			c.expect(slices.Contains(c.bounds.Allowed[q.Account], r.Version), LineAllowed, "%s ran on %s", r.Request, r.Version)
+func (c *checker) checkAttempts() {
+	for _, attempt := range c.observations.Attempts {
+		request := c.replies[attempt.Request].Request
+		if attempt.Version != "" {
+			c.require(slices.Contains(c.bounds.AllowedVersions[request.Account], attempt.Version), InvariantAllowedVersion, "%s ran on %s", attempt.Request, attempt.Version)
 		}
-		if q.Pinned != "" {
-			c.expect(r.Version == q.Pinned, LineSession, "%s of a session on %s ran on %s", r.Request, q.Pinned, r.Version)
+		if request.Pinned != "" {
+			c.require(attempt.Version == request.Pinned, InvariantSessionKeepsVersion, "%s of a session on %s ran on %s", attempt.Request, request.Pinned, attempt.Version)
 		}
-		for _, w := range c.facts.Withdrawn {
-			late := r.Version == w.Subject && r.At.After(c.since(w.At, c.bounds.Config))
-			c.expect(!late, LineWithdrawn, "%s ran on %s %v after its withdrawal", r.Request, r.Version, r.At.Sub(w.At))
+		for _, withdrawal := range c.observations.Withdrawn {
+			late := attempt.Version == withdrawal.Subject && attempt.StartedAt.After(c.deadline(withdrawal.At, c.bounds.ConfigDelay))
+			c.require(!late, InvariantWithdrawnGetsNoWork, "%s ran on %s %v after its withdrawal", attempt.Request, attempt.Version, attempt.StartedAt.Sub(withdrawal.At))
 		}
-		for _, s := range c.facts.Leaving {
-			late := r.Server == s.Subject && r.At.After(c.since(s.At, c.bounds.Leaving))
-			c.expect(!late, LineLeaving, "%s ran on %s %v after it began to leave", r.Request, r.Server, r.At.Sub(s.At))
+		for _, leaving := range c.observations.Leaving {
+			late := attempt.Server == leaving.Subject && attempt.StartedAt.After(c.deadline(leaving.At, c.bounds.LeavingDelay))
+			c.require(!late, InvariantLeavingGetsNoWork, "%s ran on %s %v after it began to leave", attempt.Request, attempt.Server, attempt.StartedAt.Sub(leaving.At))
 		}
 	}
 }
 
-func (c *checker) bills() {
+func (c *checker) checkBills() {
 	bills := make(map[value.RequestID]int)
-	for _, s := range c.facts.Segments {
+	for _, s := range c.observations.BillSegments {
 		for _, e := range s.Entries {
 			bills[e.Bill.Request]++
 		}
 	}
 	for id, n := range bills {
-		c.expect(n == 1, LineBilled, "%s has %d bills", id, n)
-		c.expect(c.ran(id) > 0, LineBilled, "%s has a bill and never ran", id)
+		c.require(n == 1, InvariantBilledOnce, "%s has %d bills", id, n)
+		c.require(c.countAttempts(id) > 0, InvariantBilledOnce, "%s has a bill and never ran", id)
 	}
-	for id, r := range c.asked {
-		// An answer kept from an earlier run is not charged again.
-		if r.Ended && c.ran(id) > 0 {
-			c.expect(bills[id] > 0, LineBilled, "%s was answered and has no bill", id)
+	for id, r := range c.replies {
+		// A stored answer that is returned again has no attempt and is not billed again.
+		if r.Complete && c.countAttempts(id) > 0 {
+			c.require(bills[id] > 0, InvariantBilledOnce, "%s was answered and has no bill", id)
 		}
 	}
 }
 
-func (c *checker) ran(id value.RequestID) int {
+func (c *checker) countAttempts(id value.RequestID) int {
 	n := 0
-	for _, r := range c.facts.Runs {
+	for _, r := range c.observations.Attempts {
 		if r.Request == id {
 			n++
 		}
@@ -135,50 +140,50 @@
 	return n
 }
 
-func (c *checker) replies() {
-	for _, r := range c.facts.Replies {
-		if r.Ended {
-			want := c.bounds.Text(r.Request)
-			c.expect(r.Text == want, LineWhole, "%s was answered %q instead of %q", r.Request.ID, r.Text, want)
+func (c *checker) checkReplies() {
+	for _, r := range c.observations.Replies {
+		if r.Complete {
+			want := c.bounds.AnswerText(r.Request)
+			c.require(r.Text == want, InvariantCompleteOwnAnswer, "%s was answered %q instead of %q", r.Request.ID, r.Text, want)
 		}
 		if r.NotRun {
-			c.expect(c.ran(r.Request.ID) == 0, LineNotRun, "%s ran", r.Request.ID)
+			c.require(c.countAttempts(r.Request.ID) == 0, InvariantNotRunIsTrue, "%s ran", r.Request.ID)
 		}
-		c.expect(!r.Cut, LineShutdown, "%s was cut off", r.Request.ID)
+		c.require(!r.CutOff, InvariantShutdownCutsNothing, "%s was cut off", r.Request.ID)
 	}
 }
 
-func (c *checker) once() {
+func (c *checker) checkIdempotency() {
 	effects := make(map[value.IdempotencyKey]int)
-	for _, r := range c.facts.Runs {
+	for _, r := range c.observations.Attempts {
 		if r.Key != "" {
 			effects[r.Key]++
 		}
 	}
 	for key, n := range effects {
-		c.expect(n == 1, LineOnce, "%s took effect %d times", key, n)
+		c.require(n == 1, InvariantAtMostOnce, "%s took effect %d times", key, n)
 	}
 }
 
-func (c *checker) config() {
+func (c *checker) checkConfig() {
 	latest := make(map[value.InstanceID]int64)
-	for _, e := range c.facts.InForce {
-		c.expect(e.Revision >= latest[e.Subject], LineConfig, "%s went back from %d to %d", e.Subject, latest[e.Subject], e.Revision)
+	for _, e := range c.observations.InForce {
+		c.require(e.Revision >= latest[e.Subject], InvariantConfigInForce, "%s went back from %d to %d", e.Subject, latest[e.Subject], e.Revision)
 		latest[e.Subject] = e.Revision
 	}
-	for _, a := range c.facts.Accepted {
+	for _, accepted := range c.observations.Accepted {
 		for id := range latest {
-			if slices.Contains(c.facts.Ended, id) {
+			if slices.Contains(c.observations.EndedInstances, id) {
 				continue
 			}
-			c.expect(c.inForce(id, a), LineConfig, "revision %d is not in force at %s in time", a.Revision, id)
+			c.require(c.isInForceInTime(id, accepted), InvariantConfigInForce, "revision %d is not in force at %s in time", accepted.Revision, id)
 		}
 	}
 }
 
-func (c *checker) inForce(id value.InstanceID, a Event[value.ChangeID]) bool {
-	by := c.since(a.At, c.bounds.Config)
-	return slices.ContainsFunc(c.facts.InForce, func(e Event[value.InstanceID]) bool {
-		return e.Subject == id && e.Revision >= a.Revision && !e.At.After(by)
+func (c *checker) isInForceInTime(id value.InstanceID, accepted Event[value.ChangeID]) bool {
+	deadline := c.deadline(accepted.At, c.bounds.ConfigDelay)
+	return slices.ContainsFunc(c.observations.InForce, func(e Event[value.InstanceID]) bool {
+		return e.Subject == id && e.Revision >= accepted.Revision && !e.At.After(deadline)
 	})
 }
--- a/io/proof/matrix_test.go
+++ b/io/proof/matrix_test.go
@@ -12,72 +12,73 @@
 	"endivehitch/io/proof"
 )
 
-var wide = flag.String("matrix", "", "run the whole matrix of Singles or Pairs")
+var matrix = flag.String("matrix", "", "run the whole matrix of Singles or Pairs")
 
-func play(t *testing.T, c proof.Cell, broken proof.Line) proof.Outcome {
+func runCell(t *testing.T, cell proof.Cell, brokenInvariant proof.Invariant) proof.Outcome {
 	t.Helper()
-	var o proof.Outcome
+	var outcome proof.Outcome
 	synctest.Test(t, func(t *testing.T) {
 		var err error
-		o, err = proof.Play(c, broken)
+		outcome, err = proof.RunCell(cell, brokenInvariant)
 		assert.NilError(t, err)
 	})
-	return o
+	return outcome
 }
 
-func TestHealthyFleetHolds(t *testing.T) {
-	o := play(t, proof.Cell{Step: proof.StepAccept}, "")
-	assert.Assert(t, o.Reached)
-	assert.DeepEqual(t, o.Breaches, []proof.Breach(nil))
-	whole := 0
-	for _, r := range o.Facts.Replies {
-		if r.Ended {
-			whole++
+func TestHealthyFleetKeepsEveryInvariant(t *testing.T) {
+	outcome := runCell(t, proof.Cell{Step: proof.StepAccept}, "")
+	assert.Assert(t, outcome.Reached)
+	assert.DeepEqual(t, outcome.Violations, []proof.Violation(nil))
+	complete := 0
+	for _, r := range outcome.Observations.Replies {
+		if r.Complete {
+			complete++
 		}
 	}
-	t.Logf("%d replies, %d whole, %d runs", len(o.Facts.Replies), whole, len(o.Facts.Runs))
+	t.Logf("%d replies, %d complete, %d attempts", len(outcome.Observations.Replies), complete, len(outcome.Observations.Attempts))
 }
 
-// Each property's check sees its mechanism broken, and stays quiet about a healthy fleet.
-func TestEachBrokenMechanismIsSeen(t *testing.T) {
-	for _, l := range proof.Lines() {
-		t.Run(string(l), func(t *testing.T) {
-			found := play(t, proof.Cell{Step: proof.StepAccept}, l).Breaches
-			assert.Assert(t, slices.ContainsFunc(found, func(b proof.Breach) bool { return b.Line == l }), "found %v", found)
+// With the mechanism behind an invariant disabled, Check reports a violation of this invariant. The
+// test above shows that it reports none for a healthy fleet.
+func TestEachBrokenMechanismIsDetected(t *testing.T) {
+	for _, invariant := range proof.Invariants() {
+		t.Run(string(invariant), func(t *testing.T) {
+			violations := runCell(t, proof.Cell{Step: proof.StepAccept}, invariant).Violations
+			assert.Assert(t, slices.ContainsFunc(violations, func(violation proof.Violation) bool { return violation.Invariant == invariant }), "found %v", violations)
 		})
 	}
 }
 
-// One cell of each step is always run; the flag widens the test to the whole matrix.
+// Runs one cell for each step, or the whole matrix of single faults or pairs if the flag says so.
 func TestMatrix(t *testing.T) {
-	switch *wide {
+	switch *matrix {
 	case "Singles":
-		runGrid(t, "Singles", proof.Singles())
+		runMatrix(t, "Singles", proof.SingleFaultCells())
 	case "Pairs":
-		runGrid(t, "Pairs", proof.Pairs())
+		runMatrix(t, "Pairs", proof.FaultPairCells())
 	default:
-		runGrid(t, "Sample", proof.Sample())
+		runMatrix(t, "Sample", proof.SampleCells())
 	}
 }
 
-func runGrid(t *testing.T, title string, cells []proof.Cell) {
+func runMatrix(t *testing.T, title string, cells []proof.Cell) {
 	var mu sync.Mutex
-	var g proof.Grid
+	var counts proof.StateCounts
 	t.Run("Cells", func(t *testing.T) {
-		for _, c := range cells {
-			if c.Absent() != "" {
-				g = g.With(c, proof.StateAbsent)
+		for _, cell := range cells {
+			if cell.ReasonNotApplicable() != "" {
+				counts = counts.With(cell, proof.StateNotApplicable)
 				continue
 			}
-			t.Run(c.Name(), func(t *testing.T) {
+			t.Run(cell.Name(), func(t *testing.T) {
 				t.Parallel()
-				o := play(t, c, "")
+				outcome := runCell(t, cell, "")
 				mu.Lock()
-				g = g.With(c, o.State())
+				counts = counts.With(cell, outcome.State())
 				mu.Unlock()
-				assert.Equal(t, o.State(), proof.StateHeld, "%v", o.Breaches)
+				assert.Equal(t, outcome.State(), proof.StateHeld, "%v", outcome.Violations)
 			})
 		}
 	})
-	assert.NilError(t, g.Print(t.Output(), title))
+	assert.NilError(t, counts.Print(t.Output(), title))
 }
--- a/io/proof/node.go
+++ b/io/proof/node.go
@@ -27,8 +27,9 @@
 
 type command = loop.Command[state.State, state.Effect]
 
-// node is one instance of the fleet.
-type node struct {
+// instance is one instance of the fleet: the real control loop, gossip, idempotency guard, biller
+// and request flow, connected as in a process of its own.
+type instance struct {
 	self   value.Instance
 	fleet  *Fleet
 	loop   *loop.Loop[state.State, state.Effect]
@@ -42,44 +43,47 @@
 
 	ctx    context.Context
 	cancel context.CancelFunc
-	// life ends when the process is killed or has left.
-	life   context.Context
-	end    context.CancelFunc
-	paused policy.Cell[chan struct{}]
-	// serving counts callers; working counts the instance's own goroutines.
+	// processCtx ends when the instance is killed or has left; ctx, its parent, ends only when the
+	// instance has left or the cell is over.
+	processCtx context.Context
+	endProcess context.CancelFunc
+	paused     policy.Cell[chan struct{}]
+	// serving counts the callers being served, background the instance's own goroutines.
 	serving sync.WaitGroup
-	// door is held while callers are let in or the listener closes.
-	door    sync.Mutex
-	closed  bool
-	working sync.WaitGroup
+	// listenerMu guards listenerClosed, and keeps serving from growing once the listener is closed.
+	listenerMu     sync.Mutex
+	listenerClosed bool
+	background     sync.WaitGroup
 }
 
-func (f *Fleet) start(id value.InstanceID) (*node, error) {
-	n := &node{fleet: f, self: value.Instance{
+func (f *Fleet) startInstance(id value.InstanceID) (*instance, error) {
+	n := &instance{fleet: f, self: value.Instance{
 		ID: id, PeerAddress: string(id), FailureDomain: value.FailureDomain("domain-" + id), State: value.InstanceLive,
 	}}
 	n.ctx, n.cancel = context.WithCancel(context.Background())
-	n.life, n.end = context.WithCancel(n.ctx)
+	n.processCtx, n.endProcess = context.WithCancel(n.ctx)
 	n.port = f.mesh.Join(n.self)
-	n.store = gate{Store: f.store, node: n}
+	n.store = pausableStore{Store: f.store, instance: n}
 	var err error
 	n.loop, err = loop.New(loop.Config[state.State, state.Effect]{Initial: state.New(n.self), Now: time.Now, Mailbox: 64})
 	if err != nil {
-		return nil, fmt.Errorf("make control loop: %w", err)
+		return nil, fmt.Errorf("create control loop: %w", err)
 	}
-	for _, make := range []func() error{n.makeGossip, n.makeGuard, n.makeBiller, n.makeKeeper, n.makeFlow} {
-		if err := make(); err != nil {
-			return nil, fmt.Errorf("make instance %s: %w", id, err)
+	for _, build := range []func() error{n.newGossip, n.newGuard, n.newBiller, n.newKeeper, n.newFlow} {
+		if err := build(); err != nil {
+			return nil, fmt.Errorf("create instance %s: %w", id, err)
 		}
 	}
-	f.join(n)
-	n.run()
+	f.addInstance(n)
+	n.startBackground()
 	return n, nil
 }
 
-func (n *node) gone(id value.InstanceID) bool { return query.HasDeparted(n.loop.Snapshot(), id) }
+func (n *instance) hasDeparted(id value.InstanceID) bool {
+	return query.HasDeparted(n.loop.Snapshot(), id)
+}
 
-func (n *node) departed(id value.InstanceID) bool {
+func (n *instance) needsBillTakeover(id value.InstanceID) bool {
 	return query.NeedsBillTakeover(n.loop.Snapshot(), id, time.Now())
 }
 
@@ -87,25 +91,25 @@
 	return policy.Backoff{First: 50 * time.Millisecond, Limit: 5 * time.Second}
 }
 
-// listEvery is the time between two readings of the instance list.
-const listEvery = 5 * time.Second
+// listInterval is the time between two reads of the instance list.
+const listInterval = 5 * time.Second
 
-func (n *node) makeGossip() (err error) {
+func (n *instance) newGossip() (err error) {
 	n.gossip, err = gossip.New(gossip.Config{
-		Control: n.loop, Caller: n.port, Registrar: n.port, List: n.fleet.list, Store: n.store,
-		Prefix: conf.Prefix(environment), Decode: n.decode, Timing: fleet.DefaultTiming(), ListEvery: listEvery, Seed: n.fleet.seed,
+		Control: n.loop, Caller: n.port, Registrar: n.port, List: n.fleet.instanceList, Store: n.store,
+		Prefix: conf.Prefix(environment), Decode: n.decodeConfig, Timing: fleet.DefaultTiming(), ListEvery: listInterval, Seed: n.fleet.seed,
 	})
 	return err
 }
 
-func (n *node) makeGuard() (err error) {
+func (n *instance) newGuard() (err error) {
 	n.guard, err = once.New(once.Config{
-		Self: n.self.ID, Store: n.store, Caller: n.port, Gone: n.gone, Now: time.Now,
+		Self: n.self.ID, Store: n.store, Caller: n.port, Gone: n.hasDeparted, Now: time.Now,
 		Owner: func(slot int) (value.Instance, bool) { return query.Owner(n.loop.Snapshot(), slot) },
 		Rule:  ledger.JournalRule{Retention: time.Hour, AbandonAfter: 30 * time.Second, MaxBytes: 64 << 10, MaxAnswerBytes: 1 << 10},
 		Slots: state.Slots, Writes: 100, Group: 256, Queue: 1024, Backlog: 1024,
 		OwnerTimeout: time.Second, StoreTimeout: 2 * time.Second, SettleWait: 2 * time.Second,
-		Backoff: backoff(), NewToken: n.fleet.token, Seed: n.fleet.seed,
+		Backoff: backoff(), NewToken: n.fleet.newToken, Seed: n.fleet.seed,
 	})
 	if err != nil {
 		return err
@@ -113,9 +117,9 @@
 	return n.guard.Register(n.port)
 }
 
-func (n *node) makeBiller() (err error) {
+func (n *instance) newBiller() (err error) {
 	n.biller, err = bills.New(bills.Config{
-		Self: n.self, Store: n.store, Caller: n.port, Gone: n.departed,
+		Self: n.self, Store: n.store, Caller: n.port, Gone: n.needsBillTakeover,
 		Holders: func() []value.Instance { return query.BillReplicas(n.loop.Snapshot()) },
 		Copies:  1, Flush: func() time.Duration { return 5 * time.Second }, Patience: 5 * time.Second, Timeout: 2 * time.Second,
 		Backlog: 1024, SegmentBytes: 64 << 10, HeldEntries: 1024, Backoff: backoff(), Seed: n.fleet.seed,
@@ -126,7 +130,7 @@
 	return n.biller.Register(n.port)
 }
 
-func (n *node) makeKeeper() (err error) {
+func (n *instance) newKeeper() (err error) {
 	n.keeper, err = stage.NewKeeper(stage.KeeperConfig{
 		Store: n.store, Environment: environment,
 		Do:     func(ctx context.Context, c stage.Command) error { return n.loop.Do(ctx, c) },
@@ -138,40 +142,40 @@
 	return err
 }
 
-func (n *node) makeFlow() (err error) {
+func (n *instance) newFlow() (err error) {
 	n.flow, err = flow.New(flow.Config{
-		Snapshot: n.loop.Snapshot, Runner: runner{fleet: n.fleet, node: n}, Now: time.Now, Seed: n.fleet.seed,
-		Biller: biller{Biller: n.biller, node: n}, Guard: guard{Guard: n.guard, node: n}, Record: n.record,
+		Snapshot: n.loop.Snapshot, Runner: runner{fleet: n.fleet, instance: n}, Now: time.Now, Seed: n.fleet.seed,
+		Biller: stepBiller{Biller: n.biller, instance: n}, Guard: stepGuard{Guard: n.guard, instance: n}, Record: n.recordDecisionStep,
 	})
 	return err
 }
 
-// record turns the decisions about requests into steps.
-func (n *node) record(d value.Decision) {
+// recordDecisionStep reports the step that a decision about a request reaches.
+func (n *instance) recordDecisionStep(d value.Decision) {
 	switch {
 	case d.Step == value.StepAdmit:
-		n.fleet.reach(StepAdmit, n)
+		n.fleet.reachStep(StepAdmit, n)
 	case d.Step == value.StepQueue:
-		n.fleet.reach(StepQueue, n)
+		n.fleet.reachStep(StepQueue, n)
 	case d.Step == value.StepPlan && d.Reason == value.ReasonPinned:
-		n.fleet.reach(StepPin, n)
+		n.fleet.reachStep(StepPin, n)
 	case d.Step == value.StepRoute:
-		n.fleet.reach(StepRoute, n)
+		n.fleet.reachStep(StepRoute, n)
 	}
 }
 
-func (n *node) run() {
-	n.working.Go(func() { n.loop.Run(n.ctx) })
-	n.working.Go(n.work)
-	n.working.Go(func() { _ = n.gossip.Run(n.ctx) })
-	n.working.Go(func() { n.biller.Run(n.ctx) })
-	n.working.Go(func() { _ = n.keeper.Run(n.ctx) })
-	n.working.Go(func() { n.flow.Follow(n.ctx, n.loop.Watch) })
-	n.working.Go(n.readServers)
-	n.working.Go(n.observe)
+func (n *instance) startBackground() {
+	n.background.Go(func() { n.loop.Run(n.ctx) })
+	n.background.Go(n.handleEffects)
+	n.background.Go(func() { _ = n.gossip.Run(n.ctx) })
+	n.background.Go(func() { n.biller.Run(n.ctx) })
+	n.background.Go(func() { _ = n.keeper.Run(n.ctx) })
+	n.background.Go(func() { n.flow.Follow(n.ctx, n.loop.Watch) })
+	n.background.Go(n.readServers)
+	n.background.Go(n.recordConfigInForce)
 }
 
-func (n *node) work() {
+func (n *instance) handleEffects() {
 	for e := range n.loop.Effects() {
 		n.gossip.Handle(e)
 		n.keeper.Take(e)
@@ -179,9 +183,9 @@
 }
 
 // readServers reads the platform's list of backend servers each second.
-func (n *node) readServers() {
+func (n *instance) readServers() {
 	for {
-		if servers, err := n.fleet.list.Servers(n.ctx); err == nil {
+		if servers, err := n.fleet.instanceList.Servers(n.ctx); err == nil {
 			_ = n.loop.Do(n.ctx, cmds.SyncServers{Servers: servers})
 		}
 		if clock.Wait(n.ctx, time.Second) != nil {
@@ -190,14 +194,14 @@
 	}
 }
 
-// observe notes which configuration is in force.
-func (n *node) observe() {
-	last := int64(-1)
+// recordConfigInForce records each revision of the configuration that comes into force.
+func (n *instance) recordConfigInForce() {
+	lastRevision := int64(-1)
 	for {
-		s, changed := n.loop.Watch()
-		if r := s.Config.Revision; r != last {
-			last = r
-			n.fleet.note(func(f Facts) Facts {
+		snapshot, changed := n.loop.Watch()
+		if r := snapshot.Config.Revision; r != lastRevision {
+			lastRevision = r
+			n.fleet.record(func(f Observations) Observations {
 				return f.WithInForce(Event[value.InstanceID]{Subject: n.self.ID, Revision: r, At: time.Now()})
 			})
 		}
@@ -209,111 +213,112 @@
 	}
 }
 
-func (n *node) ended() bool { return n.life.Err() != nil }
+func (n *instance) hasEnded() bool { return n.processCtx.Err() != nil }
 
-// standStill returns once the instance is not paused; it fails where the instance was killed.
-func (n *node) standStill(ctx context.Context) error {
+// waitWhilePaused returns once the instance is not paused; it fails if the instance has ended.
+func (n *instance) waitWhilePaused(ctx context.Context) error {
 	if paused := n.paused.Get(); paused != nil {
 		select {
 		case <-paused:
 		case <-ctx.Done():
 		}
 	}
-	if n.ended() {
+	if n.hasEnded() {
 		return fmt.Errorf("instance has ended: %w", plat.ErrUnavailable)
 	}
 	return ctx.Err()
 }
 
-func (n *node) pause() {
+func (n *instance) pause() {
 	n.port.Pause()
-	n.paused.Update(func(was chan struct{}) chan struct{} {
-		if was != nil {
-			// What stands still already waits on this channel.
-			return was
+	n.paused.Update(func(previous chan struct{}) chan struct{} {
+		if previous != nil {
+			// Already paused; calls may be waiting on this channel.
+			return previous
 		}
 		return make(chan struct{})
 	})
 }
 
-func (n *node) resume() {
-	var was chan struct{}
-	n.paused.Update(func(now chan struct{}) chan struct{} {
-		// Of two that resume at once only one finds the channel.
-		was = now
+func (n *instance) resume() {
+	var resumed chan struct{}
+	n.paused.Update(func(current chan struct{}) chan struct{} {
+		// Of two concurrent calls only one gets the channel, so that it is closed once.
+		resumed = current
 		return nil
 	})
-	if was != nil {
-		close(was)
+	if resumed != nil {
+		close(resumed)
 	}
-	if !n.ended() {
+	if !n.hasEnded() {
 		n.port.Resume()
 	}
 }
 
-// kill ends the instance at once: nothing goes in or out any more.
-func (n *node) kill() {
-	if n.ended() {
+// kill ends the instance at once: it can neither send nor receive any more.
+func (n *instance) kill() {
+	if n.hasEnded() {
 		return
 	}
 	n.fleet.mesh.Remove(n.self.PeerAddress)
-	n.fleet.note(func(f Facts) Facts { return f.WithEnded(n.self.ID) })
-	n.fleet.list.drop(n.self.ID)
+	n.fleet.record(func(f Observations) Observations { return f.WithEndedInstance(n.self.ID) })
+	n.fleet.instanceList.removeInstance(n.self.ID)
 	n.port.Pause()
-	n.end()
+	n.endProcess()
 }
 
-// enter counts a caller in, unless the listener is closed.
-func (n *node) enter() bool {
-	n.door.Lock()
-	defer n.door.Unlock()
-	if n.closed || n.ended() {
+// acceptCaller adds a caller to serving; it reports false if the listener is closed.
+func (n *instance) acceptCaller() bool {
+	n.listenerMu.Lock()
+	defer n.listenerMu.Unlock()
+	if n.listenerClosed || n.hasEnded() {
 		return false
 	}
 	n.serving.Add(1)
 	return true
 }
 
-func (n *node) close() {
-	n.door.Lock()
-	defer n.door.Unlock()
-	n.closed = true
+func (n *instance) closeListener() {
+	n.listenerMu.Lock()
+	defer n.listenerMu.Unlock()
+	n.listenerClosed = true
 }
 
-// leave ends the instance gracefully, as a node does when it is asked to.
-func (n *node) leave() {
-	if n.ended() || n.loop.Do(n.ctx, cmds.Leave{}) != nil {
+// leave shuts the instance down gracefully: it closes the listener, serves its callers to the end,
+// hands over its work and departs.
+func (n *instance) leave() {
+	if n.hasEnded() || n.loop.Do(n.ctx, cmds.Leave{}) != nil {
 		return
 	}
-	n.close()
-	n.fleet.reach(StepLeave, n)
-	if n.fleet.broken != LineShutdown {
+	n.closeListener()
+	n.fleet.reachStep(StepLeave, n)
+	if n.fleet.brokenInvariant != InvariantShutdownCutsNothing {
 		n.serving.Wait()
 	}
 	ctx, cancel := context.WithTimeout(n.ctx, 30*time.Second)
 	defer cancel()
-	n.fleet.reach(StepHandOver, n)
+	n.fleet.reachStep(StepHandOver, n)
 	_ = n.guard.Drain(ctx)
 	_ = n.biller.Flush(ctx)
-	if !n.ended() {
+	if !n.hasEnded() {
 		n.fleet.mesh.Remove(n.self.PeerAddress)
-		n.fleet.note(func(f Facts) Facts { return f.WithEnded(n.self.ID) })
-		n.fleet.list.drop(n.self.ID)
-		// The end of the context first: by it a caller tells a shutdown from a kill.
+		n.fleet.record(func(f Observations) Observations { return f.WithEndedInstance(n.self.ID) })
+		n.fleet.instanceList.removeInstance(n.self.ID)
+		// ctx ends first: by it sendRequest tells a graceful shutdown from a kill.
 		n.cancel()
-		n.end()
+		n.endProcess()
 	}
 }
 
-// stop frees what the instance holds, once the facts have been gathered.
-func (n *node) stop() {
-	n.end()
+// stop ends all goroutines of the instance, after the observations have been read.
+func (n *instance) stop() {
+	n.endProcess()
 	n.cancel()
 	n.resume()
 	n.port.Resume()
-	n.close()
+	n.closeListener()
 	n.serving.Wait()
 	n.guard.Close()
 	n.biller.Close()
-	n.working.Wait()
+	n.background.Wait()
 }
--- a/io/proof/ports.go
+++ b/io/proof/ports.go
@@ -16,186 +16,189 @@
 	"endivehitch/io/plat"
 )
 
-// gate is the key-value service as one instance reaches it.
-type gate struct {
+// pausableStore is the key-value store as seen by one instance: calls wait while the instance is
+// paused and fail once it has ended.
+type pausableStore struct {
 	plat.Store
-	node *node
+	instance *instance
 }
 
 // Get implements plat.Reader.
-func (g gate) Get(ctx context.Context, key string) (plat.Entry, error) {
-	if err := g.node.standStill(ctx); err != nil {
+func (g pausableStore) Get(ctx context.Context, key string) (plat.Entry, error) {
+	if err := g.instance.waitWhilePaused(ctx); err != nil {
 		return plat.Entry{}, err
 	}
 	return g.Store.Get(ctx, key)
 }
 
 // List implements plat.Reader.
-func (g gate) List(ctx context.Context, prefix string) (plat.Listing, error) {
-	if err := g.node.standStill(ctx); err != nil {
+func (g pausableStore) List(ctx context.Context, prefix string) (plat.Listing, error) {
+	if err := g.instance.waitWhilePaused(ctx); err != nil {
 		return plat.Listing{}, err
 	}
 	return g.Store.List(ctx, prefix)
 }
 
 // Swap implements plat.Writer.
-func (g gate) Swap(ctx context.Context, s plat.Swap) (int64, error) {
-	if err := g.node.standStill(ctx); err != nil {
+func (g pausableStore) Swap(ctx context.Context, s plat.Swap) (int64, error) {
+	if err := g.instance.waitWhilePaused(ctx); err != nil {
 		return 0, errors.Join(plat.ErrUnavailable, err)
 	}
 	return g.Store.Swap(ctx, s)
 }
 
 // Delete implements plat.Writer.
-func (g gate) Delete(ctx context.Context, key string, expect int64) error {
-	if err := g.node.standStill(ctx); err != nil {
+func (g pausableStore) Delete(ctx context.Context, key string, expect int64) error {
+	if err := g.instance.waitWhilePaused(ctx); err != nil {
 		return errors.Join(plat.ErrUnavailable, err)
 	}
 	return g.Store.Delete(ctx, key, expect)
 }
 
-// biller marks the step before a bill is kept.
-type biller struct {
+// stepBiller reports StepRecordBill before a bill is stored.
+type stepBiller struct {
 	*bills.Biller
-	node *node
+	instance *instance
 }
 
 // Keep implements flow.Biller.
-func (b biller) Keep(ctx context.Context, bill value.Bill) error {
-	b.node.fleet.reach(StepBill, b.node)
-	if b.node.fleet.broken == LineBilled {
+func (b stepBiller) Keep(ctx context.Context, bill value.Bill) error {
+	b.instance.fleet.reachStep(StepRecordBill, b.instance)
+	if b.instance.fleet.brokenInvariant == InvariantBilledOnce {
 		return nil
 	}
 	return b.Biller.Keep(ctx, bill)
 }
 
-// guard marks the step before an intent is recorded.
-type guard struct {
+// stepGuard reports StepRecordIntent before an intent is recorded.
+type stepGuard struct {
 	*once.Guard
-	node *node
+	instance *instance
 }
 
 // Claim implements flow.Guard.
-func (g guard) Claim(ctx context.Context, r value.Request) (flow.Claim, *flow.Stored, error) {
-	g.node.fleet.reach(StepIntent, g.node)
-	if g.node.fleet.broken == LineOnce {
-		return freeClaim{}, nil, nil
+func (g stepGuard) Claim(ctx context.Context, r value.Request) (flow.Claim, *flow.Stored, error) {
+	g.instance.fleet.reachStep(StepRecordIntent, g.instance)
+	if g.instance.fleet.brokenInvariant == InvariantAtMostOnce {
+		return noopClaim{}, nil, nil
 	}
 	return g.Guard.Claim(ctx, r)
 }
 
-// freeClaim lets everyone run.
-type freeClaim struct{}
+// noopClaim is a claim that excludes nobody; it stands for a broken idempotency guard.
+type noopClaim struct{}
 
 // Finish implements flow.Claim.
-func (freeClaim) Finish(context.Context, flow.Stored) error { return nil }
+func (noopClaim) Finish(context.Context, flow.Stored) error { return nil }
 
 // Release implements flow.Claim.
-func (freeClaim) Release(context.Context) error { return nil }
+func (noopClaim) Release(context.Context) error { return nil }
 
 // Doubt implements flow.Claim.
-func (freeClaim) Doubt(context.Context) error { return nil }
+func (noopClaim) Doubt(context.Context) error { return nil }
 
-// sink is one caller's connection.
-type sink struct {
-	node *node
-	text string
-	done bool
+// responseWriter is one caller's connection, which collects the answer's text.
+type responseWriter struct {
+	instance *instance
+	text     string
+	ended    bool
 }
 
 // Begin implements flow.Sink.
-func (*sink) Begin(engine.Head, value.VersionKey) error { return nil }
+func (*responseWriter) Begin(engine.Head, value.VersionKey) error { return nil }
 
 // Write implements flow.Sink.
-func (s *sink) Write(p engine.Piece) error {
-	s.text += string(p.Data)
+func (w *responseWriter) Write(p engine.Piece) error {
+	w.text += string(p.Data)
 	return nil
 }
 
 // End implements flow.Sink.
-func (s *sink) End(engine.Usage) error {
-	s.node.fleet.reach(StepAnswer, s.node)
-	if s.node.ended() {
+func (w *responseWriter) End(engine.Usage) error {
+	w.instance.fleet.reachStep(StepAnswer, w.instance)
+	if w.instance.hasEnded() {
 		return errors.New("connection closed")
 	}
-	s.done = true
+	w.ended = true
 	return nil
 }
 
-// misroute sends a run where the broken property forbids it.
-func misroute(f *Fleet, b value.BackendServer, c engine.Call) (value.BackendServer, engine.Call) {
-	r := f.request(c.Request)
+// misroute returns a version or server that the broken invariant forbids for the attempt, or the
+// given ones if no such invariant is broken.
+func misroute(fleet *Fleet, server value.BackendServer, call engine.Call) (value.BackendServer, engine.Call) {
+	request := fleet.requestByID(call.Request)
 	switch {
-	case c.Version == "":
-	case f.broken == LineAllowed && r.Account == smallOnly,
-		f.broken == LineWithdrawn && r.Account != smallOnly && r.Pinned == "",
-		f.broken == LineSession && r.Pinned != "":
-		c.Version = nextVersion
-	case f.broken == LineLeaving:
-		b.ID = leavingServer
+	case call.Version == "":
+	case fleet.brokenInvariant == InvariantAllowedVersion && request.Account == smallOnly,
+		fleet.brokenInvariant == InvariantWithdrawnGetsNoWork && request.Account != smallOnly && request.Pinned == "",
+		fleet.brokenInvariant == InvariantSessionKeepsVersion && request.Pinned != "":
+		call.Version = nextVersion
+	case fleet.brokenInvariant == InvariantLeavingGetsNoWork:
+		server.ID = leavingServer
 	}
-	return b, c
+	return server, call
 }
 
-// decode reads the desk's document, whose text is its name, and the product's own entries.
-func (n *node) decode(changed []plat.Entry) (cmds.InstallRevision, error) {
-	var spread cmds.InstallRevision
-	var rest []plat.Entry
+// decodeConfig decodes changed store entries: the scenario's document, which is stored by its name,
+// and the roll-outs and withdrawals, which have the product's own encoding.
+func (n *instance) decodeConfig(changed []plat.Entry) (cmds.InstallRevision, error) {
+	var install cmds.InstallRevision
+	var otherEntries []plat.Entry
 	for _, e := range changed {
 		if e.Key != conf.DocumentKey(environment) {
-			rest = append(rest, e)
+			otherEntries = append(otherEntries, e)
 			continue
 		}
-		spread.Accepted = value.AcceptedDocument{Document: desk(string(e.Value)), Digest: string(e.Value), Revision: e.Revision}
-		if n.fleet.broken == LineConfig && string(e.Value) != firstDocument {
-			spread.Accepted = value.AcceptedDocument{}
+		install.Accepted = value.AcceptedDocument{Document: scenarioDocument(string(e.Value)), Digest: string(e.Value), Revision: e.Revision}
+		if n.fleet.brokenInvariant == InvariantConfigInForce && string(e.Value) != firstDocument {
+			install.Accepted = value.AcceptedDocument{}
 		}
 	}
-	c, err := conf.Decode(environment, rest...)
-	spread.RollOuts, spread.Withdrawals = c.RollOuts, c.Withdrawals
-	return spread, err
+	decoded, err := conf.Decode(environment, otherEntries...)
+	install.RollOuts, install.Withdrawals = decoded.RollOuts, decoded.Withdrawals
+	return install, err
 }
 
-// list is the platform's instance list.
-type list struct {
-	mu        sync.Mutex
-	away      bool
-	instances []value.Instance
-	servers   []value.BackendServer
+// instanceList is the platform's list of instances and backend servers.
+type instanceList struct {
+	mu          sync.Mutex
+	unreachable bool
+	instances   []value.Instance
+	servers     []value.BackendServer
 }
 
-var errAway = errors.New("instance list is away")
+var errListUnreachable = errors.New("instance list is unreachable")
 
 // Instances implements plat.InstanceList.
-func (l *list) Instances(context.Context) ([]value.Instance, error) {
+func (l *instanceList) Instances(context.Context) ([]value.Instance, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.away {
-		return nil, errAway
+	if l.unreachable {
+		return nil, errListUnreachable
 	}
 	return append([]value.Instance(nil), l.instances...), nil
 }
 
 // Servers implements plat.InstanceList.
-func (l *list) Servers(context.Context) ([]value.BackendServer, error) {
+func (l *instanceList) Servers(context.Context) ([]value.BackendServer, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.away {
-		return nil, errAway
+	if l.unreachable {
+		return nil, errListUnreachable
 	}
 	return append([]value.BackendServer(nil), l.servers...), nil
 }
 
-func (l *list) set(change func(l *list)) {
+func (l *instanceList) update(change func(l *instanceList)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	change(l)
 }
 
-func (l *list) drop(id value.InstanceID) {
-	l.set(func(l *list) {
-		for i, have := range l.instances {
-			if have.ID == id {
+func (l *instanceList) removeInstance(id value.InstanceID) {
+	l.update(func(l *instanceList) {
+		for i, listed := range l.instances {
+			if listed.ID == id {
 				l.instances = append(l.instances[:i:i], l.instances[i+1:]...)
 				return
 			}
@@ -203,8 +206,8 @@
 	})
 }
 
-func (l *list) retire(id value.ServerID, at time.Time) {
-	l.set(func(l *list) {
+func (l *instanceList) markLeaving(id value.ServerID, at time.Time) {
+	l.update(func(l *instanceList) {
 		for i, b := range l.servers {
 			if b.ID == id {
 				l.servers[i] = b.WithState(value.ServerLeaving, at)
--- a/io/proof/server.go
+++ b/io/proof/server.go
@@ -11,75 +11,75 @@
 	"endivehitch/io/engine"
 )
 
-// Behaviour is how backend servers treat runs while it lasts; the zero value answers.
+// Behaviour is how backend servers handle attempts; the zero value answers them.
 type Behaviour struct {
-	// Dead resets every run, at its start or in its midst.
-	Dead bool
-	// Stall stops every run until its caller goes.
+	// Reset resets the connection of every attempt, before or during its answer.
+	Reset bool
+	// Stall sends nothing more for any attempt until its caller disconnects.
 	Stall bool
-	// Late delays each piece.
-	Late time.Duration
-	// Another has the run's answer belong to another request.
-	Another bool
-	// Status fails a run without answering it; zero means success.
+	// ExtraDelay is added to the delay of each piece of an answer.
+	ExtraDelay time.Duration
+	// WrongRequest makes the client find that the answer belongs to another request.
+	WrongRequest bool
+	// Status is the HTTP status with which every attempt fails; zero means success.
 	Status int
-	// Unsent refuses the connection.
-	Unsent bool
-	// Only limits the behaviour to one server; empty means all.
-	Only value.ServerID
+	// RefuseConnection refuses the connection.
+	RefuseConnection bool
+	// Server limits the behaviour to one backend server; empty means all.
+	Server value.ServerID
 	// Version limits the behaviour to one version; empty means all.
 	Version value.VersionKey
 }
 
-func (b Behaviour) covers(s value.ServerID, v value.VersionKey) bool {
-	return (b.Only == "" || b.Only == s) && (b.Version == "" || b.Version == v)
+func (b Behaviour) appliesTo(server value.ServerID, version value.VersionKey) bool {
+	return (b.Server == "" || b.Server == server) && (b.Version == "" || b.Version == version)
 }
 
-// pieceTime passes before each piece of a healthy answer.
-const pieceTime = 200 * time.Millisecond
+// pieceDelay is the time before each piece of an answer from a healthy server.
+const pieceDelay = 200 * time.Millisecond
 
-// runner is the callers' side of the scripted servers at one instance.
+// runner is one instance's client of the scripted backend servers.
 type runner struct {
-	fleet *Fleet
-	node  *node
+	fleet    *Fleet
+	instance *instance
 }
 
 // Start implements engine.Runner.
-func (r runner) Start(ctx context.Context, b value.BackendServer, c engine.Call) (engine.Answer, error) {
-	r.fleet.reach(StepDispatch, r.node)
-	if err := r.node.standStill(ctx); err != nil {
+func (r runner) Start(ctx context.Context, server value.BackendServer, call engine.Call) (engine.Answer, error) {
+	r.fleet.reachStep(StepDispatch, r.instance)
+	if err := r.instance.waitWhilePaused(ctx); err != nil {
 		return nil, err
 	}
-	b, c = misroute(r.fleet, b, c)
-	now := r.fleet.behaviour(b.ID, c.Version)
-	if now.Unsent {
+	server, call = misroute(r.fleet, server, call)
+	behaviour := r.fleet.behaviourOf(server.ID, call.Version)
+	if behaviour.RefuseConnection {
 		return nil, engine.ErrNotSent
 	}
-	if now.Status != 0 {
-		r.fleet.ran(b, c)
-		return nil, engine.BadStatus{Status: now.Status}
+	if behaviour.Status != 0 {
+		r.fleet.recordAttempt(server, call)
+		return nil, engine.BadStatus{Status: behaviour.Status}
 	}
-	r.fleet.ran(b, c)
-	a := &answer{runner: r, server: b.ID, call: c, pieces: pieces(c)}
-	if err := a.suffer(ctx); err != nil {
+	r.fleet.recordAttempt(server, call)
+	scripted := &scriptedAnswer{runner: r, server: server.ID, call: call, pieces: answerPieces(call)}
+	if err := scripted.awaitPiece(ctx); err != nil {
 		return nil, err
 	}
-	if r.fleet.broken == LineNotRun {
+	if r.fleet.brokenInvariant == InvariantNotRunIsTrue {
 		return nil, engine.ErrNotSent
 	}
-	return a, nil
+	return scripted, nil
 }
 
-func pieces(c engine.Call) []string {
-	subject := string(c.Request)
-	if c.Key != "" {
-		subject = string(c.Key)
+func answerPieces(call engine.Call) []string {
+	subject := string(call.Request)
+	if call.Key != "" {
+		subject = string(call.Key)
 	}
 	return []string{"answer ", "to ", subject}
 }
 
-// answer is one scripted answer.
-type answer struct {
+// scriptedAnswer is an answer of known pieces, sent as the server's behaviour at that time says.
+type scriptedAnswer struct {
 	runner runner
 	server value.ServerID
 	call   engine.Call
@@ -88,43 +88,43 @@
 }
 
 // Head implements engine.Answer.
-func (*answer) Head() engine.Head { return engine.Head{Status: 200} }
+func (*scriptedAnswer) Head() engine.Head { return engine.Head{Status: 200} }
 
 // Usage implements engine.Answer.
-func (*answer) Usage() engine.Usage { return engine.Usage{InputTokens: 10, OutputTokens: 10} }
+func (*scriptedAnswer) Usage() engine.Usage { return engine.Usage{InputTokens: 10, OutputTokens: 10} }
 
 // Cancel implements engine.Answer.
-func (*answer) Cancel() {}
+func (*scriptedAnswer) Cancel() {}
 
 // Next implements engine.Answer.
-func (a *answer) Next(ctx context.Context) (engine.Piece, error) {
-	steps := []Step{StepFirst, StepMidst, StepMidst, StepComplete}
-	a.runner.fleet.reach(steps[a.sent], a.runner.node)
-	if err := a.suffer(ctx); err != nil {
+func (a *scriptedAnswer) Next(ctx context.Context) (engine.Piece, error) {
+	steps := []Step{StepFirstByte, StepMidStream, StepMidStream, StepComplete}
+	a.runner.fleet.reachStep(steps[a.sent], a.runner.instance)
+	if err := a.awaitPiece(ctx); err != nil {
 		return engine.Piece{}, err
 	}
-	if a.sent == len(a.pieces) || a.runner.fleet.broken == LineWhole && a.sent == 1 {
+	if a.sent == len(a.pieces) || a.runner.fleet.brokenInvariant == InvariantCompleteOwnAnswer && a.sent == 1 {
 		return engine.Piece{}, io.EOF
 	}
 	a.sent++
 	return engine.Piece{Data: []byte(a.pieces[a.sent-1])}, nil
 }
 
-func (a *answer) suffer(ctx context.Context) error {
-	now := a.runner.fleet.behaviour(a.server, a.call.Version)
-	if now.Stall {
+func (a *scriptedAnswer) awaitPiece(ctx context.Context) error {
+	behaviour := a.runner.fleet.behaviourOf(a.server, a.call.Version)
+	if behaviour.Stall {
 		<-ctx.Done()
 		return ctx.Err()
 	}
-	if err := clock.Wait(ctx, pieceTime+now.Late); err != nil {
+	if err := clock.Wait(ctx, pieceDelay+behaviour.ExtraDelay); err != nil {
 		return err
 	}
-	// What failed while the piece was awaited fails it too.
-	now = a.runner.fleet.behaviour(a.server, a.call.Version)
+	// A fault that began during the wait fails this piece too.
+	behaviour = a.runner.fleet.behaviourOf(a.server, a.call.Version)
 	switch {
-	case now.Dead:
+	case behaviour.Reset:
 		return fmt.Errorf("connection reset: %w", engine.ErrCutOff)
-	case now.Another:
+	case behaviour.WrongRequest:
 		return engine.ErrMismatch
 	}
 	return nil
--- a/io/proof/step.go
+++ b/io/proof/step.go
@@ -1,25 +1,25 @@
 package proof
 
-// Step is a point of a request's life or of the control's work at which a fault may strike.
+// Step is a point in the handling of a request or in control work at which faults can begin.
 type Step string
 
 // The steps of a request.
 const (
-	StepAccept   Step = "Accept"
-	StepAdmit    Step = "Admit"
-	StepQueue    Step = "Queue"
-	StepPin      Step = "Pin"
-	StepRoute    Step = "Route"
-	StepIntent   Step = "RecordIntent"
-	StepDispatch Step = "Dispatch"
-	StepFirst    Step = "FirstByte"
-	StepMidst    Step = "MidStream"
-	StepComplete Step = "Complete"
-	StepBill     Step = "RecordBill"
-	StepAnswer   Step = "Answer"
+	StepAccept       Step = "Accept"
+	StepAdmit        Step = "Admit"
+	StepQueue        Step = "Queue"
+	StepPin          Step = "Pin"
+	StepRoute        Step = "Route"
+	StepRecordIntent Step = "RecordIntent"
+	StepDispatch     Step = "Dispatch"
+	StepFirstByte    Step = "FirstByte"
+	StepMidStream    Step = "MidStream"
+	StepComplete     Step = "Complete"
+	StepRecordBill   Step = "RecordBill"
+	StepAnswer       Step = "Answer"
 )
 
-// The steps of the control's work.
+// The steps of control work.
 const (
 	StepApply    Step = "Apply"
 	StepSpread   Step = "Spread"
@@ -30,21 +30,22 @@
 	StepLeave    Step = "Leave"
 )
 
-// Steps lists the steps in order.
+// Steps returns all steps, in the order in which the work passes them.
 func Steps() []Step {
 	return []Step{
-		StepAccept, StepAdmit, StepQueue, StepPin, StepRoute, StepIntent, StepDispatch, StepFirst, StepMidst,
-		StepComplete, StepBill, StepAnswer, StepApply, StepSpread, StepStart, StepAdvance, StepWithdraw,
+		StepAccept, StepAdmit, StepQueue, StepPin, StepRoute, StepRecordIntent, StepDispatch, StepFirstByte, StepMidStream,
+		StepComplete, StepRecordBill, StepAnswer, StepApply, StepSpread, StepStart, StepAdvance, StepWithdraw,
 		StepHandOver, StepLeave,
 	}
 }
 
-// Streams reports whether a run at a backend server is under way at the step.
-func (s Step) Streams() bool {
-	return s == StepDispatch || s == StepFirst || s == StepMidst || s == StepComplete
+// IsDuringAttempt reports whether an attempt at a backend server is in progress at the step.
+func (s Step) IsDuringAttempt() bool {
+	return s == StepDispatch || s == StepFirstByte || s == StepMidStream || s == StepComplete
 }
 
-// Changes reports whether an operator's change of the document is under way at the step.
-func (s Step) Changes() bool {
+// IsDuringConfigChange reports whether an operator's change to the document is in progress at the
+// step.
+func (s Step) IsDuringConfigChange() bool {
 	return s == StepApply || s == StepSpread
 }
