--- a/io/fakes/answer.go
+++ b/io/fakes/answer.go
@@ -35,20 +35,20 @@
 	Usage   *chatUsage   `json:"usage,omitempty"`
 }
 
-// chatAnswer is one answer under way.
+// chatAnswer is one answer in progress.
 type chatAnswer struct {
-	chat  *Chat
-	w     http.ResponseWriter
-	gone  <-chan struct{}
-	id    string
-	model string
-	words []string
-	usage chatUsage
+	chat       *Chat
+	w          http.ResponseWriter
+	callerGone <-chan struct{}
+	id         string
+	model      string
+	words      []string
+	usage      chatUsage
 }
 
-func (a chatAnswer) whole() {
+func (a chatAnswer) writeComplete() {
 	for i := range a.words {
-		a.pause(i)
+		a.waitForWord(i)
 	}
 	stop := "stop"
 	a.w.Header().Set("Content-Type", "application/json")
@@ -61,49 +61,50 @@
 	})
 }
 
-func (a chatAnswer) stream() {
+func (a chatAnswer) writeStream() {
 	a.w.Header().Set("Content-Type", "text/event-stream")
 	for i, word := range a.words {
-		a.pause(i)
+		a.waitForWord(i)
 		if i > 0 {
 			word = " " + word
 		}
-		a.chunk(chatBody{Choices: []chatChoice{{Delta: &chatMessage{Content: word}}}})
+		a.writeChunk(chatBody{Choices: []chatChoice{{Delta: &chatMessage{Content: word}}}})
 	}
 	stop := "stop"
-	a.chunk(chatBody{Choices: []chatChoice{{Delta: &chatMessage{}, Finish: &stop}}})
-	a.chunk(chatBody{Choices: []chatChoice{}, Usage: &a.usage})
+	a.writeChunk(chatBody{Choices: []chatChoice{{Delta: &chatMessage{}, Finish: &stop}}})
+	a.writeChunk(chatBody{Choices: []chatChoice{}, Usage: &a.usage})
 	fmt.Fprint(a.w, "data: [DONE]\n\n")
 }
 
-// pause takes a word's time, and fails in the midst of the answer where a fault says so.
-func (a chatAnswer) pause(i int) {
-	word := a.chat.WordTime
-	if word == 0 {
-		word = defaultWordTime
+// waitForWord waits for the time between words. In the middle of the answer it applies FaultStall and
+// FaultCut; it panics with http.ErrAbortHandler to close the connection.
+func (a chatAnswer) waitForWord(i int) {
+	wordTime := a.chat.WordTime
+	if wordTime == 0 {
+		wordTime = defaultWordTime
 	}
 	a.chat.mu.Lock()
 	fault := a.chat.fault
 	a.chat.mu.Unlock()
-	midst := i == len(a.words)/2
-	if midst && fault == FaultStall {
-		<-a.gone
+	isMiddle := i == len(a.words)/2
+	if isMiddle && fault == FaultStall {
+		<-a.callerGone
 	}
-	if midst && fault == FaultCut {
+	if isMiddle && fault == FaultCut {
 		panic(http.ErrAbortHandler)
 	}
-	t := time.NewTimer(word)
-	defer t.Stop()
+	timer := time.NewTimer(wordTime)
+	defer timer.Stop()
 	select {
-	case <-a.gone:
+	case <-a.callerGone:
 		panic(http.ErrAbortHandler)
-	case <-t.C:
+	case <-timer.C:
 	}
 }
 
-func (a chatAnswer) chunk(b chatBody) {
-	b.ID, b.Object, b.Model = a.id, "chat.completion.chunk", a.model
-	data, err := json.Marshal(b)
+func (a chatAnswer) writeChunk(body chatBody) {
+	body.ID, body.Object, body.Model = a.id, "chat.completion.chunk", a.model
+	data, err := json.Marshal(body)
 	if err != nil {
 		return
 	}
--- a/io/fakes/chat.go
+++ b/io/fakes/chat.go
@@ -13,91 +13,93 @@
 const (
 	wordsPerAnswer  = 8
 	defaultWordTime = 2 * time.Millisecond
-	headerRequest   = "X-Request-Id"
+	headerRequestID = "X-Request-Id"
 	headerFence     = "Fencing-Token"
-	headerSeen      = "Fencing-Token-Seen"
+	headerFenceSeen = "Fencing-Token-Seen"
 )
 
-// Fault is a way in which a stand-in's next runs fail.
+// Fault is a way in which all further attempts at a stand-in backend server fail.
 type Fault string
 
-// The faults of a stand-in engine.
+// The faults of a stand-in backend server.
 const (
 	FaultNone    Fault = ""
-	FaultBusy    Fault = "Busy"    // answers 503 and runs nothing
+	FaultBusy    Fault = "Busy"    // answers 503 without running the request
 	FaultReset   Fault = "Reset"   // closes the connection before the answer
-	FaultCut     Fault = "Cut"     // closes the connection in the midst of the answer
-	FaultStall   Fault = "Stall"   // stops in the midst of the answer until the caller goes
-	FaultAnother Fault = "Another" // answers another request's question
+	FaultCut     Fault = "Cut"     // closes the connection in the middle of the answer
+	FaultStall   Fault = "Stall"   // stops in the middle of the answer until the caller disconnects
+	FaultAnother Fault = "Another" // answers with the identifier of another request
 	FaultInvalid Fault = "Invalid" // answers 400
 )
 
-// Chat is a stand-in model engine that answers chat completions with a few words; its zero value is ready.
+// Chat is a stand-in model server that answers chat completions with a few words; its zero value is
+// ready for use.
 type Chat struct {
-	// Name goes into each answer, so that a reader sees who answered.
+	// Name is part of each answer, so that a reader can tell which server answered.
 	Name string
 	// WordTime is the time from one word to the next.
 	WordTime time.Duration
-	// Fencing makes the engine refuse orders with an old fencing token.
+	// Fencing makes the server refuse load and unload orders with an outdated fencing token.
 	Fencing bool
 
-	mu       sync.Mutex
-	runs     int
-	running  int
-	fault    Fault
-	versions []string
-	fence    int64
+	mu           sync.Mutex
+	attempts     int
+	running      int
+	fault        Fault
+	versions     []string
+	highestFence int64
 }
 
-// Runs returns how many runs the engine has started.
+// Runs returns how many attempts the server has started.
 func (c *Chat) Runs() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.runs
+	return c.attempts
 }
 
-// Break makes all further runs fail in the given way.
+// Break makes all further attempts fail in the given way; FaultNone ends this.
 func (c *Chat) Break(f Fault) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.fault = f
 }
 
-// Load makes the engine carry the versions.
+// Load adds the versions to those that the server lists as loaded.
 func (c *Chat) Load(versions ...string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.versions = append(c.versions, versions...)
 }
 
-func (c *Chat) begin() Fault {
+func (c *Chat) beginAttempt() Fault {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.fault == FaultBusy || c.fault == FaultInvalid {
 		return c.fault
 	}
-	c.runs++
+	c.attempts++
 	c.running++
 	return c.fault
 }
 
-func (c *Chat) end() {
+func (c *Chat) endAttempt() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.running--
 }
 
-// ServeHTTP answers chat completions, the lists of models and gauges, and orders.
+// ServeHTTP serves chat completions, the list of models, metrics, and orders to load or unload a
+// version.
 func (c *Chat) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch r.URL.Path {
 	case "/v1/chat/completions":
 		c.complete(w, r)
 	case "/v1/models":
-		c.list(w)
+		c.writeModels(w)
 	case "/metrics":
-		c.gauges(w)
+		c.writeMetrics(w)
 	case "/v1/load_lora_adapter", "/v1/unload_lora_adapter":
-		c.order(w, r)
+		c.loadOrUnload(w, r)
 	default:
 		http.NotFound(w, r)
 	}
@@ -118,7 +120,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	switch c.begin() {
+	switch c.beginAttempt() {
 	case FaultBusy:
 		http.Error(w, "busy", http.StatusServiceUnavailable)
 		return
@@ -126,22 +128,22 @@
 		http.Error(w, "invalid parameter", http.StatusBadRequest)
 		return
 	case FaultReset:
-		c.end()
+		c.endAttempt()
 		panic(http.ErrAbortHandler)
 	case FaultAnother:
-		w.Header().Set(headerRequest, "another-request")
+		w.Header().Set(headerRequestID, "another-request")
 	default:
-		w.Header().Set(headerRequest, r.Header.Get(headerRequest))
+		w.Header().Set(headerRequestID, r.Header.Get(headerRequestID))
 	}
-	defer c.end()
-	a := chatAnswer{chat: c, w: w, gone: r.Context().Done(), id: r.Header.Get(headerRequest), model: req.Model, words: c.words(req)}
-	a.usage = chatUsage{PromptTokens: promptTokens(req), CompletionTokens: len(a.words)}
-	a.usage.TotalTokens = a.usage.PromptTokens + a.usage.CompletionTokens
+	defer c.endAttempt()
+	answer := chatAnswer{chat: c, w: w, callerGone: r.Context().Done(), id: r.Header.Get(headerRequestID), model: req.Model, words: c.words(req)}
+	answer.usage = chatUsage{PromptTokens: promptTokens(req), CompletionTokens: len(answer.words)}
+	answer.usage.TotalTokens = answer.usage.PromptTokens + answer.usage.CompletionTokens
 	if req.Stream {
-		a.stream()
+		answer.writeStream()
 		return
 	}
-	a.whole()
+	answer.writeComplete()
 }
 
 func (c *Chat) words(req chatRequest) []string {
@@ -161,7 +163,7 @@
 	return n
 }
 
-func (c *Chat) list(w http.ResponseWriter) {
+func (c *Chat) writeModels(w http.ResponseWriter) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	type model struct {
@@ -174,38 +176,38 @@
 	_ = json.NewEncoder(w).Encode(map[string]any{"object": "list", "data": data})
 }
 
-func (c *Chat) gauges(w http.ResponseWriter) {
+func (c *Chat) writeMetrics(w http.ResponseWriter) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	fmt.Fprintf(w, "# TYPE vllm:num_requests_running gauge\nvllm:num_requests_running{engine=\"0\"} %d\n", c.running)
 	fmt.Fprintf(w, "vllm:num_requests_waiting{engine=\"0\"} 0\n")
 }
 
-func (c *Chat) order(w http.ResponseWriter, r *http.Request) {
+func (c *Chat) loadOrUnload(w http.ResponseWriter, r *http.Request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	fence, err := strconv.ParseInt(r.Header.Get(headerFence), 10, 64)
-	if c.Fencing && (err != nil || fence < c.fence) {
-		w.Header().Set(headerSeen, strconv.FormatInt(c.fence, 10))
+	if c.Fencing && (err != nil || fence < c.highestFence) {
+		w.Header().Set(headerFenceSeen, strconv.FormatInt(c.highestFence, 10))
 		w.WriteHeader(http.StatusConflict)
 		return
 	}
-	c.fence = max(c.fence, fence)
-	var wire struct {
+	c.highestFence = max(c.highestFence, fence)
+	var order struct {
 		Name string `json:"lora_name"`
 	}
-	if err := json.NewDecoder(r.Body).Decode(&wire); err != nil {
+	if err := json.NewDecoder(r.Body).Decode(&order); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	kept := c.versions[:0:0]
+	versions := c.versions[:0:0]
 	for _, v := range c.versions {
-		if v != wire.Name {
-			kept = append(kept, v)
+		if v != order.Name {
+			versions = append(versions, v)
 		}
 	}
 	if r.URL.Path == "/v1/load_lora_adapter" {
-		kept = append(kept, wire.Name)
+		versions = append(versions, order.Name)
 	}
-	c.versions = kept
+	c.versions = versions
 }
--- a/io/fakes/etcd.go
+++ b/io/fakes/etcd.go
@@ -9,7 +9,7 @@
 	"endivehitch/io/plat"
 )
 
-// Etcd answers the paths of an etcd v3 JSON gateway from a store; faults are set on a Store beneath it.
+// Etcd serves a store over the paths of etcd's v3 JSON gateway; for faults, its store is a Store.
 type Etcd struct {
 	Store plat.Store
 }
@@ -46,85 +46,87 @@
 	Message string `json:"message"`
 }
 
-// Handler returns the gateway's paths.
+// Handler returns an HTTP handler for the gateway's paths.
 func (g Etcd) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v3/kv/range", answer(g.list))
-	mux.HandleFunc("POST /v3/kv/put", answer(g.put))
-	mux.HandleFunc("POST /v3/kv/txn", answer(g.transact))
-	mux.HandleFunc("POST /v3/lease/grant", answer(g.grant))
-	mux.HandleFunc("POST /v3/lease/keepalive", answer(g.keepAlive))
-	mux.HandleFunc("POST /v3/lease/revoke", answer(g.revoke))
+	mux.HandleFunc("POST /v3/kv/range", handleJSON(g.list))
+	mux.HandleFunc("POST /v3/kv/put", handleJSON(g.put))
+	mux.HandleFunc("POST /v3/kv/txn", handleJSON(g.transact))
+	mux.HandleFunc("POST /v3/lease/grant", handleJSON(g.grant))
+	mux.HandleFunc("POST /v3/lease/keepalive", handleJSON(g.keepAlive))
+	mux.HandleFunc("POST /v3/lease/revoke", handleJSON(g.revoke))
 	mux.HandleFunc("POST /v3/watch", g.watch)
 	return mux
 }
 
-// answer decodes the question and encodes what the function makes of it.
-func answer[Q, A any](do func(*http.Request, Q) (A, error)) http.HandlerFunc {
+// handleJSON returns a handler that decodes the request body, calls do and encodes its result.
+func handleJSON[Q, A any](do func(*http.Request, Q) (A, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var q Q
 		if err := json.NewDecoder(r.Body).Decode(&q); err != nil {
-			refuse(w, http.StatusBadRequest, 3, err)
+			writeError(w, http.StatusBadRequest, 3, err)
 			return
 		}
-		a, err := do(r, q)
+		response, err := do(r, q)
 		if err != nil {
-			fail(w, err)
+			writeStoreError(w, err)
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(a)
+		_ = json.NewEncoder(w).Encode(response)
 	}
 }
 
-// fail answers as the gateway would; a lost answer breaks the connection.
-func fail(w http.ResponseWriter, err error) {
+// writeStoreError answers a failed store call as the gateway would. For a lost answer it closes the
+// connection.
+func writeStoreError(w http.ResponseWriter, err error) {
 	switch {
 	case errors.Is(err, plat.ErrUnknown):
 		panic(http.ErrAbortHandler)
 	case errors.Is(err, plat.ErrLeaseLost):
-		refuse(w, http.StatusNotFound, 5, errors.New("etcdserver: requested lease not found"))
+		writeError(w, http.StatusNotFound, 5, errors.New("etcdserver: requested lease not found"))
 	case errors.Is(err, plat.ErrUnavailable):
-		refuse(w, http.StatusTooManyRequests, 8, err)
+		writeError(w, http.StatusTooManyRequests, 8, err)
 	default:
-		refuse(w, http.StatusBadRequest, 3, err)
+		writeError(w, http.StatusBadRequest, 3, err)
 	}
 }
 
-func refuse(w http.ResponseWriter, status, code int, err error) {
+func writeError(w http.ResponseWriter, status, code int, err error) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(etcdError{Error: err.Error(), Code: code, Message: err.Error()})
 }
 
-func (g Etcd) list(r *http.Request, q etcdRange) (etcdListing, error) {
-	if len(q.RangeEnd) == 0 {
-		e, err := g.Store.Get(r.Context(), string(q.Key))
-		return listing(plat.Listing{Entries: []plat.Entry{e}, Revision: e.Revision}), err
+func (g Etcd) list(r *http.Request, query etcdRange) (etcdListing, error) {
+	if len(query.RangeEnd) == 0 {
+		e, err := g.Store.Get(r.Context(), string(query.Key))
+		return encodeListing(plat.Listing{Entries: []plat.Entry{e}, Revision: e.Revision}), err
 	}
-	l, err := g.Store.List(r.Context(), prefixOf(q.Key))
-	return listing(l), err
+	l, err := g.Store.List(r.Context(), decodePrefix(query.Key))
+	return encodeListing(l), err
 }
 
-// prefixOf undoes the spelling of the empty key as a zero byte.
-func prefixOf(key []byte) string {
+// decodePrefix returns the prefix that the key stands for; the gateway's clients encode the empty
+// prefix as a zero byte.
+func decodePrefix(key []byte) string {
 	if len(key) == 1 && key[0] == 0 {
 		return ""
 	}
 	return string(key)
 }
 
-func listing(l plat.Listing) etcdListing {
-	out := etcdListing{Header: etcdHeader{Revision: l.Revision}}
+func encodeListing(l plat.Listing) etcdListing {
+	encoded := etcdListing{Header: etcdHeader{Revision: l.Revision}}
 	for _, e := range l.Entries {
 		if e.Revision > 0 {
-			out.Kvs = append(out.Kvs, wireOf(e))
+			encoded.Kvs = append(encoded.Kvs, encodeEntry(e))
 		}
 	}
-	return out
+	return encoded
 }
 
-func wireOf(e plat.Entry) etcdEntry {
+func encodeEntry(e plat.Entry) etcdEntry {
 	return etcdEntry{Key: []byte(e.Key), Value: e.Value, ModRevision: e.Revision, Lease: int64(e.Lease)}
 }
 
@@ -133,17 +135,17 @@
 	return etcdLease{ID: int64(id), TTL: q.TTL}, err
 }
 
-type etcdKept struct {
+type etcdKeepAlive struct {
 	Result etcdLease `json:"result"`
 }
 
-func (g Etcd) keepAlive(r *http.Request, q etcdLease) (etcdKept, error) {
+func (g Etcd) keepAlive(r *http.Request, q etcdLease) (etcdKeepAlive, error) {
 	left, err := g.Store.KeepAlive(r.Context(), plat.LeaseID(q.ID))
 	if errors.Is(err, plat.ErrLeaseLost) {
-		// The gateway says so by an answer without a remaining time.
-		return etcdKept{Result: etcdLease{ID: q.ID}}, nil
+		// The gateway reports a lost lease by an answer without a TTL.
+		return etcdKeepAlive{Result: etcdLease{ID: q.ID}}, nil
 	}
-	return etcdKept{Result: etcdLease{ID: q.ID, TTL: int64(left / time.Second)}}, err
+	return etcdKeepAlive{Result: etcdLease{ID: q.ID, TTL: int64(left / time.Second)}}, err
 }
 
 func (g Etcd) revoke(r *http.Request, q etcdLease) (etcdListing, error) {
--- a/io/fakes/etcdtxn.go
+++ b/io/fakes/etcdtxn.go
@@ -27,26 +27,27 @@
 	} `json:"success"`
 }
 
-type etcdTxnDone struct {
-	Header    etcdHeader      `json:"header"`
-	Succeeded bool            `json:"succeeded,omitempty"`
-	Responses []etcdTxnAnswer `json:"responses,omitempty"`
+type etcdTxnResult struct {
+	Header    etcdHeader        `json:"header"`
+	Succeeded bool              `json:"succeeded,omitempty"`
+	Responses []etcdTxnResponse `json:"responses,omitempty"`
 }
 
-type etcdTxnAnswer struct {
+type etcdTxnResponse struct {
 	Range *etcdListing `json:"response_range,omitempty"`
 }
 
-var errUnsupportedTxn = errors.New("stand-in takes one comparison of a modification revision and one change")
+var errUnsupportedTxn = errors.New("stand-in supports only one comparison of a modification revision and one change")
 
-// put is unconditional, as the path is: it swaps until no other writer comes between.
-func (g Etcd) put(r *http.Request, q etcdPut) (etcdListing, error) {
+// put writes unconditionally, as this path of the gateway does: it retries its compare-and-swap until
+// no other writer interferes.
+func (g Etcd) put(r *http.Request, request etcdPut) (etcdListing, error) {
 	for {
-		e, err := g.Store.Get(r.Context(), string(q.Key))
+		e, err := g.Store.Get(r.Context(), string(request.Key))
 		if err != nil {
 			return etcdListing{}, err
 		}
-		revision, err := g.Store.Swap(r.Context(), plat.Swap{Key: e.Key, Expect: e.Revision, Value: q.Value, Lease: plat.LeaseID(q.Lease)})
+		revision, err := g.Store.Swap(r.Context(), plat.Swap{Key: e.Key, Expect: e.Revision, Value: request.Value, Lease: plat.LeaseID(request.Lease)})
 		var conflict plat.Conflict
 		if errors.As(err, &conflict) {
 			continue
@@ -55,31 +56,31 @@
 	}
 }
 
-func (g Etcd) transact(r *http.Request, q etcdTxn) (etcdTxnDone, error) {
-	if len(q.Compare) != 1 || len(q.Success) != 1 || q.Compare[0].Target != "MOD" || q.Compare[0].Result != "EQUAL" {
-		return etcdTxnDone{}, errUnsupportedTxn
+func (g Etcd) transact(r *http.Request, txn etcdTxn) (etcdTxnResult, error) {
+	if len(txn.Compare) != 1 || len(txn.Success) != 1 || txn.Compare[0].Target != "MOD" || txn.Compare[0].Result != "EQUAL" {
+		return etcdTxnResult{}, errUnsupportedTxn
 	}
 	var revision int64
 	var err error
-	switch op := q.Success[0]; {
+	switch op := txn.Success[0]; {
 	case op.Put != nil:
 		revision, err = g.Store.Swap(r.Context(), plat.Swap{
 			Key:    string(op.Put.Key),
-			Expect: q.Compare[0].ModRevision,
+			Expect: txn.Compare[0].ModRevision,
 			Value:  op.Put.Value,
 			Lease:  plat.LeaseID(op.Put.Lease),
 		})
 	case op.Delete != nil:
-		err = g.Store.Delete(r.Context(), string(op.Delete.Key), q.Compare[0].ModRevision)
+		err = g.Store.Delete(r.Context(), string(op.Delete.Key), txn.Compare[0].ModRevision)
 	default:
 		err = errUnsupportedTxn
 	}
 	var conflict plat.Conflict
 	if errors.As(err, &conflict) {
-		present := listing(plat.Listing{Entries: []plat.Entry{conflict.Present}})
-		return etcdTxnDone{Responses: []etcdTxnAnswer{{Range: &present}}}, nil
+		present := encodeListing(plat.Listing{Entries: []plat.Entry{conflict.Present}})
+		return etcdTxnResult{Responses: []etcdTxnResponse{{Range: &present}}}, nil
 	}
-	return etcdTxnDone{Header: etcdHeader{Revision: revision}, Succeeded: err == nil}, err
+	return etcdTxnResult{Header: etcdHeader{Revision: revision}, Succeeded: err == nil}, err
 }
 
 type etcdWatch struct {
@@ -104,38 +105,38 @@
 }
 
 func (g Etcd) watch(w http.ResponseWriter, r *http.Request) {
-	var q etcdWatch
-	if err := json.NewDecoder(r.Body).Decode(&q); err != nil {
-		refuse(w, http.StatusBadRequest, 3, err)
+	var request etcdWatch
+	if err := json.NewDecoder(r.Body).Decode(&request); err != nil {
+		writeError(w, http.StatusBadRequest, 3, err)
 		return
 	}
-	events, err := g.Store.Watch(r.Context(), prefixOf(q.Create.Key), q.Create.StartRevision)
+	events, err := g.Store.Watch(r.Context(), decodePrefix(request.Create.Key), request.Create.StartRevision)
 	if errors.Is(err, plat.ErrCompacted) {
-		var gone etcdEvents
-		gone.Result.Canceled = true
-		gone.Result.CompactRevision = q.Create.StartRevision
-		sendLine(w, gone)
+		var compacted etcdEvents
+		compacted.Result.Canceled = true
+		compacted.Result.CompactRevision = request.Create.StartRevision
+		writeEvents(w, compacted)
 		return
 	}
 	if err != nil {
-		fail(w, err)
+		writeStoreError(w, err)
 		return
 	}
 	var opened etcdEvents
 	opened.Result.Created = true
-	sendLine(w, opened)
+	writeEvents(w, opened)
 	for e := range events {
 		var next etcdEvents
-		next.Result.Events = []etcdEvent{{Kv: wireOf(e.Entry)}}
+		next.Result.Events = []etcdEvent{{Kv: encodeEntry(e.Entry)}}
 		if e.Deleted {
 			next.Result.Events[0].Type = "DELETE"
 		}
-		sendLine(w, next)
+		writeEvents(w, next)
 	}
 }
 
-// sendLine sends one line of a stream at once.
-func sendLine(w http.ResponseWriter, line etcdEvents) {
+// writeEvents writes one line of a watch stream and flushes it.
+func writeEvents(w http.ResponseWriter, line etcdEvents) {
 	_ = json.NewEncoder(w).Encode(line)
 	if f, ok := w.(http.Flusher); ok {
 		f.Flush()
--- a/io/fakes/faults.go
+++ b/io/fakes/faults.go
@@ -2,17 +2,18 @@
 
 import "time"
 
-// Faults says how a stand-in misbehaves; the zero value is a healthy service.
+// Faults is the set of faults of a Store; the zero value is a healthy service.
 type Faults struct {
-	// Down refuses every call before it takes effect and breaks off watches.
+	// Down fails every call before it takes effect and ends watches.
 	Down bool
-	// Refuse turns every call away, as a service over its rate does; watches go on.
+	// Refuse fails every call, as a service above its rate limit does; open watches continue.
 	Refuse bool
-	// Delay passes before a call takes effect, also when its caller has gone meanwhile.
+	// Delay is the time before a call takes effect. A change takes effect even if its caller has
+	// given up meanwhile.
 	Delay time.Duration
-	// Stale answers reads from the state at the time the fault was set.
+	// Stale answers reads from the store's state at the time when the faults were set.
 	Stale bool
-	// LostAnswers is how many of the next changes take effect without an answer.
+	// LostAnswers is how many of the next successful changes get no answer.
 	LostAnswers int
 }
 
@@ -22,13 +23,13 @@
 	return f
 }
 
-// WithRefuse returns a copy that turns calls away or not.
+// WithRefuse returns a copy that refuses calls or not.
 func (f Faults) WithRefuse(refuse bool) Faults {
 	f.Refuse = refuse
 	return f
 }
 
-// WithDelay returns a copy in which each call takes so long.
+// WithDelay returns a copy that delays each call by d.
 func (f Faults) WithDelay(d time.Duration) Faults {
 	f.Delay = d
 	return f
@@ -40,7 +41,7 @@
 	return f
 }
 
-// WithLostAnswers returns a copy that loses the answers of the next n changes.
+// WithLostAnswers returns a copy that loses the answers to the next n successful changes.
 func (f Faults) WithLostAnswers(n int) Faults {
 	f.LostAnswers = n
 	return f
--- a/io/fakes/lists.go
+++ b/io/fakes/lists.go
@@ -15,64 +15,65 @@
 	"endivehitch/io/plat"
 )
 
-// List is an instance list that shows each change after a lag.
-type List struct {
+// InstanceList is the platform's list of instances and backend servers, which shows each change after
+// the lag.
+type InstanceList struct {
 	Lag     time.Duration
-	current policy.Cell[listed]
+	current policy.Cell[listState]
 }
 
-type listed struct {
-	servers   policy.Table[value.ServerID, value.BackendServer]
-	instances policy.Table[value.InstanceID, value.Instance]
-	away      bool
+type listState struct {
+	servers     policy.Table[value.ServerID, value.BackendServer]
+	instances   policy.Table[value.InstanceID, value.Instance]
+	unreachable bool
 }
 
-// SetServer lists the backend server as given, once the lag has passed.
-func (l *List) SetServer(b value.BackendServer) {
-	l.later(func(v listed) listed { v.servers = v.servers.With(b.ID, b); return v })
+// SetServer adds or replaces the backend server after the lag.
+func (l *InstanceList) SetServer(server value.BackendServer) {
+	l.updateAfterLag(func(v listState) listState { v.servers = v.servers.With(server.ID, server); return v })
 }
 
-// DropServer takes the backend server off the list, once the lag has passed.
-func (l *List) DropServer(id value.ServerID) {
-	l.later(func(v listed) listed { v.servers = v.servers.Without(id); return v })
+// DropServer removes the backend server after the lag.
+func (l *InstanceList) DropServer(id value.ServerID) {
+	l.updateAfterLag(func(v listState) listState { v.servers = v.servers.Without(id); return v })
 }
 
-// SetInstance lists the instance as given, once the lag has passed.
-func (l *List) SetInstance(i value.Instance) {
-	l.later(func(v listed) listed { v.instances = v.instances.With(i.ID, i); return v })
+// SetInstance adds or replaces the instance after the lag.
+func (l *InstanceList) SetInstance(instance value.Instance) {
+	l.updateAfterLag(func(v listState) listState { v.instances = v.instances.With(instance.ID, instance); return v })
 }
 
-// DropInstance takes the instance off the list, once the lag has passed.
-func (l *List) DropInstance(id value.InstanceID) {
-	l.later(func(v listed) listed { v.instances = v.instances.Without(id); return v })
+// DropInstance removes the instance after the lag.
+func (l *InstanceList) DropInstance(id value.InstanceID) {
+	l.updateAfterLag(func(v listState) listState { v.instances = v.instances.Without(id); return v })
 }
 
-// SetAway makes the list fail or answer, at once.
-func (l *List) SetAway(away bool) {
-	l.current.Update(func(v listed) listed { v.away = away; return v })
+// SetUnreachable makes reads of the list fail or succeed from now on, without a lag.
+func (l *InstanceList) SetUnreachable(away bool) {
+	l.current.Update(func(v listState) listState { v.unreachable = away; return v })
 }
 
-func (l *List) later(next func(listed) listed) {
+func (l *InstanceList) updateAfterLag(change func(listState) listState) {
 	if l.Lag <= 0 {
-		l.current.Update(next)
+		l.current.Update(change)
 		return
 	}
-	time.AfterFunc(l.Lag, func() { l.current.Update(next) })
+	time.AfterFunc(l.Lag, func() { l.current.Update(change) })
 }
 
-// Servers returns the backend servers as listed.
-func (l *List) Servers(context.Context) ([]value.BackendServer, error) {
+// Servers returns the backend servers that the list shows.
+func (l *InstanceList) Servers(context.Context) ([]value.BackendServer, error) {
 	v := l.current.Get()
-	if v.away {
+	if v.unreachable {
 		return nil, fmt.Errorf("read list of servers: %w", plat.ErrUnavailable)
 	}
 	return valuesOf(v.servers), nil
 }
 
-// Instances returns the instances of the system as listed.
-func (l *List) Instances(context.Context) ([]value.Instance, error) {
+// Instances returns the instances that the list shows.
+func (l *InstanceList) Instances(context.Context) ([]value.Instance, error) {
 	v := l.current.Get()
-	if v.away {
+	if v.unreachable {
 		return nil, fmt.Errorf("read list of instances: %w", plat.ErrUnavailable)
 	}
 	return valuesOf(v.instances), nil
@@ -86,15 +87,15 @@
 	return list
 }
 
-// Ratings is a rating service that publishes each rating after a lag.
+// Ratings is a rating service that publishes each rating after the lag.
 type Ratings struct {
-	Lag  time.Duration
-	mu   sync.Mutex
-	list []plat.Rating
-	away bool
+	Lag         time.Duration
+	mu          sync.Mutex
+	published   []plat.Rating
+	unreachable bool
 }
 
-// Add rates an answer, once the lag has passed.
+// Add publishes the rating after the lag.
 func (r *Ratings) Add(rating plat.Rating) {
 	if r.Lag <= 0 {
 		r.publish(rating)
@@ -106,48 +107,49 @@
 func (r *Ratings) publish(rating plat.Rating) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.list = append(r.list, rating)
+	r.published = append(r.published, rating)
 }
 
-// SetAway makes the service fail or answer, at once.
-func (r *Ratings) SetAway(away bool) {
+// SetUnreachable makes reads of the ratings fail or succeed from now on, without a lag.
+func (r *Ratings) SetUnreachable(away bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.away = away
+	r.unreachable = away
 }
 
-// Ratings returns the ratings after the cursor and the next cursor; the empty cursor is the start.
+// Ratings returns the ratings published after the cursor, and the next cursor; the empty cursor is
+// the start.
 func (r *Ratings) Ratings(_ context.Context, cursor string) ([]plat.Rating, string, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.away {
+	if r.unreachable {
 		return nil, cursor, fmt.Errorf("read ratings: %w", plat.ErrUnavailable)
 	}
 	start := 0
 	if cursor != "" {
 		n, err := strconv.Atoi(cursor)
-		if err != nil || n < 0 || n > len(r.list) {
+		if err != nil || n < 0 || n > len(r.published) {
 			return nil, cursor, fmt.Errorf("read ratings: no cursor %q", cursor)
 		}
 		start = n
 	}
-	return append([]plat.Rating(nil), r.list[start:]...), strconv.Itoa(len(r.list)), nil
+	return append([]plat.Rating(nil), r.published[start:]...), strconv.Itoa(len(r.published)), nil
 }
 
-// Weights is a weight store that serves a number of loads a second.
+// Weights is a store of model weights that limits the rate of loads.
 type Weights struct {
 	limiter *rate.Limiter
 }
 
-// ErrWeightsBusy marks a load that the weight store turned away.
-var ErrWeightsBusy = errors.New("weight store is busy")
+// ErrWeightsBusy is returned for a load above the rate limit of the weight store.
+var ErrWeightsBusy = errors.New("weight store refused the load: rate limit reached")
 
-// NewWeights returns a store that serves so many loads a second, and as many as the burst at once.
+// NewWeights returns a store that serves the given number of loads a second, with bursts up to burst.
 func NewWeights(loadsPerSecond float64, burst int) *Weights {
 	return &Weights{limiter: rate.NewLimiter(rate.Limit(loadsPerSecond), burst)}
 }
 
-// Available returns how many loads the store would serve at once.
+// Available returns how many loads the store would serve at present.
 func (w *Weights) Available(context.Context) (int, error) {
 	return int(w.limiter.Tokens()), nil
 }
--- a/io/fakes/mesh.go
+++ b/io/fakes/mesh.go
@@ -15,28 +15,30 @@
 	"endivehitch/io/peer"
 )
 
-// Fate is what becomes of one message between instances; the zero value delivers it at once.
+// Fate is how a Mesh treats one message between instances; the zero value delivers it at once.
 type Fate struct {
+	// Delay is the time before the message arrives.
 	Delay time.Duration
-	// Unsent refuses the call before anything goes out.
+	// Unsent makes a call fail before anything is sent, and drops a reply.
 	Unsent bool
-	// LoseRequest and LoseReply let the caller wait in vain.
+	// LoseRequest drops the message, LoseReply the reply to it, so that the caller waits until its
+	// context ends.
 	LoseRequest bool
 	LoseReply   bool
-	// Duplicate runs the method twice.
+	// Duplicate delivers the request twice.
 	Duplicate bool
 }
 
-// Mesh is a transport in memory among instances.
+// Mesh is an in-memory transport between instances.
 type Mesh struct {
 	fate  policy.Cell[func(from, to value.Instance) Fate]
 	ports sync.Map
-	size  meter
-	// underWay counts the messages that have not arrived.
-	underWay sync.WaitGroup
+	meter sizeMeter
+	// inFlight counts the calls that have not been handled completely.
+	inFlight sync.WaitGroup
 }
 
-// Port is one instance's end of a Mesh; it implements peer.Caller and peer.Registrar.
+// Port is one instance's endpoint on a Mesh; it implements peer.Caller and peer.Registrar.
 type Port struct {
 	mesh    *Mesh
 	self    value.Instance
@@ -45,21 +47,21 @@
 	sent    policy.Cell[Traffic]
 }
 
-// Traffic counts what an instance sent, replies included.
+// Traffic is the number and size of the messages that an instance sent, replies included.
 type Traffic struct {
 	Messages int
 	Bytes    int
 }
 
-// frameBytes stands for the headers of net/rpc, TLS and TCP of one message.
-const frameBytes = 120
+// frameOverhead is the estimated size of one message's net/rpc, TLS and TCP headers in bytes.
+const frameOverhead = 120
 
-// Set lets the pure function decide each message's fate from now on.
+// Set makes the function, which must be pure, decide the fate of each message from now on.
 func (m *Mesh) Set(fate func(from, to value.Instance) Fate) {
 	m.fate.Update(func(func(from, to value.Instance) Fate) func(from, to value.Instance) Fate { return fate })
 }
 
-// Join returns the instance's port; its address is now taken by it.
+// Join returns a port that receives the calls to the instance's peer address.
 func (m *Mesh) Join(self value.Instance) *Port {
 	p := &Port{mesh: m, self: self}
 	m.ports.Store(self.PeerAddress, p)
@@ -71,44 +73,44 @@
 	m.ports.Delete(address)
 }
 
-// Drain waits until no message is under way.
+// Drain waits until no call is in flight.
 func (m *Mesh) Drain() {
-	m.underWay.Wait()
+	m.inFlight.Wait()
 }
 
-// Pause stops the port, as a stopped process: calls in and out wait until Resume.
+// Pause makes incoming and outgoing calls wait until Resume, as those of a stopped process do.
 func (p *Port) Pause() {
-	p.paused.Update(func(was chan struct{}) chan struct{} {
-		if was != nil {
-			// Calls that stand still already wait on this channel.
-			return was
+	p.paused.Update(func(previous chan struct{}) chan struct{} {
+		if previous != nil {
+			// Already paused; calls may be waiting on this channel.
+			return previous
 		}
 		return make(chan struct{})
 	})
 }
 
-// Resume lets waiting calls go on.
+// Resume lets waiting calls continue.
 func (p *Port) Resume() {
-	var was chan struct{}
-	p.paused.Update(func(now chan struct{}) chan struct{} {
-		// Of two that resume at once only one finds the channel.
-		was = now
+	var resumed chan struct{}
+	p.paused.Update(func(current chan struct{}) chan struct{} {
+		// Of two concurrent calls only one gets the channel, so that it is closed once.
+		resumed = current
 		return nil
 	})
-	if was != nil {
-		close(was)
+	if resumed != nil {
+		close(resumed)
 	}
 }
 
-// Sent returns the traffic so far.
+// Sent returns what the instance has sent so far.
 func (p *Port) Sent() Traffic {
 	return p.sent.Get()
 }
 
-// Register offers the receiver's methods under the name.
+// Register makes the receiver's methods callable under the name.
 func (p *Port) Register(name string, receiver any) error {
 	if _, taken := p.methods.LoadOrStore(name, receiver); taken {
-		return fmt.Errorf("methods %s are registered twice", name)
+		return fmt.Errorf("register methods %s: already registered", name)
 	}
 	return nil
 }
@@ -120,23 +122,23 @@
 
 // Call implements peer.Caller.
 func (p *Port) Call(ctx context.Context, to value.Instance, method string, args, reply any) error {
-	p.standStill()
+	p.waitWhilePaused()
 	if ctx.Err() != nil {
 		return fmt.Errorf("%w: %w", peer.ErrUnreachable, ctx.Err())
 	}
-	far, ok := p.mesh.ports.Load(to.PeerAddress)
-	fate := p.mesh.decide(p.self, to)
+	target, ok := p.mesh.ports.Load(to.PeerAddress)
+	fate := p.mesh.fateOf(p.self, to)
 	if !ok || fate.Unsent {
 		return fmt.Errorf("no instance at %s: %w", to.PeerAddress, peer.ErrUnreachable)
 	}
-	p.count(method, args)
+	p.countSent(method, args)
 	answered := make(chan meshReply, 2)
 	if !fate.LoseRequest {
-		p.mesh.underWay.Go(func() {
-			far.(*Port).deliver(p, fate, method, args, reflect.TypeOf(reply).Elem(), answered)
+		p.mesh.inFlight.Go(func() {
+			target.(*Port).deliver(p, fate, method, args, reflect.TypeOf(reply).Elem(), answered)
 		})
 	}
-	defer p.standStill()
+	defer p.waitWhilePaused()
 	select {
 	case r := <-answered:
 		if r.err == nil {
@@ -149,54 +151,54 @@
 }
 
 func (p *Port) deliver(from *Port, fate Fate, method string, args any, reply reflect.Type, answered chan<- meshReply) {
-	linger(fate.Delay)
-	p.standStill()
-	r := p.run(method, args, reply)
+	delay(fate.Delay)
+	p.waitWhilePaused()
+	r := p.invoke(method, args, reply)
 	if fate.Duplicate {
-		r = p.run(method, args, reply)
+		r = p.invoke(method, args, reply)
 	}
-	p.standStill()
-	back := p.mesh.decide(p.self, from.self)
-	p.count(method, r.reply.Interface())
-	linger(back.Delay)
-	if !fate.LoseReply && !back.LoseRequest && !back.Unsent {
+	p.waitWhilePaused()
+	replyFate := p.mesh.fateOf(p.self, from.self)
+	p.countSent(method, r.reply.Interface())
+	delay(replyFate.Delay)
+	if !fate.LoseReply && !replyFate.LoseRequest && !replyFate.Unsent {
 		answered <- r
 	}
 }
 
-func (p *Port) run(method string, args any, reply reflect.Type) meshReply {
+func (p *Port) invoke(method string, args any, reply reflect.Type) meshReply {
 	r := meshReply{reply: reflect.New(reply)}
-	dot := strings.LastIndex(method, ".")
-	receiver, ok := p.methods.Load(method[:dot])
+	lastDot := strings.LastIndex(method, ".")
+	receiver, ok := p.methods.Load(method[:lastDot])
 	if !ok {
 		r.err = errors.New("no such method: " + method)
 		return r
 	}
-	out := reflect.ValueOf(receiver).MethodByName(method[dot+1:]).Call([]reflect.Value{reflect.ValueOf(args), r.reply})
+	out := reflect.ValueOf(receiver).MethodByName(method[lastDot+1:]).Call([]reflect.Value{reflect.ValueOf(args), r.reply})
 	if err, ok := out[0].Interface().(error); ok {
 		r.err = fmt.Errorf("remote: %w", err)
 	}
 	return r
 }
 
-func linger(d time.Duration) {
+func delay(d time.Duration) {
 	if d > 0 {
 		<-time.After(d)
 	}
 }
 
-func (p *Port) standStill() {
+func (p *Port) waitWhilePaused() {
 	if paused := p.paused.Get(); paused != nil {
 		<-paused
 	}
 }
 
-func (p *Port) count(method string, body any) {
-	size := p.mesh.size.measure(method, body) + frameBytes
+func (p *Port) countSent(method string, body any) {
+	size := p.mesh.meter.measure(method, body) + frameOverhead
 	p.sent.Update(func(t Traffic) Traffic { return Traffic{Messages: t.Messages + 1, Bytes: t.Bytes + size} })
 }
 
-func (m *Mesh) decide(from, to value.Instance) Fate {
+func (m *Mesh) fateOf(from, to value.Instance) Fate {
 	fate := m.fate.Get()
 	if fate == nil {
 		return Fate{}
@@ -204,24 +206,25 @@
 	return fate(from, to)
 }
 
-// meter measures encoded messages as on a connection that has seen their types before.
-type meter struct {
-	mu    sync.Mutex
-	types map[string]*gob.Encoder
-	bytes int
+// sizeMeter measures the gob encoding of messages without their type descriptions, as on a connection
+// that has carried messages of these types before.
+type sizeMeter struct {
+	mu       sync.Mutex
+	encoders map[string]*gob.Encoder
+	bytes    int
 }
 
-func (m *meter) measure(method string, body any) int {
+func (m *sizeMeter) measure(method string, body any) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.types == nil {
-		m.types = make(map[string]*gob.Encoder)
+	if m.encoders == nil {
+		m.encoders = make(map[string]*gob.Encoder)
 	}
 	key := method + reflect.TypeOf(body).String()
-	encoder, ok := m.types[key]
+	encoder, ok := m.encoders[key]
 	if !ok {
 		encoder = gob.NewEncoder(m)
-		m.types[key] = encoder
+		m.encoders[key] = encoder
 		_ = encoder.Encode(body)
 	}
 	before := m.bytes
@@ -229,8 +232,8 @@
 	return m.bytes - before
 }
 
-// Write counts the encoder's output.
-func (m *meter) Write(b []byte) (int, error) {
+// Write counts the bytes of the encoder's output.
+func (m *sizeMeter) Write(b []byte) (int, error) {
 	m.bytes += len(b)
 	return len(b), nil
 }
--- a/io/fakes/plain.go
+++ b/io/fakes/plain.go
@@ -7,9 +7,10 @@
 	"sync"
 )
 
-// Plain is a stand-in plain service that counts its effects, such as reorders placed; its zero value is ready.
+// Plain is a stand-in for a service that is no model, such as one that places reorders. It counts its
+// effects; its zero value is ready for use.
 type Plain struct {
-	// Name goes into each answer.
+	// Name is part of each answer.
 	Name string
 
 	mu      sync.Mutex
@@ -17,7 +18,7 @@
 	fault   Fault
 }
 
-// Effects returns how often each body has taken effect.
+// Effects returns how often each request body has taken effect.
 func (p *Plain) Effects() map[string]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -28,21 +29,22 @@
 	return all
 }
 
-// Break makes all further calls fail in the given way.
+// Break makes all further calls fail in the given way; only FaultBusy and FaultReset have an effect.
 func (p *Plain) Break(f Fault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.fault = f
 }
 
-// ServeHTTP takes one effect for each call; FaultReset loses the answer after the effect.
+// ServeHTTP applies one effect for each call, except under FaultBusy; FaultReset closes the
+// connection after the effect.
 func (p *Plain) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	fault, n := p.take(string(body))
+	fault, n := p.applyEffect(string(body))
 	switch fault {
 	case FaultBusy:
 		http.Error(w, "busy", http.StatusServiceUnavailable)
@@ -54,7 +56,7 @@
 	}
 }
 
-func (p *Plain) take(body string) (Fault, int) {
+func (p *Plain) applyEffect(body string) (Fault, int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.fault == FaultBusy {
--- a/io/fakes/store.go
+++ b/io/fakes/store.go
@@ -14,51 +14,52 @@
 	"endivehitch/io/plat"
 )
 
-// Store is a key-value service with switchable faults over another store.
+// Store is a key-value store with switchable faults over another store.
 type Store struct {
-	inner  plat.Store
-	faults policy.Cell[situation]
-	reads  atomic.Int64
-	writes atomic.Int64
-	leases sync.Map
-	// underWay counts the changes that have not taken effect.
-	underWay sync.WaitGroup
-}
-
-// situation is the faults in force, what stale reads see, and a channel that a change closes.
-type situation struct {
-	faults  Faults
-	old     plat.Listing
-	changed chan struct{}
-}
-
-// NewStore returns a healthy stand-in over the store.
-func NewStore(inner plat.Store) *Store {
-	s := &Store{inner: inner}
-	s.faults.Update(func(situation) situation { return situation{changed: make(chan struct{})} })
+	backing plat.Store
+	state   policy.Cell[faultState]
+	reads   atomic.Int64
+	writes  atomic.Int64
+	leases  sync.Map
+	// inFlight counts the changes that have not taken effect yet.
+	inFlight sync.WaitGroup
+}
+
+// faultState is the faults in force, the entries that stale reads return, and a channel that is
+// closed when the faults change.
+type faultState struct {
+	faults       Faults
+	staleListing plat.Listing
+	changed      chan struct{}
+}
+
+// NewStore returns a store without faults over the given one.
+func NewStore(backing plat.Store) *Store {
+	s := &Store{backing: backing}
+	s.state.Update(func(faultState) faultState { return faultState{changed: make(chan struct{})} })
 	return s
 }
 
-// Set puts the faults in force.
+// Set replaces the faults in force, and takes the copy of the store that stale reads return.
 func (s *Store) Set(f Faults) error {
-	old, err := s.inner.List(context.Background(), "")
+	listing, err := s.backing.List(context.Background(), "")
 	if err != nil {
-		return fmt.Errorf("read the present state: %w", err)
+		return fmt.Errorf("list entries for stale reads: %w", err)
 	}
-	was := s.faults.Get()
-	s.faults.Update(func(situation) situation {
-		return situation{faults: f, old: old, changed: make(chan struct{})}
+	previous := s.state.Get()
+	s.state.Update(func(faultState) faultState {
+		return faultState{faults: f, staleListing: listing, changed: make(chan struct{})}
 	})
-	close(was.changed)
+	close(previous.changed)
 	return nil
 }
 
-// LapseLeases ends every lease at once.
+// LapseLeases makes every lease expire at once.
 func (s *Store) LapseLeases(ctx context.Context) error {
 	var failed error
 	s.leases.Range(func(id, _ any) bool {
 		s.leases.Delete(id)
-		err := s.inner.Revoke(ctx, id.(plat.LeaseID))
+		err := s.backing.Revoke(ctx, id.(plat.LeaseID))
 		if err != nil && !errors.Is(err, plat.ErrLeaseLost) {
 			failed = err
 		}
@@ -67,31 +68,31 @@
 	return failed
 }
 
-// Drain waits until no change is under way.
+// Drain waits until no change is in flight.
 func (s *Store) Drain() {
-	s.underWay.Wait()
+	s.inFlight.Wait()
 }
 
-// Reads returns how many reads and watches have reached the service.
+// Reads returns how many reads and watches the store has received.
 func (s *Store) Reads() int64 {
 	return s.reads.Load()
 }
 
-// Writes returns how many changes have reached the service, granted or not.
+// Writes returns how many changes the store has received, successful or not.
 func (s *Store) Writes() int64 {
 	return s.writes.Load()
 }
 
-// Get returns the entry, with revision zero where there is none.
+// Get returns the entry of the key, with revision zero if there is none.
 func (s *Store) Get(ctx context.Context, key string) (plat.Entry, error) {
-	now, err := s.read(ctx)
+	now, err := s.beginRead(ctx)
 	if err != nil {
 		return plat.Entry{}, fmt.Errorf("get %s: %w", key, err)
 	}
 	if !now.faults.Stale {
-		return s.inner.Get(ctx, key)
+		return s.backing.Get(ctx, key)
 	}
-	for _, e := range now.old.Entries {
+	for _, e := range now.staleListing.Entries {
 		if e.Key == key {
 			return e, nil
 		}
@@ -99,17 +100,17 @@
 	return plat.Entry{Key: key}, nil
 }
 
-// List returns all entries whose keys have the prefix, in the order of keys.
+// List returns all entries whose keys have the prefix, sorted by key.
 func (s *Store) List(ctx context.Context, prefix string) (plat.Listing, error) {
-	now, err := s.read(ctx)
+	now, err := s.beginRead(ctx)
 	if err != nil {
 		return plat.Listing{}, fmt.Errorf("list %s: %w", prefix, err)
 	}
 	if !now.faults.Stale {
-		return s.inner.List(ctx, prefix)
+		return s.backing.List(ctx, prefix)
 	}
-	l := plat.Listing{Revision: now.old.Revision}
-	for _, e := range now.old.Entries {
+	l := plat.Listing{Revision: now.staleListing.Revision}
+	for _, e := range now.staleListing.Entries {
 		if strings.HasPrefix(e.Key, prefix) {
 			l.Entries = append(l.Entries, e)
 		}
@@ -117,27 +118,27 @@
 	return l, nil
 }
 
-// Watch sends the changes under the prefix until the context ends or the service goes down.
+// Watch sends the changes under the prefix until the context ends or the store is down.
 func (s *Store) Watch(ctx context.Context, prefix string, from int64) (<-chan plat.Event, error) {
-	if _, err := s.read(ctx); err != nil {
+	if _, err := s.beginRead(ctx); err != nil {
 		return nil, fmt.Errorf("watch %s: %w", prefix, err)
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	in, err := s.inner.Watch(ctx, prefix, from)
+	in, err := s.backing.Watch(ctx, prefix, from)
 	if err != nil {
 		cancel()
 		return nil, err
 	}
 	out := make(chan plat.Event)
-	go s.relay(ctx, cancel, in, out)
+	go s.forwardEvents(ctx, cancel, in, out)
 	return out, nil
 }
 
-func (s *Store) relay(ctx context.Context, cancel func(), in <-chan plat.Event, out chan<- plat.Event) {
+func (s *Store) forwardEvents(ctx context.Context, cancel func(), in <-chan plat.Event, out chan<- plat.Event) {
 	defer close(out)
 	defer cancel()
 	for {
-		now := s.faults.Get()
+		now := s.state.Get()
 		if now.faults.Down {
 			return
 		}
@@ -156,23 +157,23 @@
 	}
 }
 
-// Swap replaces the entry and returns its new revision.
+// Swap replaces the entry if its revision is the expected one, and returns the new revision.
 func (s *Store) Swap(ctx context.Context, c plat.Swap) (int64, error) {
-	return write(ctx, s, "swap "+c.Key, func(ctx context.Context) (int64, error) { return s.inner.Swap(ctx, c) })
+	return write(ctx, s, "swap "+c.Key, func(ctx context.Context) (int64, error) { return s.backing.Swap(ctx, c) })
 }
 
 // Delete removes the entry if its revision is the expected one.
 func (s *Store) Delete(ctx context.Context, key string, expect int64) error {
 	_, err := write(ctx, s, "delete "+key, func(ctx context.Context) (struct{}, error) {
-		return struct{}{}, s.inner.Delete(ctx, key, expect)
+		return struct{}{}, s.backing.Delete(ctx, key, expect)
 	})
 	return err
 }
 
-// Grant returns a new lease of the given length.
+// Grant returns a new lease of the given duration.
 func (s *Store) Grant(ctx context.Context, ttl time.Duration) (plat.LeaseID, error) {
 	return write(ctx, s, "grant lease", func(ctx context.Context) (plat.LeaseID, error) {
-		id, err := s.inner.Grant(ctx, ttl)
+		id, err := s.backing.Grant(ctx, ttl)
 		s.leases.Store(id, nil)
 		return id, err
 	})
@@ -181,21 +182,21 @@
 // KeepAlive renews the lease and returns its remaining time.
 func (s *Store) KeepAlive(ctx context.Context, id plat.LeaseID) (time.Duration, error) {
 	return write(ctx, s, "keep lease alive", func(ctx context.Context) (time.Duration, error) {
-		return s.inner.KeepAlive(ctx, id)
+		return s.backing.KeepAlive(ctx, id)
 	})
 }
 
 // Revoke ends the lease and deletes its entries.
 func (s *Store) Revoke(ctx context.Context, id plat.LeaseID) error {
 	_, err := write(ctx, s, "revoke lease", func(ctx context.Context) (struct{}, error) {
-		return struct{}{}, s.inner.Revoke(ctx, id)
+		return struct{}{}, s.backing.Revoke(ctx, id)
 	})
 	return err
 }
 
-func (s *Store) read(ctx context.Context) (situation, error) {
+func (s *Store) beginRead(ctx context.Context) (faultState, error) {
 	s.reads.Add(1)
-	now := s.faults.Get()
+	now := s.state.Get()
 	if now.faults.Down || now.faults.Refuse {
 		return now, plat.ErrUnavailable
 	}
@@ -205,29 +206,30 @@
 	return now, nil
 }
 
-type outcome[T any] struct {
+type result[T any] struct {
 	value T
 	err   error
 }
 
-// write carries the change out even when its caller gives up, as a slow service does.
+// write makes the change even if its caller gives up before the delay is over, as a slow service
+// does.
 func write[T any](ctx context.Context, s *Store, what string, do func(context.Context) (T, error)) (T, error) {
 	var none T
 	s.writes.Add(1)
-	now := s.faults.Get()
+	now := s.state.Get()
 	if now.faults.Down || now.faults.Refuse || ctx.Err() != nil {
 		return none, fmt.Errorf("%s: %w", what, plat.ErrUnavailable)
 	}
-	done := make(chan outcome[T], 1)
-	s.underWay.Go(func() {
+	done := make(chan result[T], 1)
+	s.inFlight.Go(func() {
 		detached := context.WithoutCancel(ctx)
 		_ = clock.Wait(detached, now.faults.Delay)
 		v, err := do(detached)
-		done <- outcome[T]{value: v, err: err}
+		done <- result[T]{value: v, err: err}
 	})
 	select {
 	case o := <-done:
-		if o.err == nil && s.loseAnswer() {
+		if o.err == nil && s.takeLostAnswer() {
 			return none, fmt.Errorf("%s: %w", what, plat.ErrUnknown)
 		}
 		return o.value, o.err
@@ -236,8 +238,9 @@
 	}
 }
 
-func (s *Store) loseAnswer() bool {
-	return s.faults.TryUpdate(func(now situation) (situation, bool) {
+// takeLostAnswer reports whether the answer must be lost, and counts it off if so.
+func (s *Store) takeLostAnswer() bool {
+	return s.state.TryUpdate(func(now faultState) (faultState, bool) {
 		if now.faults.LostAnswers == 0 {
 			return now, false
 		}
