--- a/tools/fleet/audit.go
+++ b/tools/fleet/audit.go
@@ -11,55 +11,56 @@
 	"endivehitch/io/bills"
 )
 
-// audit prints the counts and reports whether nothing was lost or doubled.
-func audit(ctx context.Context, s *stand, d *drive) (bool, error) {
-	segments, err := bills.Read(ctx, s.store)
+// audit prints the counts and reports whether nothing was lost or duplicated.
+func audit(ctx context.Context, standIns *standIns, load *loadGenerator) (bool, error) {
+	segments, err := bills.Read(ctx, standIns.store)
 	if err != nil {
 		return false, fmt.Errorf("read bills: %w", err)
 	}
-	var t tally
-	for _, o := range d.outcomes {
-		t.add(o)
+	var counts tally
+	for _, o := range load.outcomes {
+		counts.add(o)
 	}
-	effects := s.effects()
+	effects := standIns.effects()
 	for _, n := range effects {
 		if n > 1 {
-			t.doubledEffects++
+			counts.duplicateEffects++
 		}
 	}
-	for key := range t.keys {
+	for key := range counts.keys {
 		if effects[key] == 0 {
-			t.lostEffects++
+			counts.missingEffects++
 		}
 	}
-	a := query.Reconcile(segments, t.billable)
-	say("wishes %d, answered %d, outcome unknown %d, given up %d", len(d.outcomes), len(t.answered), t.unknown, t.lost)
-	say("tries refused or cut off, by reason: %v", d.refused)
-	slices.Sort(t.took)
-	say("time to the answer: median %s, 99 in 100 %s", t.took[len(t.took)/2], t.took[len(t.took)*99/100])
-	say("orders %d, effects %d, doubled effects %d, answered without effect %d", len(t.keys), len(effects), t.doubledEffects, t.lostEffects)
-	say("bills %d, answers without a bill %d, requests billed twice %d, bills of earlier tries %d",
-		len(a.Charges), len(a.Missing), len(a.Duplicated), len(a.Unknown))
-	whole := t.lost == 0 && t.doubledEffects == 0 && t.lostEffects == 0 && len(a.Missing) == 0 && len(a.Duplicated) == 0
-	if whole {
-		say("nothing lost and nothing doubled")
+	reconciliation := query.Reconcile(segments, counts.billable)
+	logProgress("operations %d, answered %d, outcome unknown %d, given up %d", len(load.outcomes), len(counts.answered), counts.unknown, counts.unanswered)
+	logProgress("requests refused or cut off, by reason: %v", load.refused)
+	slices.Sort(counts.durations)
+	logProgress("time to the answer: median %s, 99th percentile %s", counts.durations[len(counts.durations)/2], counts.durations[len(counts.durations)*99/100])
+	logProgress("orders %d, effects %d, duplicate effects %d, answered without effect %d", len(counts.keys), len(effects), counts.duplicateEffects, counts.missingEffects)
+	logProgress("bills %d, answers without a bill %d, requests billed twice %d, bills of other requests %d",
+		len(reconciliation.Charges), len(reconciliation.Missing), len(reconciliation.Duplicated), len(reconciliation.Unknown))
+	passed := counts.unanswered == 0 && counts.duplicateEffects == 0 && counts.missingEffects == 0 && len(reconciliation.Missing) == 0 && len(reconciliation.Duplicated) == 0
+	if passed {
+		logProgress("nothing lost and nothing duplicated")
 	} else {
-		say("FAILED")
+		logProgress("FAILED")
 	}
-	return whole, nil
+	return passed, nil
 }
 
-// tally counts how callers' wishes ended.
+// tally sums up how the callers' operations ended.
 type tally struct {
 	answered []value.RequestID
-	// billable lists the answered requests that ran; a kept answer that is given again is not billed.
-	billable       []value.RequestID
-	keys           map[string]bool
-	took           []time.Duration
-	unknown        int
-	lost           int
-	doubledEffects int
-	lostEffects    int
+	// billable lists the answered requests that must have a bill. A keyed request that was answered
+	// on a retry is left out: its answer may be a stored one, which is not billed again.
+	billable         []value.RequestID
+	keys             map[string]bool
+	durations        []time.Duration
+	unknown          int
+	unanswered       int
+	duplicateEffects int
+	missingEffects   int
 }
 
 func (t *tally) add(o outcome) {
@@ -67,19 +68,19 @@
 		t.keys = make(map[string]bool)
 	}
 	switch {
-	case o.answered == "" && o.unknown:
+	case o.answeredRequest == "" && o.isUnknown:
 		t.unknown++
 		return
-	case o.answered == "":
-		t.lost++
+	case o.answeredRequest == "":
+		t.unanswered++
 		return
 	}
-	t.answered = append(t.answered, o.answered)
-	t.took = append(t.took, o.took)
+	t.answered = append(t.answered, o.answeredRequest)
+	t.durations = append(t.durations, o.duration)
 	if o.key != "" {
 		t.keys[o.key] = true
 	}
 	if o.key == "" || o.tries == 1 {
-		t.billable = append(t.billable, o.answered)
+		t.billable = append(t.billable, o.answeredRequest)
 	}
 }
--- a/tools/fleet/drive.go
+++ b/tools/fleet/drive.go
@@ -17,112 +17,114 @@
 )
 
 const (
-	retryWait = 250 * time.Millisecond
-	// retryTime is how long a caller tries to get one answer.
-	retryTime = 90 * time.Second
-	keyedIn   = 5
+	retryInterval = 250 * time.Millisecond
+	// retryTimeout is how long a caller retries one operation.
+	retryTimeout = 90 * time.Second
+	keyedEvery   = 5
 )
 
-// outcome is how a caller's wish ended.
+// outcome is how a caller's operation, that is a request with its retries, ended.
 type outcome struct {
 	kind string
 	key  string
-	// answered lists the request that got a whole answer; it is empty where none did.
-	answered value.RequestID
-	unknown  bool
-	tries    int
-	took     time.Duration
+	// answeredRequest is the request that got a complete answer; it is empty if none did.
+	answeredRequest value.RequestID
+	isUnknown       bool
+	tries           int
+	duration        time.Duration
 }
 
-// drive is the callers.
-type drive struct {
-	fleet *fleet
-	work  sync.WaitGroup
-	quit  chan struct{}
+// loadGenerator runs the callers and collects the outcomes of their operations.
+type loadGenerator struct {
+	fleet    *fleet
+	running  sync.WaitGroup
+	stopping chan struct{}
 
 	mu       sync.Mutex
 	outcomes []outcome
-	// falseNotRun counts refusals that said NotRun of a key that had taken effect.
+	// refused counts the requests without a complete answer, by reason.
 	refused map[string]int
 }
 
-func newDrive(f *fleet) *drive {
-	return &drive{fleet: f, quit: make(chan struct{}), refused: make(map[string]int)}
+func newLoadGenerator(f *fleet) *loadGenerator {
+	return &loadGenerator{fleet: f, stopping: make(chan struct{}), refused: make(map[string]int)}
 }
 
-func (d *drive) start(ctx context.Context) {
+func (g *loadGenerator) start(ctx context.Context) {
 	for i := range callers {
-		d.work.Go(func() { d.call(ctx, i) })
+		g.running.Go(func() { g.runCaller(ctx, i) })
 	}
 }
 
-func (d *drive) stop() {
-	close(d.quit)
-	d.work.Wait()
+func (g *loadGenerator) stop() {
+	close(g.stopping)
+	g.running.Wait()
 }
 
-func (d *drive) call(ctx context.Context, caller int) {
-	rnd := rand.New(rand.NewPCG(1, uint64(caller)))
+func (g *loadGenerator) runCaller(ctx context.Context, caller int) {
+	random := rand.New(rand.NewPCG(1, uint64(caller)))
 	for n := 0; ; n++ {
 		select {
-		case <-d.quit:
+		case <-g.stopping:
 			return
 		case <-ctx.Done():
 			return
 		default:
 		}
-		o := d.wish(ctx, rnd, fmt.Sprintf("%d-%d", caller, n), n%keyedIn == 0)
-		d.mu.Lock()
-		d.outcomes = append(d.outcomes, o)
-		d.mu.Unlock()
+		o := g.runOperation(ctx, random, fmt.Sprintf("%d-%d", caller, n), n%keyedEvery == 0)
+		g.mu.Lock()
+		g.outcomes = append(g.outcomes, o)
+		g.mu.Unlock()
 	}
 }
 
-// wish tries at one instance after the other until there is a whole answer or an honest "unknown".
-func (d *drive) wish(ctx context.Context, rnd *rand.Rand, name string, keyed bool) outcome {
-	o := outcome{kind: []string{"status-reply", "spelling", "menu-draft"}[rnd.IntN(3)]}
-	if keyed {
-		o.kind, o.key = "reorder", "order-"+name
+// runOperation sends the request to random instances until it gets a complete answer, the outcome is
+// reported as unknown, or retryTimeout has passed.
+func (g *loadGenerator) runOperation(ctx context.Context, random *rand.Rand, name string, hasKey bool) outcome {
+	result := outcome{kind: []string{"status-reply", "spelling", "menu-draft"}[random.IntN(3)]}
+	if hasKey {
+		result.kind, result.key = "reorder", "order-"+name
 	}
 	began := time.Now()
-	for time.Since(began) < retryTime && ctx.Err() == nil {
-		o.tries++
-		id, reason := d.try(ctx, rnd.IntN(instances), o, name)
-		o.took = time.Since(began)
+	for time.Since(began) < retryTimeout && ctx.Err() == nil {
+		result.tries++
+		id, reason := g.sendOnce(ctx, random.IntN(instances), result, name)
+		result.duration = time.Since(began)
 		if reason == "" {
-			o.answered = id
-			return o
+			result.answeredRequest = id
+			return result
 		}
-		d.mu.Lock()
-		d.refused[reason]++
-		d.mu.Unlock()
+		g.mu.Lock()
+		g.refused[reason]++
+		g.mu.Unlock()
 		if reason == string(value.ReasonOutcomeUnknown) {
-			o.unknown = true
-			return o
+			result.isUnknown = true
+			return result
 		}
-		clock.Passed(ctx, retryWait)
+		clock.Passed(ctx, retryInterval)
 	}
-	return o
+	return result
 }
 
-// try sends one request and returns its identifier, and the reason where it got no whole answer.
-func (d *drive) try(ctx context.Context, at int, o outcome, name string) (value.RequestID, string) {
-	ctx, cancel := context.WithTimeout(ctx, quickClient.Timeout)
+// sendOnce sends one request. It returns the request's identifier, or the reason why there was no
+// complete answer.
+func (g *loadGenerator) sendOnce(ctx context.Context, instanceIndex int, operation outcome, name string) (value.RequestID, string) {
+	ctx, cancel := context.WithTimeout(ctx, httpClient.Timeout)
 	defer cancel()
 	path, body := "/v1/chat/completions", fmt.Sprintf(`{"stream":%t,"messages":[{"role":"user","content":"question %s"}]}`, len(name)%2 == 0, name)
-	if o.key != "" {
-		path, body = "/v1/services/reorder-desk/orders", o.key
+	if operation.key != "" {
+		path, body = "/v1/services/reorder-desk/orders", operation.key
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, d.fleet.caller(at)+path, strings.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, g.fleet.callerURL(instanceIndex)+path, strings.NewReader(body))
 	if err != nil {
 		return "", err.Error()
 	}
 	req.Header.Set("Authorization", "Bearer "+callerKey)
-	req.Header.Set("Endivehitch-Kind", o.kind)
-	if o.key != "" {
-		req.Header.Set("Idempotency-Key", o.key)
+	req.Header.Set("Endivehitch-Kind", operation.kind)
+	if operation.key != "" {
+		req.Header.Set("Idempotency-Key", operation.key)
 	}
-	resp, err := quickClient.Do(req)
+	resp, err := httpClient.Do(req)
 	if err != nil {
 		return "", "NoConnection"
 	}
@@ -134,7 +136,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return "", reasonOf(answer)
 	}
-	if o.key == "" && !bytes.Contains(answer, []byte(name)) && !bytes.Contains(answer, []byte(strings.TrimSpace(name))) {
+	if operation.key == "" && !bytes.Contains(answer, []byte(name)) && !bytes.Contains(answer, []byte(strings.TrimSpace(name))) {
 		return "", "AnotherAnswer"
 	}
 	return value.RequestID(resp.Header.Get("X-Request-Id")), ""
--- a/tools/fleet/fleet.go
+++ b/tools/fleet/fleet.go
@@ -19,55 +19,56 @@
 )
 
 const (
-	environment = value.Environment("trial")
-	account     = value.AccountName("ward-alkapuri")
-	callerKey   = "caller-key"
-	operatorKey = "operator-key"
-	applyTries  = 20
-	readyTries  = 200
-	readyWait   = 100 * time.Millisecond
+	environment   = value.Environment("trial")
+	account       = value.AccountName("ward-alkapuri")
+	callerKey     = "caller-key"
+	operatorKey   = "operator-key"
+	maxApplyTries = 20
+	maxReadyTries = 200
+	readyInterval = 100 * time.Millisecond
 )
 
 var (
-	domains     = []value.FailureDomain{"guj-a", "guj-b", "guj-c"}
-	quickClient = &http.Client{Timeout: 20 * time.Second}
+	domains    = []value.FailureDomain{"guj-a", "guj-b", "guj-c"}
+	httpClient = &http.Client{Timeout: 20 * time.Second}
 )
 
-// process is one instance; place names its ports and its failure domain.
+// process is one instance; ports are those of its listeners for callers, operators and peers.
 type process struct {
 	id    string
 	ports [3]int
 	cmd   *exec.Cmd
 }
 
-// fleet is the running instances.
+// fleet is the instances' processes; the index of a process determines its failure domain. A
+// replacement takes over the index and the ports.
 type fleet struct {
-	program  string
-	folder   string
-	stand    *stand
-	slots    []*process
-	started  int
-	revision int64
+	program      string
+	dir          string
+	standIns     *standIns
+	processes    []*process
+	replacements int
+	revision     int64
 }
 
-func startFleet(ctx context.Context, program string, s *stand) (*fleet, error) {
-	folder, err := os.MkdirTemp("", "fleet")
+func startFleet(ctx context.Context, program string, standIns *standIns) (*fleet, error) {
+	dir, err := os.MkdirTemp("", "fleet")
 	if err != nil {
-		return nil, fmt.Errorf("make folder: %w", err)
+		return nil, fmt.Errorf("create directory: %w", err)
 	}
-	f := &fleet{program: program, folder: folder, stand: s}
+	f := &fleet{program: program, dir: dir, standIns: standIns}
 	for range instances {
-		p := &process{id: fmt.Sprintf("i-%d", len(f.slots)+1)}
+		p := &process{id: fmt.Sprintf("i-%d", len(f.processes)+1)}
 		if p.ports, err = freePorts(); err != nil {
 			return nil, err
 		}
-		f.slots = append(f.slots, p)
+		f.processes = append(f.processes, p)
 	}
-	if err := os.WriteFile(f.settings(), []byte(f.settingsText()), 0o600); err != nil {
+	if err := os.WriteFile(f.settingsPath(), []byte(f.settingsText()), 0o600); err != nil {
 		return nil, fmt.Errorf("write settings: %w", err)
 	}
-	for i := range f.slots {
-		if err := f.run(ctx, i); err != nil {
+	for i := range f.processes {
+		if err := f.startProcess(ctx, i); err != nil {
 			return nil, err
 		}
 	}
@@ -79,7 +80,7 @@
 	for i := range ports {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
-			return ports, fmt.Errorf("find a port: %w", err)
+			return ports, fmt.Errorf("find a free port: %w", err)
 		}
 		defer l.Close()
 		ports[i] = l.Addr().(*net.TCPAddr).Port
@@ -87,15 +88,15 @@
 	return ports, nil
 }
 
-func (f *fleet) settings() string {
-	return filepath.Join(f.folder, "settings.yaml")
+func (f *fleet) settingsPath() string {
+	return filepath.Join(f.dir, "settings.yaml")
 }
 
 func (f *fleet) settingsText() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "Callers:\n  - {Hash: %s, ClientAccount: %s}\n", hash(callerKey), account)
 	fmt.Fprintf(&b, "Operators:\n  - {Hash: %s, Name: fleet}\nServers:\n", hash(operatorKey))
-	for _, s := range f.stand.servers {
+	for _, s := range f.standIns.servers {
 		var versions []string
 		for _, v := range s.Versions {
 			versions = append(versions, string(v))
@@ -104,7 +105,7 @@
 			s.ID, s.Address, s.Pool, s.FailureDomain, strings.Join(versions, ", "))
 	}
 	b.WriteString("Instances:\n")
-	for i, p := range f.slots {
+	for i, p := range f.processes {
 		fmt.Fprintf(&b, "  - {ID: %s, FailureDomain: %s, PeerAddress: '127.0.0.1:%d'}\n", p.id, domains[i%len(domains)], p.ports[2])
 	}
 	return b.String()
@@ -115,17 +116,17 @@
 	return hex.EncodeToString(sum[:])
 }
 
-func (f *fleet) run(ctx context.Context, i int) error {
-	p := f.slots[i]
-	log, err := os.Create(filepath.Join(f.folder, p.id+".log"))
+func (f *fleet) startProcess(ctx context.Context, i int) error {
+	p := f.processes[i]
+	log, err := os.Create(filepath.Join(f.dir, p.id+".log"))
 	if err != nil {
-		return fmt.Errorf("make log: %w", err)
+		return fmt.Errorf("create log file: %w", err)
 	}
 	defer log.Close()
 	p.cmd = exec.CommandContext(ctx, f.program, "serve",
 		"--id", p.id, "--failure-domain", string(domains[i%len(domains)]), "--environment", string(environment),
 		"--callers", address(p.ports[0]), "--operators", address(p.ports[1]), "--peers", address(p.ports[2]),
-		"--platform", f.stand.platform.URL, "--settings", f.settings(), "--session-key", strings.Repeat("ab", 32))
+		"--platform", f.standIns.platform.URL, "--settings", f.settingsPath(), "--session-key", strings.Repeat("ab", 32))
 	p.cmd.Stdout, p.cmd.Stderr = log, log
 	if err := p.cmd.Start(); err != nil {
 		return fmt.Errorf("start %s: %w", p.id, err)
@@ -137,56 +138,56 @@
 	return fmt.Sprintf("127.0.0.1:%d", port)
 }
 
-func (f *fleet) name(i int) string     { return f.slots[i].id }
-func (f *fleet) caller(i int) string   { return "http://" + address(f.slots[i].ports[0]) }
-func (f *fleet) operator(i int) string { return "http://" + address(f.slots[i].ports[1]) }
-func (f *fleet) freeze(i int) error    { return f.slots[i].cmd.Process.Signal(syscall.SIGSTOP) }
+func (f *fleet) idOf(i int) string        { return f.processes[i].id }
+func (f *fleet) callerURL(i int) string   { return "http://" + address(f.processes[i].ports[0]) }
+func (f *fleet) operatorURL(i int) string { return "http://" + address(f.processes[i].ports[1]) }
+func (f *fleet) suspend(i int) error      { return f.processes[i].cmd.Process.Signal(syscall.SIGSTOP) }
 
-func (f *fleet) thaw(i int) error { return f.slots[i].cmd.Process.Signal(syscall.SIGCONT) }
+func (f *fleet) resume(i int) error { return f.processes[i].cmd.Process.Signal(syscall.SIGCONT) }
 
-// replace kills an instance and starts another one, with a new identifier, in its place.
+// replace kills an instance and starts one with a new identifier at its ports.
 func (f *fleet) replace(ctx context.Context, i int) error {
-	if err := f.slots[i].cmd.Process.Kill(); err != nil {
-		return fmt.Errorf("kill %s: %w", f.slots[i].id, err)
+	if err := f.processes[i].cmd.Process.Kill(); err != nil {
+		return fmt.Errorf("kill %s: %w", f.processes[i].id, err)
 	}
-	_ = f.slots[i].cmd.Wait()
-	f.started++
-	f.slots[i].id = fmt.Sprintf("i-%d", instances+f.started)
-	return f.run(ctx, i)
+	_ = f.processes[i].cmd.Wait()
+	f.replacements++
+	f.processes[i].id = fmt.Sprintf("i-%d", instances+f.replacements)
+	return f.startProcess(ctx, i)
 }
 
-// awaitReady returns once every instance has a configuration in force.
+// awaitReady returns once every instance has reported that it is ready.
 func (f *fleet) awaitReady(ctx context.Context) error {
-	for i := range f.slots {
-		if err := f.awaitOne(ctx, i); err != nil {
+	for i := range f.processes {
+		if err := f.awaitInstanceReady(ctx, i); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (f *fleet) awaitOne(ctx context.Context, i int) error {
-	for range readyTries {
-		resp, err := quickClient.Get(f.caller(i) + "/ready")
+func (f *fleet) awaitInstanceReady(ctx context.Context, i int) error {
+	for range maxReadyTries {
+		resp, err := httpClient.Get(f.callerURL(i) + "/ready")
 		if err == nil {
 			_ = resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
 				return nil
 			}
 		}
-		clock.Passed(ctx, readyWait)
+		clock.Passed(ctx, readyInterval)
 	}
-	return fmt.Errorf("%s is not ready; its log is in %s", f.slots[i].id, f.folder)
+	return fmt.Errorf("%s is not ready; its log is in %s", f.processes[i].id, f.dir)
 }
 
-// leave ends all instances one after the other, as a restart of the fleet does.
-func (f *fleet) leave() error {
-	for _, p := range f.slots {
+// shutDown stops all instances gracefully, one after the other, as a rolling restart does.
+func (f *fleet) shutDown() error {
+	for _, p := range f.processes {
 		if err := p.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 			return fmt.Errorf("stop %s: %w", p.id, err)
 		}
 		if err := p.cmd.Wait(); err != nil {
-			return fmt.Errorf("%s ended badly; its log is in %s: %w", p.id, f.folder, err)
+			return fmt.Errorf("shut down %s (its log is in %s): %w", p.id, f.dir, err)
 		}
 		p.cmd = nil
 	}
@@ -194,7 +195,7 @@
 }
 
 func (f *fleet) killAll() {
-	for _, p := range f.slots {
+	for _, p := range f.processes {
 		if p.cmd != nil && p.cmd.Process != nil {
 			_ = p.cmd.Process.Kill()
 			_ = p.cmd.Wait()
--- a/tools/fleet/main.go
+++ b/tools/fleet/main.go
@@ -1,5 +1,9 @@
-// Command fleet runs seven instances as processes on loopback before stand-ins, breaks them, and
-// counts requests, answers, bills and effects.
+// Command fleet runs seven instances as processes on loopback and injects faults while callers send
+// requests: it kills, replaces and suspends instances, makes the key-value store unreachable and
+// changes the configuration. Stand-ins serve as the platform and the backend servers.
+//
+// Afterwards it compares requests, answers, bills and effects, and exits with 1 if any was lost or
+// duplicated. The loadGenerator holds the callers, the fleet the processes, standIns the stand-ins.
 package main
 
 import (
@@ -18,7 +22,7 @@
 const (
 	instances    = 7
 	callers      = 12
-	calmTime     = 8 * time.Second
+	steadyTime   = 8 * time.Second
 	pauseTime    = 20 * time.Second
 	outageTime   = 30 * time.Second
 	recoveryTime = 15 * time.Second
@@ -31,95 +35,96 @@
 		fmt.Fprintln(os.Stderr, "usage: fleet PROGRAM DOCUMENT")
 		os.Exit(2)
 	}
-	whole, err := trial(ctx, os.Args[1], os.Args[2])
+	passed, err := runTrial(ctx, os.Args[1], os.Args[2])
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "fleet:", err)
 		os.Exit(1)
 	}
-	if !whole {
+	if !passed {
 		os.Exit(1)
 	}
 }
 
-// trial runs the whole course and reports whether nothing was lost or doubled.
-func trial(ctx context.Context, program, document string) (bool, error) {
-	s, err := newStand(document)
+// runTrial runs the fleet from start to shutdown and reports whether the audit found nothing lost or
+// duplicated.
+func runTrial(ctx context.Context, program, document string) (bool, error) {
+	standIns, err := newStandIns(document)
 	if err != nil {
 		return false, err
 	}
-	defer s.close()
-	f, err := startFleet(ctx, program, s)
+	defer standIns.close()
+	instanceFleet, err := startFleet(ctx, program, standIns)
 	if err != nil {
 		return false, err
 	}
-	defer f.killAll()
-	if err := f.apply(ctx, s.document, 0); err != nil {
+	defer instanceFleet.killAll()
+	if err := instanceFleet.apply(ctx, standIns.document, 0); err != nil {
 		return false, err
 	}
-	if err := f.awaitReady(ctx); err != nil {
+	if err := instanceFleet.awaitReady(ctx); err != nil {
 		return false, err
 	}
-	d := newDrive(f)
-	d.start(ctx)
-	if err := course(ctx, f, s); err != nil {
+	load := newLoadGenerator(instanceFleet)
+	load.start(ctx)
+	if err := injectFaults(ctx, instanceFleet, standIns); err != nil {
 		return false, err
 	}
-	d.stop()
-	if err := f.leave(); err != nil {
+	load.stop()
+	if err := instanceFleet.shutDown(); err != nil {
 		return false, err
 	}
-	return audit(ctx, s, d)
+	return audit(ctx, standIns, load)
 }
 
-// course breaks the fleet while callers go on.
-func course(ctx context.Context, f *fleet, s *stand) error {
-	say("%d instances serve", instances)
-	clock.Passed(ctx, calmTime)
-	say("kill -9 of %s; a new instance takes its place", f.name(0))
+// injectFaults injects one fault after the other while callers send requests.
+func injectFaults(ctx context.Context, f *fleet, standIns *standIns) error {
+	logProgress("%d instances are ready", instances)
+	clock.Passed(ctx, steadyTime)
+	logProgress("kill -9 of %s; starting a new instance in its place", f.idOf(0))
 	if err := f.replace(ctx, 0); err != nil {
 		return err
 	}
-	clock.Passed(ctx, calmTime)
-	say("SIGSTOP of %s for %s", f.name(1), pauseTime)
-	if err := f.freeze(1); err != nil {
+	clock.Passed(ctx, steadyTime)
+	logProgress("SIGSTOP of %s for %s", f.idOf(1), pauseTime)
+	if err := f.suspend(1); err != nil {
 		return err
 	}
 	clock.Passed(ctx, pauseTime)
-	if err := f.thaw(1); err != nil {
+	if err := f.resume(1); err != nil {
 		return err
 	}
-	say("the platform's key-value service is down for %s", outageTime)
-	if err := s.setDown(true); err != nil {
+	logProgress("the platform's key-value store is down for %s", outageTime)
+	if err := standIns.setStoreDown(true); err != nil {
 		return err
 	}
 	clock.Passed(ctx, outageTime)
-	if err := s.setDown(false); err != nil {
+	if err := standIns.setStoreDown(false); err != nil {
 		return err
 	}
-	say("a new configuration")
-	if err := f.apply(ctx, append(s.document, "# Second edition.\n"...), f.revision); err != nil {
+	logProgress("applying a new configuration")
+	if err := f.apply(ctx, append(standIns.document, "# Second edition.\n"...), f.revision); err != nil {
 		return err
 	}
 	clock.Passed(ctx, recoveryTime)
 	return nil
 }
 
-// apply sends the document to an instance until one takes it.
+// apply sends the document to the last instance, and retries until it is applied.
 func (f *fleet) apply(ctx context.Context, document []byte, expect int64) error {
 	order := cmds.ApplyOrder{Environment: environment, Change: value.ChangeID(fmt.Sprint("change-", expect)), Expect: expect, Document: document}
-	var last error
-	for range applyTries {
-		applied, err := cmds.SendApply(ctx, route.Client{Base: f.operator(instances - 1), Key: operatorKey, HTTP: quickClient}, order)
+	var lastErr error
+	for range maxApplyTries {
+		applied, err := cmds.SendApply(ctx, route.Client{Base: f.operatorURL(instances - 1), Key: operatorKey, HTTP: httpClient}, order)
 		if err == nil {
 			f.revision = applied.Revision
 			return nil
 		}
-		last = err
+		lastErr = err
 		clock.Passed(ctx, time.Second)
 	}
-	return fmt.Errorf("apply document: %w", last)
+	return fmt.Errorf("apply document: %w", lastErr)
 }
 
-func say(format string, args ...any) {
+func logProgress(format string, args ...any) {
 	fmt.Printf("%s == "+format+"\n", append([]any{time.Now().Format(time.TimeOnly)}, args...)...)
 }
--- a/tools/fleet/stand.go
+++ b/tools/fleet/stand.go
@@ -17,31 +17,31 @@
 	historyEvents  = 1 << 16
 )
 
-// stand is the stand-ins for the platform and the backend servers, in this process.
-type stand struct {
-	document []byte
-	parsed   value.Document
-	store    *fakes.Store
-	platform *httptest.Server
-	servers  []value.BackendServer
-	services []*fakes.Plain
-	running  []*httptest.Server
+// standIns holds the stand-ins for the platform and the backend servers, which run in this process.
+type standIns struct {
+	document    []byte
+	parsed      value.Document
+	store       *fakes.Store
+	platform    *httptest.Server
+	servers     []value.BackendServer
+	services    []*fakes.Plain
+	httpServers []*httptest.Server
 }
 
-func newStand(path string) (*stand, error) {
+func newStandIns(path string) (*standIns, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("read document: %w", err)
 	}
 	doc, err := conf.Parse(data)
 	if err != nil {
-		return nil, fmt.Errorf("check document: %w", err)
+		return nil, fmt.Errorf("parse document: %w", err)
 	}
-	inner, err := plat.NewEmbedded(plat.EmbeddedConfig{Now: time.Now, History: historyEvents})
+	backing, err := plat.NewEmbedded(plat.EmbeddedConfig{Now: time.Now, History: historyEvents})
 	if err != nil {
-		return nil, fmt.Errorf("make store: %w", err)
+		return nil, fmt.Errorf("create store: %w", err)
 	}
-	s := &stand{document: data, parsed: doc, store: fakes.NewStore(inner)}
+	s := &standIns{document: data, parsed: doc, store: fakes.NewStore(backing)}
 	s.platform = httptest.NewServer(fakes.Etcd{Store: s.store}.Handler())
 	for _, p := range doc.Pools {
 		s.addPool(p.Name)
@@ -49,7 +49,7 @@
 	return s, nil
 }
 
-func (s *stand) addPool(pool value.PoolName) {
+func (s *standIns) addPool(pool value.PoolName) {
 	var versions []value.VersionKey
 	for _, m := range s.parsed.Models {
 		for _, v := range m.Versions {
@@ -61,28 +61,28 @@
 	for i := range serversPerPool {
 		id := fmt.Sprintf("%s-%d", pool, i+1)
 		if len(versions) > 0 {
-			s.add(id, pool, httptest.NewServer(&fakes.Chat{Name: id}), versions)
+			s.addServer(id, pool, httptest.NewServer(&fakes.Chat{Name: id}), versions)
 			continue
 		}
 		p := &fakes.Plain{Name: id}
 		s.services = append(s.services, p)
-		s.add(id, pool, httptest.NewServer(p), nil)
+		s.addServer(id, pool, httptest.NewServer(p), nil)
 	}
 }
 
-func (s *stand) add(id string, pool value.PoolName, at *httptest.Server, versions []value.VersionKey) {
-	s.running = append(s.running, at)
+func (s *standIns) addServer(id string, pool value.PoolName, at *httptest.Server, versions []value.VersionKey) {
+	s.httpServers = append(s.httpServers, at)
 	s.servers = append(s.servers, value.BackendServer{
 		ID: value.ServerID(id), Address: at.URL, Pool: pool, FailureDomain: domains[len(s.servers)%len(domains)], Versions: versions,
 	})
 }
 
-func (s *stand) setDown(down bool) error {
+func (s *standIns) setStoreDown(down bool) error {
 	return s.store.Set(fakes.Faults{}.WithDown(down))
 }
 
-// effects returns how often each body has taken effect at any plain service.
-func (s *stand) effects() map[string]int {
+// effects returns how often each request body has taken effect, over all plain services.
+func (s *standIns) effects() map[string]int {
 	all := make(map[string]int)
 	for _, p := range s.services {
 		for body, n := range p.Effects() {
@@ -92,10 +92,10 @@
 	return all
 }
 
-func (s *stand) close() {
+func (s *standIns) close() {
 	s.platform.CloseClientConnections()
 	s.platform.Close()
-	for _, r := range s.running {
+	for _, r := range s.httpServers {
 		r.CloseClientConnections()
 		r.Close()
 	}
