--- a/core/policy/estimate.go
+++ b/core/policy/estimate.go
@@ -102,7 +102,8 @@
 	return e.totalWeight > 0
 }
 
-// FreshUntil returns the time until which the bounds keep their full confidence; zero means without end.
+// FreshUntil returns the time until which the bounds keep their full confidence; it is zero
+// where there are no ratings, since the bounds then never lose confidence.
 func (e Estimate) FreshUntil() time.Time {
 	if !e.HasRatings() {
 		return time.Time{}
--- a/core/policy/fair.go
+++ b/core/policy/fair.go
@@ -12,21 +12,22 @@
 // service that one does not use goes to the others. The zero value is empty and ready for use.
 type FairQueue[G, K comparable, V any] struct {
 	groups []group[G, K, V]
-	clock  float64
-	size   int
+	// clock is the virtual time: the highest start time of a group that has been served.
+	clock float64
+	size  int
 }
 
 // lookAhead is how many items of a lane are tried in turn, so that an item that can't be served yet
 // does not block those behind it.
 const lookAhead = 4
 
-// Entry is an item with its group, lane and weights in a Fair queue.
+// Entry is an item with its group, lane and weights in a FairQueue.
 type Entry[G, K comparable, V any] struct {
 	Group       G
 	GroupWeight float64
 	Lane        K
 	LaneWeight  float64
-	// Cost is how much service the item takes, in a unit of the caller's.
+	// Cost is how much service the item takes; it has the same unit for all items of a queue.
 	Cost float64
 	Item V
 }
@@ -41,7 +42,8 @@
 }
 
 type lane[G, K comparable, V any] struct {
-	key   K
+	key K
+	// tag is the virtual start time of the lane's next item.
 	tag   float64
 	items []Entry[G, K, V]
 }
--- a/core/policy/limiter.go
+++ b/core/policy/limiter.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Limiter is an adaptive concurrency limit that follows measured latency; the zero value is at its
-// configured first limit.
+// Limiter is an adaptive concurrency limit that follows measured latency; the zero value has the
+// configured initial limit.
 type Limiter struct {
 	limit    float64
 	unloaded time.Duration
@@ -16,7 +16,7 @@
 type LimiterConfig struct {
 	// Initial is the limit before the first sample.
 	Initial float64
-	// Min and Most are the lowest and the highest limit.
+	// Min and Max are the lowest and the highest limit; a Max below Initial counts as Initial.
 	Min float64
 	Max float64
 	// Tolerance is the ratio of the highest normal latency to the unloaded latency.
@@ -39,8 +39,9 @@
 	l.unloaded = l.baselineAfter(c, latency)
 	normal := float64(l.unloaded) * c.Tolerance
 	if latency > 0 && float64(latency) > normal {
-		// The gradient is the ratio of normal to measured latency. A slow sample lowers the limit by
-		// 1-gradient, so as many samples as the limit lower it by about the factor gradient.
+		// The gradient is the ratio of normal to measured latency. One slow sample lowers the limit by
+		// 1-gradient, so one from each of as many concurrent attempts as the limit allows multiplies
+		// the limit by about the gradient.
 		gradient := max(c.Backoff, normal/float64(latency))
 		limit *= 1 - (1-gradient)/limit
 		return l.withLimit(c, limit)
--- a/core/policy/mean.go
+++ b/core/policy/mean.go
@@ -15,7 +15,7 @@
 	At time.Time
 }
 
-// DecayingMeanConfig sets how fast samples lose weight in a Smooth.
+// DecayingMeanConfig sets how fast samples lose weight in a DecayingMean.
 type DecayingMeanConfig struct {
 	// HalfLife is the age at which a sample has lost half of its weight.
 	HalfLife time.Duration
@@ -24,22 +24,22 @@
 }
 
 // With returns an average that includes the sample.
-func (s DecayingMean) With(c DecayingMeanConfig, sample time.Duration, at time.Time) DecayingMean {
-	oldWeight := min(s.Weight*decayFactor(c.HalfLife, at.Sub(s.At)), c.MaxWeight-1)
-	if s.Weight == 0 {
+func (m DecayingMean) With(c DecayingMeanConfig, sample time.Duration, at time.Time) DecayingMean {
+	oldWeight := min(m.Weight*decayFactor(c.HalfLife, at.Sub(m.At)), c.MaxWeight-1)
+	if m.Weight == 0 {
 		oldWeight = 0
 	}
-	mean := (float64(s.Mean)*oldWeight + float64(sample)) / (oldWeight + 1)
+	mean := (float64(m.Mean)*oldWeight + float64(sample)) / (oldWeight + 1)
 	return DecayingMean{Mean: time.Duration(mean), Weight: oldWeight + 1, At: at}
 }
 
-// MeanAt returns the mean, lowered with the age of the latest sample, so that a candidate whose high
-// mean is no longer confirmed by samples is tried again.
-func (s DecayingMean) MeanAt(halfLife time.Duration, now time.Time) time.Duration {
-	if s.Weight == 0 {
+// MeanAt returns the mean, lowered with the age of the latest sample, so that a candidate that is
+// avoided because of a high mean, and so has no new samples, is tried again later.
+func (m DecayingMean) MeanAt(halfLife time.Duration, now time.Time) time.Duration {
+	if m.Weight == 0 {
 		return 0
 	}
-	return time.Duration(float64(s.Mean) * decayFactor(halfLife, now.Sub(s.At)))
+	return time.Duration(float64(m.Mean) * decayFactor(halfLife, now.Sub(m.At)))
 }
 
 // decayFactor returns the factor by which a weight changes over the age; a negative age counts as 0.
--- a/core/policy/quantile.go
+++ b/core/policy/quantile.go
@@ -33,7 +33,7 @@
 	return q
 }
 
-// Value returns the estimate, or zero while there are fewer than MinSeen samples.
+// Value returns the estimate, or zero while there are fewer than MinSamples samples.
 func (q Quantile) Value(c QuantileConfig) time.Duration {
 	if q.samples < c.MinSamples {
 		return 0
--- a/core/policy/quota.go
+++ b/core/policy/quota.go
@@ -8,9 +8,9 @@
 // Quota bounds extra attempts within a sliding window as a share of the window's first attempts; the
 // zero value has counted none.
 //
-// Because the bound is a ratio, a quota that holds at every instance also holds for the fleet. Unlike
-// a Budget, which caps the burst at a fixed number, it lets a failure of many servers at once use all
-// the extra attempts that the window's first attempts allow.
+// Because the bound is a ratio, a quota that holds at every instance also holds for the fleet. A
+// Budget caps a burst at a fixed number; a quota allows all extra attempts of a window in one burst,
+// as a failure of many servers at once needs them.
 type Quota struct {
 	buckets [quotaBuckets]quotaBucket
 	// newest is the number of the latest bucket, counted from the Unix epoch.
@@ -80,10 +80,10 @@
 
 func (q Quota) totals() quotaBucket {
 	var all quotaBucket
-	for _, p := range q.buckets {
-		all.first += p.first
-		all.extra += p.extra
-		all.optional += p.optional
+	for _, b := range q.buckets {
+		all.first += b.first
+		all.extra += b.extra
+		all.optional += b.optional
 	}
 	return all
 }
--- a/core/policy/sample.go
+++ b/core/policy/sample.go
@@ -15,7 +15,7 @@
 type RandomChoice[T any] struct {
 	// Tries is how many random candidates are compared.
 	Tries int
-	// Score returns a candidate's score; lower is better, and Never excludes the candidate.
+	// Score returns a candidate's score; lower is better, and Excluded rules the candidate out.
 	Score func(T) float64
 }
 
--- a/core/policy/sequential.go
+++ b/core/policy/sequential.go
@@ -13,7 +13,7 @@
 	Max float64
 }
 
-// SequentialTestConfig configures a Watch.
+// SequentialTestConfig configures a SequentialTest.
 type SequentialTestConfig[S comparable] struct {
 	Limits []SignalLimit[S]
 	// FalseAlarm bounds the probability that an alarm is ever raised while no limit is exceeded.
@@ -22,7 +22,7 @@
 	Horizon float64
 }
 
-// SequentialTest is a sequential test of several limits, which may be evaluated after every trial without
+// SequentialTest is a sequential test of several limits. It may be evaluated after every trial without
 // raising the probability of a false alarm; it is immutable.
 //
 // Each limit is tested by betting: a mixture of bets that the share of bad trials is above the limit.
@@ -47,37 +47,38 @@
 
 const (
 	initialStake = 0.5
-	// minLimit keeps the odds of a limit of zero finite.
+	// minLimit replaces lower limits, as a bad trial at a limit of zero would have an infinite payoff.
 	minLimit = 0.001
 )
 
-// New returns a watch without any trials.
+// New returns a test without any trials.
 func (c SequentialTestConfig[S]) New() SequentialTest[S] {
-	w := SequentialTest[S]{config: c, tests: make([]limitTest, len(c.Limits))}
-	for i := range w.tests {
+	s := SequentialTest[S]{config: c, tests: make([]limitTest, len(c.Limits))}
+	for i := range s.tests {
 		for j := range oddsRatios {
-			w.tests[i].capital[j] = initialStake / float64(len(oddsRatios))
+			s.tests[i].capital[j] = initialStake / float64(len(oddsRatios))
 		}
 	}
-	return w
+	return s
 }
 
-// With returns the watch after a number of trials of the signal, of which so many were bad; their
-// order does not matter.
-func (w SequentialTest[S]) With(signal S, trials, bad int) SequentialTest[S] {
-	return w.updateTest(signal, trials, func(test limitTest, limit float64) limitTest {
-		return test.withDueStake(w.config.Horizon, trials).withPayoff(limit, func(badFactor, goodFactor float64) float64 {
+// With returns the test after a batch of trials of the signal, of which the given number were bad;
+// their order does not matter.
+func (s SequentialTest[S]) With(signal S, trials, bad int) SequentialTest[S] {
+	return s.updateTest(signal, trials, func(test limitTest, limit float64) limitTest {
+		return test.withDueStake(s.config.Horizon, trials).withPayoff(limit, func(badFactor, goodFactor float64) float64 {
 			return math.Pow(badFactor, float64(bad)) * math.Pow(goodFactor, float64(trials-bad))
 		})
 	})
 }
 
-// WithWeighted returns the watch after one trial that counts with a weight from 0 to 1.
+// WithWeighted returns the test after one trial that counts with a weight from 0 to 1.
 //
-// Trials that were sampled at different rates get the weight lowest rate divided by own rate.
-func (w SequentialTest[S]) WithWeighted(signal S, bad bool, weight float64) SequentialTest[S] {
-	return w.updateTest(signal, 1, func(test limitTest, limit float64) limitTest {
-		return test.withDueStake(w.config.Horizon, 1).withPayoff(limit, func(badFactor, goodFactor float64) float64 {
+// Where trials are sampled at different rates, the weight is the lowest of the rates divided by the
+// trial's own rate.
+func (s SequentialTest[S]) WithWeighted(signal S, bad bool, weight float64) SequentialTest[S] {
+	return s.updateTest(signal, 1, func(test limitTest, limit float64) limitTest {
+		return test.withDueStake(s.config.Horizon, 1).withPayoff(limit, func(badFactor, goodFactor float64) float64 {
 			if bad {
 				return 1 + weight*(badFactor-1)
 			}
@@ -87,19 +88,19 @@
 }
 
 // Trials returns the number of trials of the signal.
-func (w SequentialTest[S]) Trials(signal S) int {
-	i := w.find(signal)
+func (s SequentialTest[S]) Trials(signal S) int {
+	i := s.find(signal)
 	if i < 0 {
 		return 0
 	}
-	return w.tests[i].trials
+	return s.tests[i].trials
 }
 
-// Alarm returns the first signal whose limit is exceeded, if there is one.
-func (w SequentialTest[S]) Alarm() (S, bool) {
-	threshold := float64(len(w.tests)) / w.config.FalseAlarm
-	for i, l := range w.config.Limits {
-		if w.tests[i].totalCapital() >= threshold {
+// Alarm returns the first signal whose test has found its limit exceeded, if there is one.
+func (s SequentialTest[S]) Alarm() (S, bool) {
+	threshold := float64(len(s.tests)) / s.config.FalseAlarm
+	for i, l := range s.config.Limits {
+		if s.tests[i].totalCapital() >= threshold {
 			return l.Signal, true
 		}
 	}
@@ -107,24 +108,24 @@
 	return none, false
 }
 
-// Config returns the configuration of the watch.
-func (w SequentialTest[S]) Config() SequentialTestConfig[S] {
-	return w.config
+// Config returns the configuration of the test.
+func (s SequentialTest[S]) Config() SequentialTestConfig[S] {
+	return s.config
 }
 
-func (w SequentialTest[S]) find(signal S) int {
-	return slices.IndexFunc(w.config.Limits, func(l SignalLimit[S]) bool { return l.Signal == signal })
+func (s SequentialTest[S]) find(signal S) int {
+	return slices.IndexFunc(s.config.Limits, func(l SignalLimit[S]) bool { return l.Signal == signal })
 }
 
-func (w SequentialTest[S]) updateTest(signal S, trials int, next func(limitTest, float64) limitTest) SequentialTest[S] {
-	i := w.find(signal)
+func (s SequentialTest[S]) updateTest(signal S, trials int, next func(limitTest, float64) limitTest) SequentialTest[S] {
+	i := s.find(signal)
 	if i < 0 || trials <= 0 {
-		return w
+		return s
 	}
-	w.tests = slices.Clone(w.tests)
-	w.tests[i] = next(w.tests[i], max(w.config.Limits[i].Max, minLimit))
-	w.tests[i].trials += trials
-	return w
+	s.tests = slices.Clone(s.tests)
+	s.tests[i] = next(s.tests[i], max(s.config.Limits[i].Max, minLimit))
+	s.tests[i].trials += trials
+	return s
 }
 
 // withDueStake adds the part of the reserved stake that falls due over the next trials.
--- a/core/policy/sequential_test.go
+++ b/core/policy/sequential_test.go
@@ -9,20 +9,20 @@
 	"endivehitch/core/policy"
 )
 
-func newWatch(limits ...policy.SignalLimit[string]) policy.SequentialTest[string] {
+func newTest(limits ...policy.SignalLimit[string]) policy.SequentialTest[string] {
 	return policy.SequentialTestConfig[string]{Limits: limits, FalseAlarm: 0.01, Horizon: 1000}.New()
 }
 
 // trialsUntilAlarm checks after every trial and returns the number of the trial that raised the alarm,
 // or zero.
-func trialsUntilAlarm(rnd *rand.Rand, w policy.SequentialTest[string], share float64, trials int) int {
+func trialsUntilAlarm(rnd *rand.Rand, test policy.SequentialTest[string], share float64, trials int) int {
 	for i := range trials {
 		bad := 0
 		if rnd.Float64() < share {
 			bad = 1
 		}
-		w = w.With("Errors", 1, bad)
-		if _, ok := w.Alarm(); ok {
+		test = test.With("Errors", 1, bad)
+		if _, ok := test.Alarm(); ok {
 			return i + 1
 		}
 	}
@@ -34,7 +34,7 @@
 	alarms := 0
 	for i := range runs {
 		rnd := rand.New(rand.NewPCG(5, uint64(i)))
-		if trialsUntilAlarm(rnd, newWatch(policy.SignalLimit[string]{Signal: "Errors", Max: 0.02}), 0.02, 5000) > 0 {
+		if trialsUntilAlarm(rnd, newTest(policy.SignalLimit[string]{Signal: "Errors", Max: 0.02}), 0.02, 5000) > 0 {
 			alarms++
 		}
 	}
@@ -45,25 +45,25 @@
 func TestHighErrorRateFromTheStartRaisesAlarm(t *testing.T) {
 	for i := range 100 {
 		rnd := rand.New(rand.NewPCG(6, uint64(i)))
-		at := trialsUntilAlarm(rnd, newWatch(policy.SignalLimit[string]{Signal: "Errors", Max: 0.02}), 0.2, 400)
+		at := trialsUntilAlarm(rnd, newTest(policy.SignalLimit[string]{Signal: "Errors", Max: 0.02}), 0.2, 400)
 		assert.Assert(t, at > 0, "run %d", i)
 	}
 }
 
 func TestErrorRateThatRisesLaterRaisesAlarm(t *testing.T) {
-	w := newWatch(policy.SignalLimit[string]{Signal: "Errors", Max: 0.02})
+	test := newTest(policy.SignalLimit[string]{Signal: "Errors", Max: 0.02})
 	for range 50 {
-		w = w.With("Errors", 100, 1)
+		test = test.With("Errors", 100, 1)
 	}
-	_, early := w.Alarm()
+	_, early := test.Alarm()
 	assert.Assert(t, !early)
-	at := trialsUntilAlarm(rand.New(rand.NewPCG(7, 7)), w, 0.3, 200)
+	at := trialsUntilAlarm(rand.New(rand.NewPCG(7, 7)), test, 0.3, 200)
 	assert.Assert(t, at > 0, "5,000 good trials hid the change")
 }
 
 func TestSignalsShareTheFalseAlarmRate(t *testing.T) {
-	one := newWatch(policy.SignalLimit[string]{Signal: "Errors", Max: 0.02})
-	two := newWatch(policy.SignalLimit[string]{Signal: "Errors", Max: 0.02}, policy.SignalLimit[string]{Signal: "Slow", Max: 0.02})
+	one := newTest(policy.SignalLimit[string]{Signal: "Errors", Max: 0.02})
+	two := newTest(policy.SignalLimit[string]{Signal: "Errors", Max: 0.02}, policy.SignalLimit[string]{Signal: "Slow", Max: 0.02})
 	n := trialsUntilAlarm(rand.New(rand.NewPCG(8, 8)), one, 1, 100)
 	assert.Assert(t, trialsUntilAlarm(rand.New(rand.NewPCG(8, 8)), two, 1, 100) >= n)
 	named, ok := two.With("Slow", 20, 20).Alarm()
@@ -71,12 +71,12 @@
 	assert.Equal(t, named, "Slow")
 }
 
-func TestBatchCountsItsTrialsAndLeavesTheOldWatchUnchanged(t *testing.T) {
-	w := newWatch(policy.SignalLimit[string]{Signal: "Errors", Max: 0.5})
-	assert.Equal(t, w.With("Errors", 7, 2).With("Other", 5, 5).Trials("Errors"), 7)
-	_, changed := w.With("Errors", 40, 40).Alarm()
-	_, still := w.Alarm()
-	assert.Assert(t, changed && !still, "With must leave the old watch as it was")
+func TestBatchCountsItsTrialsAndLeavesTheOldTestUnchanged(t *testing.T) {
+	test := newTest(policy.SignalLimit[string]{Signal: "Errors", Max: 0.5})
+	assert.Equal(t, test.With("Errors", 7, 2).With("Other", 5, 5).Trials("Errors"), 7)
+	_, changed := test.With("Errors", 40, 40).Alarm()
+	_, still := test.Alarm()
+	assert.Assert(t, changed && !still, "With must leave the old test as it was")
 }
 
 func TestWeightingRemovesSamplingBias(t *testing.T) {
@@ -84,7 +84,7 @@
 	const runs = 300
 	for i := range runs {
 		rnd := rand.New(rand.NewPCG(9, uint64(i)))
-		w := newWatch(policy.SignalLimit[string]{Signal: "Ratings", Max: 0.1})
+		test := newTest(policy.SignalLimit[string]{Signal: "Ratings", Max: 0.1})
 		for range 4000 {
 			bad := rnd.Float64() < 0.1
 			rate := 0.1
@@ -92,10 +92,10 @@
 				rate = 0.4
 			}
 			if rnd.Float64() < rate {
-				w = w.WithWeighted("Ratings", bad, 0.1/rate)
+				test = test.WithWeighted("Ratings", bad, 0.1/rate)
 			}
 		}
-		if _, ok := w.Alarm(); ok {
+		if _, ok := test.Alarm(); ok {
 			alarms++
 		}
 	}
