--- a/core/value/change.go
+++ b/core/value/change.go
@@ -29,7 +29,7 @@
 	return c
 }
 
-// CurrentRecord is the current record of an environment in the key-value service, without the document's
+// CurrentRecord is an environment's record in force in the key-value service, without the document's
 // bytes.
 type CurrentRecord struct {
 	// Revision is zero where there is no record.
@@ -48,7 +48,7 @@
 	Superseded bool
 }
 
-// ChangeConflict is the error of a change that expected another revision than the current one.
+// ChangeConflict is the error of a change that expected a revision other than the current one.
 type ChangeConflict struct {
 	Attempted Change
 	Current   CurrentRecord
@@ -56,11 +56,11 @@
 
 // Error describes the rejected change and the current record.
 func (c ChangeConflict) Error() string {
-	p := c.Current
+	current := c.Current
 	return fmt.Sprintf(
 		"conflict: change %s by %s (digest %s) expected revision %d, but revision %d stands: change %s by %s at %s (digest %s)",
 		c.Attempted.ID, c.Attempted.Who, digestPrefix(c.Attempted.Digest), c.Attempted.Expect,
-		p.Revision, p.Change.ID, p.Change.Who, p.Change.At.UTC().Format(time.RFC3339), digestPrefix(p.Change.Digest),
+		current.Revision, current.Change.ID, current.Change.Who, current.Change.At.UTC().Format(time.RFC3339), digestPrefix(current.Change.Digest),
 	)
 }
 
@@ -91,7 +91,7 @@
 	Detail string
 }
 
-// Error tells the caller to resend the change, which returns its outcome.
+// Error asks the caller to resend the change, which returns its outcome.
 func (u ChangeUnknown) Error() string {
 	return fmt.Sprintf("outcome unknown: send change %s again to find out: %s", u.Change, u.Detail)
 }
@@ -108,8 +108,8 @@
 	ReasonDigestMismatch Reason = "DigestDoesNotMatch"
 )
 
-// digestPrefixLength is the number of digits that a text shows of a digest, enough to tell documents
-// apart.
+// digestPrefixLength is the number of digits of a digest that error texts show, enough to distinguish
+// documents.
 const digestPrefixLength = 12
 
 func digestPrefix(digest string) string {
--- a/core/value/decision.go
+++ b/core/value/decision.go
@@ -51,7 +51,7 @@
 	ReasonJudgeFailed    Reason = "JudgeFailed"
 )
 
-// Decision is one routing decision, as logged and as explained to operators.
+// Decision is one decision on a request, as it is logged and explained to operators.
 type Decision struct {
 	Request RequestID
 	Account AccountName
--- a/core/value/document.go
+++ b/core/value/document.go
@@ -1,7 +1,7 @@
 package value
 
-// Document is the configuration that an operator applies to an environment; the same bytes are used
-// in trial and in production.
+// Document is the configuration that an operator applies to an environment; the trial and the
+// production environment use the same bytes.
 type Document struct {
 	Name           string
 	ClientAccounts []ClientAccount
--- a/core/value/instance.go
+++ b/core/value/instance.go
@@ -33,8 +33,8 @@
 	Revision int64
 	// Digest identifies the document in force.
 	Digest string
-	// LaggingSince is since when the instance has known of a revision that it does not have in force
-	// completely; zero means that it is up to date.
+	// LaggingSince is when the instance learned of a revision that it does not yet have completely in
+	// force; zero means that it is up to date.
 	LaggingSince time.Time
 }
 
@@ -56,7 +56,7 @@
 	return i
 }
 
-// WithLaggingSince returns a copy that has been behind since the given time; zero means up to date.
+// WithLaggingSince returns a copy that has lagged behind since the given time; zero means up to date.
 func (i Instance) WithLaggingSince(since time.Time) Instance {
 	i.LaggingSince = since
 	return i
@@ -68,13 +68,13 @@
 	return i
 }
 
-// WithListed returns a copy that the platform's instance list contains or not.
+// WithListed returns a copy that records whether the platform's instance list contains the instance.
 func (i Instance) WithListed(listed bool) Instance {
 	i.Listed = listed
 	return i
 }
 
-// WithLastContact returns a copy from which a message was last received at the given time.
+// WithLastContact returns a copy whose latest message was received at the given time.
 func (i Instance) WithLastContact(at time.Time) Instance {
 	i.LastContact = at
 	return i
--- a/core/value/judge.go
+++ b/core/value/judge.go
@@ -17,12 +17,14 @@
 	AcceptBad float64
 }
 
-// IsUsable reports whether there is a judge that accepts acceptable answers more often than others.
+// IsUsable reports whether the judge accepts acceptable answers more often than unacceptable ones. The
+// zero value, which stands for no judge, is not usable.
 func (j Judge) IsUsable() bool {
 	return j.AcceptGood > j.AcceptBad
 }
 
-// AcceptanceRate returns the expected share of answers that the judge accepts from a version of the quality.
+// AcceptanceRate returns the expected share of a version's answers that the judge accepts, from the
+// version's quality.
 func (j Judge) AcceptanceRate(quality float64) float64 {
 	return quality*j.AcceptGood + (1-quality)*j.AcceptBad
 }
--- a/core/value/kind.go
+++ b/core/value/kind.go
@@ -47,7 +47,7 @@
 	Deadline time.Duration
 	// MaxTokens bounds the generated tokens of one answer.
 	MaxTokens int
-	// Share lets identical requests in flight share one attempt.
+	// Share allows identical requests in flight to share one attempt.
 	Share bool
 	// MaxAttempts bounds the attempts of one request, the first included.
 	MaxAttempts int
--- a/core/value/load.go
+++ b/core/value/load.go
@@ -7,8 +7,9 @@
 	"endivehitch/core/policy"
 )
 
-// Load is what this instance knows of the load and health of one backend server. The first part of an
-// answer is its first token, or its first byte from a plain service.
+// Load is what this instance knows of the load and health of one backend server.
+//
+// The first part of an answer is its first token, or its first byte from a plain service.
 type Load struct {
 	// InFlight counts this instance's own requests at the server.
 	InFlight int
@@ -16,9 +17,9 @@
 	Long int
 	// WaitingSince holds the start times of the attempts that wait for the first part, oldest first.
 	WaitingSince []time.Time
-	// FirstToken is the smoothed time to the first part, scaled to a typical request.
+	// FirstToken is the decaying mean of the time to the first part, scaled to a typical request.
 	FirstToken policy.DecayingMean
-	// Failures counts consecutive failures since the last first part or ejection.
+	// Failures counts consecutive failures since the latest first part or ejection.
 	Failures int
 	// Ejections counts consecutive ejections since the server last recovered.
 	Ejections int
@@ -52,10 +53,10 @@
 }
 
 // WithFirstByte returns a copy that counts the first part of the attempt started at the given time. The
-// delay after is scaled to a typical request.
-func (l Load) WithFirstByte(c policy.DecayingMeanConfig, started, at time.Time, after time.Duration) Load {
+// delay is the time that it took, scaled to a typical request.
+func (l Load) WithFirstByte(c policy.DecayingMeanConfig, started, at time.Time, delay time.Duration) Load {
 	l = l.withoutWaiting(started)
-	l.FirstToken = l.FirstToken.With(c, after, at)
+	l.FirstToken = l.FirstToken.With(c, delay, at)
 	l.Failures = 0
 	return l
 }
--- a/core/value/pool.go
+++ b/core/value/pool.go
@@ -21,10 +21,10 @@
 	Pool PoolName
 }
 
-// ServerState tells whether a backend server may receive new work.
+// ServerState states whether a backend server may receive new work.
 type ServerState string
 
-// The states of a backend server in the instance list.
+// The states of a backend server.
 const (
 	ServerLive    ServerState = "Live"
 	ServerLeaving ServerState = "Leaving"
--- a/core/value/rating.go
+++ b/core/value/rating.go
@@ -18,7 +18,8 @@
 	return r
 }
 
-// AttemptCounts counts finished attempts of one version, and those that count against it in a roll-out.
+// AttemptCounts counts finished attempts of one version, and those of them that count against it in a
+// roll-out.
 type AttemptCounts struct {
 	Version VersionKey
 	// Total counts all finished attempts, failed ones included.
@@ -32,20 +33,20 @@
 }
 
 // WithAttempt returns a copy that counts one more attempt.
-func (r AttemptCounts) WithAttempt(failed, slow, costly bool) AttemptCounts {
-	r.Total++
-	r.Failed += boolToInt(failed)
-	r.Slow += boolToInt(slow)
-	r.Costly += boolToInt(costly)
-	return r
+func (c AttemptCounts) WithAttempt(failed, slow, costly bool) AttemptCounts {
+	c.Total++
+	c.Failed += boolToInt(failed)
+	c.Slow += boolToInt(slow)
+	c.Costly += boolToInt(costly)
+	return c
 }
 
-// WithCounts returns a copy that adds the other counts, for the version that they name.
-func (r AttemptCounts) WithCounts(other AttemptCounts) AttemptCounts {
-	other.Total += r.Total
-	other.Failed += r.Failed
-	other.Slow += r.Slow
-	other.Costly += r.Costly
+// WithCounts returns the sum of both counts; its version is that of the other counts.
+func (c AttemptCounts) WithCounts(other AttemptCounts) AttemptCounts {
+	other.Total += c.Total
+	other.Failed += c.Failed
+	other.Slow += c.Slow
+	other.Costly += c.Costly
 	return other
 }
 
--- a/core/value/request.go
+++ b/core/value/request.go
@@ -37,8 +37,8 @@
 	MaxTokens int
 	// Prefix identifies the beginning of the prompt, for prefix-cache locality; zero means none.
 	Prefix uint64
-	// Question identifies the complete question, for sharing one attempt among identical requests;
-	// zero means none.
+	// Question is a hash of the request's content. Requests with the same hash may share one attempt, and
+	// an idempotency key that is reused with another hash is refused; zero means none.
 	Question uint64
 	Stream   bool
 }
--- a/core/value/rollout.go
+++ b/core/value/rollout.go
@@ -65,14 +65,14 @@
 	Name RollOutName
 	// Version is the new version of the roll-out.
 	Version VersionKey
-	// Epoch grows with each change, so that an outdated position can be told from the current one.
+	// Epoch grows with each change, so that an outdated position can be distinguished from the current one.
 	Epoch int64
 	Phase Phase
 	// Stage is the index of the stage in force, from 0.
 	Stage int
-	// Since is when the roll-out came to this phase or stage.
+	// Since is when the roll-out entered this phase or stage.
 	Since time.Time
-	// Reason is why the roll-out came to this phase.
+	// Reason is why the roll-out entered this phase; it may be empty.
 	Reason string
 }
 
