--- a/core/state/candidates.go
+++ b/core/state/candidates.go
@@ -9,16 +9,16 @@
 	"endivehitch/core/value"
 )
 
-// CandidateSet holds the candidate versions and cascades for one kind of request. It is computed when the
-// control state changes, not for each request.
+// CandidateSet holds the candidate versions and cascades for one kind of request. It is computed when
+// the control state changes, not for each request.
 type CandidateSet struct {
 	// Candidates are the candidate versions in the order of their reference cost; the slice must not be
 	// changed.
 	Candidates []Candidate
 	// Cascades are the cheapest cascades that meet the target; the slice must not be changed.
 	Cascades []Cascade
-	// RatingsExpectedUntil is the latest time until which an estimate of the kind counts as fresh; zero
-	// means that no estimate has had a rating.
+	// RatingsExpectedUntil is when the last of the kind's estimates loses its full confidence; zero means
+	// that no estimate has had a rating.
 	RatingsExpectedUntil time.Time
 }
 
@@ -28,7 +28,7 @@
 	Version value.Version
 	// SinglePlan is the plan that consists of this version only; it must not be changed.
 	SinglePlan []value.VersionKey
-	// RollOutOnly is set for a version that receives new sessions through its roll-out only.
+	// RollOutOnly is set for a version that receives new sessions only through its roll-out.
 	RollOutOnly bool
 	// Replacement is the roll-out that replaces the version, if any.
 	Replacement Replacement
@@ -41,7 +41,7 @@
 // Replacement is the roll-out that replaces a version by another one.
 type Replacement struct {
 	RollOut value.RollOutName
-	// Candidate is the new version's index in Menu.Offers.
+	// Candidate is the new version's index in CandidateSet.Candidates.
 	Candidate int
 	// Percent is the share of new sessions that use the new version; zero means none.
 	Percent int
@@ -49,34 +49,34 @@
 
 // Cascade is a cascade of two versions.
 type Cascade struct {
-	// First and Second are the indexes of the two versions in Menu.Offers.
+	// First and Second are the indexes of the two versions in CandidateSet.Candidates.
 	First  int
 	Second int
 	// Versions is the plan that consists of both versions; it must not be changed.
 	Versions []value.VersionKey
 }
 
-// maxCascades bounds the number of cascades that each request has to compare.
+// maxCascades bounds the number of cascades that are compared for each request.
 const maxCascades = 8
 
 // Bound returns the estimated quality of the version for the kind, as of the given time.
-func (o *Candidate) Bound(now time.Time) policy.Bound {
-	if o.freshUntil.IsZero() || !now.After(o.freshUntil) {
-		return o.freshBound
+func (c *Candidate) Bound(now time.Time) policy.Bound {
+	if c.freshUntil.IsZero() || !now.After(c.freshUntil) {
+		return c.freshBound
 	}
-	return o.estimate.Bound(now)
+	return c.estimate.Bound(now)
 }
 
-// ExpectsRatings reports whether ratings of the kind may be expected. Once an estimate has had ratings and all
-// estimates have gone stale, the rating service counts as unreachable and none are expected.
-func (m CandidateSet) ExpectsRatings(now time.Time) bool {
-	return m.RatingsExpectedUntil.IsZero() || !now.After(m.RatingsExpectedUntil)
+// ExpectsRatings reports whether new ratings of the kind are to be expected. It is false once all
+// estimates that have had ratings are stale, since the rating service then counts as unreachable.
+func (c CandidateSet) ExpectsRatings(now time.Time) bool {
+	return c.RatingsExpectedUntil.IsZero() || !now.After(c.RatingsExpectedUntil)
 }
 
-// Find returns the index of the version in Offers, or -1.
-func (m CandidateSet) Find(k value.VersionKey) int {
-	for i := range m.Candidates {
-		if m.Candidates[i].Key == k {
+// Find returns the index of the version in Candidates, or -1.
+func (c CandidateSet) Find(k value.VersionKey) int {
+	for i := range c.Candidates {
+		if c.Candidates[i].Key == k {
 			return i
 		}
 	}
@@ -84,19 +84,19 @@
 }
 
 func (s State) candidateSetOf(k value.Kind) CandidateSet {
-	m := CandidateSet{Candidates: s.candidatesOf(k)}
-	s.linkRollOuts(m)
-	m.Cascades = cascadesOf(k, m.Candidates)
-	for i := range m.Candidates {
-		if until := m.Candidates[i].freshUntil; until.After(m.RatingsExpectedUntil) {
-			m.RatingsExpectedUntil = until
+	set := CandidateSet{Candidates: s.candidatesOf(k)}
+	s.linkRollOuts(set)
+	set.Cascades = cascadesOf(k, set.Candidates)
+	for i := range set.Candidates {
+		if until := set.Candidates[i].freshUntil; until.After(set.RatingsExpectedUntil) {
+			set.RatingsExpectedUntil = until
 		}
 	}
-	return m
+	return set
 }
 
 func (s State) candidatesOf(k value.Kind) []Candidate {
-	var offers []Candidate
+	var candidates []Candidate
 	for _, model := range s.Config.Document.Models {
 		if model.Name != k.Model {
 			continue
@@ -106,16 +106,16 @@
 			if s.Withdrawn(key) {
 				continue
 			}
-			offers = append(offers, s.newCandidate(k, key, v))
+			candidates = append(candidates, s.newCandidate(k, key, v))
 		}
 	}
-	slices.SortStableFunc(offers, func(a, b Candidate) int { return cmp.Compare(a.referenceCost(k), b.referenceCost(k)) })
-	return offers
+	slices.SortStableFunc(candidates, func(a, b Candidate) int { return cmp.Compare(a.referenceCost(k), b.referenceCost(k)) })
+	return candidates
 }
 
-// referenceCost returns the cost of the longest answer of the kind to a prompt of the same length.
-func (o *Candidate) referenceCost(k value.Kind) int64 {
-	return o.Version.Cost(k.MaxTokens, k.MaxTokens)
+// referenceCost returns the cost of the longest answer of the kind to a prompt that is as long as it.
+func (c *Candidate) referenceCost(k value.Kind) int64 {
+	return c.Version.Cost(k.MaxTokens, k.MaxTokens)
 }
 
 func (s State) newCandidate(k value.Kind, key value.VersionKey, v value.Version) Candidate {
@@ -134,14 +134,14 @@
 	}
 }
 
-// linkRollOuts sets Next of each offer that a roll-out replaces.
-func (s State) linkRollOuts(m CandidateSet) {
+// linkRollOuts sets the Replacement of each candidate that a roll-out replaces.
+func (s State) linkRollOuts(set CandidateSet) {
 	for _, r := range s.Config.Document.RollOuts {
-		from, to := m.Find(r.FromKey()), m.Find(r.ToKey())
+		from, to := set.Find(r.FromKey()), set.Find(r.ToKey())
 		if from < 0 || to < 0 {
 			continue
 		}
-		m.Candidates[from].Replacement = Replacement{RollOut: r.Name, Candidate: to, Percent: newVersionPercent(r, s.Position(r))}
+		set.Candidates[from].Replacement = Replacement{RollOut: r.Name, Candidate: to, Percent: newVersionPercent(r, s.Position(r))}
 	}
 }
 
@@ -164,44 +164,44 @@
 }
 
 // cascadesOf returns the cheapest cascades that meet the kind's quality target, cheapest first.
-func cascadesOf(k value.Kind, offers []Candidate) []Cascade {
+func cascadesOf(k value.Kind, candidates []Candidate) []Cascade {
 	if !k.Idempotent || !k.Judge.IsUsable() {
 		return nil
 	}
-	costs := make([]int64, len(offers))
-	for i := range offers {
-		costs[i] = offers[i].referenceCost(k)
+	costs := make([]int64, len(candidates))
+	for i := range candidates {
+		costs[i] = candidates[i].referenceCost(k)
 	}
 	best := make([]pricedCascade, 0, maxCascades+1)
-	for i := range offers {
-		for j := range offers {
-			if i == j || offers[i].RollOutOnly || offers[j].RollOutOnly {
+	for i := range candidates {
+		for j := range candidates {
+			if i == j || candidates[i].RollOutOnly || candidates[j].RollOutOnly {
 				continue
 			}
-			p := pricedCascade{Cascade: Cascade{First: i, Second: j}, cost: k.Judge.Cost(costs[i], costs[j], offers[i].freshBound.Mean)}
-			best = insertCascade(best, p, k, offers)
+			priced := pricedCascade{Cascade: Cascade{First: i, Second: j}, cost: k.Judge.Cost(costs[i], costs[j], candidates[i].freshBound.Mean)}
+			best = insertCascade(best, priced, k, candidates)
 		}
 	}
-	pairs := make([]Cascade, len(best))
-	for i, p := range best {
-		pairs[i] = p.Cascade
-		pairs[i].Versions = []value.VersionKey{offers[p.First].Key, offers[p.Second].Key}
+	cascades := make([]Cascade, len(best))
+	for i, priced := range best {
+		cascades[i] = priced.Cascade
+		cascades[i].Versions = []value.VersionKey{candidates[priced.First].Key, candidates[priced.Second].Key}
 	}
-	return pairs
+	return cascades
 }
 
 // insertCascade inserts the cascade into the sorted list if it is among the cheapest and meets the target.
-func insertCascade(best []pricedCascade, pair pricedCascade, k value.Kind, offers []Candidate) []pricedCascade {
-	at, _ := slices.BinarySearchFunc(best, pair.cost, func(q pricedCascade, cost int64) int {
-		if q.cost <= cost {
+func insertCascade(best []pricedCascade, priced pricedCascade, k value.Kind, candidates []Candidate) []pricedCascade {
+	index, _ := slices.BinarySearchFunc(best, priced.cost, func(other pricedCascade, cost int64) int {
+		if other.cost <= cost {
 			return -1
 		}
 		return 1
 	})
-	if at == maxCascades || CascadeLower(k.Judge, offers[pair.First].freshBound, offers[pair.Second].freshBound) < k.QualityTarget {
+	if index == maxCascades || CascadeLower(k.Judge, candidates[priced.First].freshBound, candidates[priced.Second].freshBound) < k.QualityTarget {
 		return best
 	}
-	best = slices.Insert(best, at, pair)
+	best = slices.Insert(best, index, priced)
 	return best[:min(len(best), maxCascades)]
 }
 
--- a/core/state/effect.go
+++ b/core/state/effect.go
@@ -9,7 +9,7 @@
 
 // RecordDecision logs and counts a control decision.
 type RecordDecision struct {
-	// Event names the decision, such as ServerGone.
+	// Event is the log message of the decision, such as ServerGone.
 	Event string
 	// Subject identifies what the decision is about.
 	Subject string
@@ -29,7 +29,7 @@
 	Source   value.Instance
 }
 
-// SendDepartureNotice sends peers the departure notice of this instance at once.
+// SendDepartureNotice sends peers at once that this instance is leaving.
 type SendDepartureNotice struct{}
 
 func (RecordDecision) effect()      {}
@@ -39,14 +39,14 @@
 
 // StoreProgress stores a roll-out's position in the key-value service.
 //
-// The worker then installs the stored position with an InstallProgress command. It is another one
-// where the service already has a position that this one does not supersede.
+// The worker then installs the position that the service has with an InstallProgress command. That is
+// an earlier stored one if this one does not supersede it.
 type StoreProgress struct {
 	Progress value.Progress
 }
 
 // StoreWithdrawal stores a version's withdrawal in the key-value service, from which the other
-// instances learn it.
+// instances read it.
 //
 // The worker then installs the stored withdrawal with an InstallWithdrawal command.
 type StoreWithdrawal struct {
--- a/core/state/membership.go
+++ b/core/state/membership.go
@@ -70,7 +70,8 @@
 	return s.membership.notLive
 }
 
-// PendingUpdates returns the updates that gossip still has to send: by instance, the number of messages left.
+// PendingUpdates returns the updates that gossip still has to send: for each instance, the number of
+// messages that still have to carry its update.
 func (s State) PendingUpdates() policy.Table[value.InstanceID, int] {
 	return s.membership.pendingUpdates
 }
@@ -110,7 +111,8 @@
 	return s
 }
 
-// WithNewest returns a state that knows that the configuration revision exists.
+// WithNewest returns a state in which the configuration revision is known to exist; if it is newer than
+// the one in force, this instance lags behind from now on.
 func (s State) WithNewest(revision int64, now time.Time) State {
 	if revision <= s.NewestKnown {
 		return s
@@ -135,7 +137,7 @@
 	return s.WithSelf(self)
 }
 
-// WithRejected returns a state in which entries of the revision could not be decoded; zero means none.
+// WithRejected returns a state whose RejectedRevision is the revision; zero means none.
 func (s State) WithRejected(revision int64) State {
 	s.RejectedRevision = revision
 	return s
--- a/core/state/quality.go
+++ b/core/state/quality.go
@@ -21,12 +21,13 @@
 
 // quality holds the estimates of the versions' quality and what is derived from them.
 type quality struct {
-	estimates   policy.Table[estimateKey, policy.Estimate]
-	candidates  policy.Table[value.KindName, CandidateSet]
-	grants      map[grantKey][]bool
-	rollOutOnly map[value.VersionKey]bool
-	withdrawn   policy.Table[value.VersionKey, value.Withdrawal]
-	watches     policy.Table[value.RollOutName, RollOutTests]
+	estimates  policy.Table[estimateKey, policy.Estimate]
+	candidates policy.Table[value.KindName, CandidateSet]
+	// allowed holds for each of the kind's candidates whether the account may use it.
+	allowed      map[allowedKey][]bool
+	rollOutOnly  map[value.VersionKey]bool
+	withdrawn    policy.Table[value.VersionKey, value.Withdrawal]
+	rollOutTests policy.Table[value.RollOutName, RollOutTests]
 }
 
 // estimateKey joins the names of a kind of request and of a version.
@@ -36,8 +37,8 @@
 	return estimateKey(string(k) + "\x00" + string(v))
 }
 
-// grantKey identifies the grants of a client account for a kind of request.
-type grantKey struct {
+// allowedKey is a client account and a kind of request.
+type allowedKey struct {
 	account value.AccountName
 	kind    value.KindName
 }
@@ -47,10 +48,10 @@
 	return s.quality.candidates.Get(k)
 }
 
-// AllowedCandidates returns for each of the kind's offers whether the account may use it; the slice must not be
-// changed.
+// AllowedCandidates returns for each of the kind's candidates whether the account may use it; the slice
+// must not be changed.
 func (s State) AllowedCandidates(a value.AccountName, k value.KindName) []bool {
-	return s.quality.grants[grantKey{account: a, kind: k}]
+	return s.quality.allowed[allowedKey{account: a, kind: k}]
 }
 
 // Estimate returns the estimated quality of the version for the kind.
@@ -79,7 +80,7 @@
 }
 
 // WithRating returns a state whose estimates include the rating; the rating of an unknown kind or
-// version is ignored. The menu of the kind follows only with WithMenu.
+// version is ignored. The kind's candidates change only with WithCandidates.
 func (s State) WithRating(r value.Rating) State {
 	key := estimateKeyOf(r.Kind, r.Version)
 	e, ok := s.quality.estimates.Get(key)
@@ -91,7 +92,7 @@
 	return s
 }
 
-// WithCandidates returns a state in which the menu of the kind is computed from the present estimates.
+// WithCandidates returns a state in which the kind's candidates are computed from the present estimates.
 func (s State) WithCandidates(name value.KindName) State {
 	k, ok := s.kinds.Get(name)
 	if !ok || k.Model == "" {
@@ -117,7 +118,7 @@
 		}
 	}
 	s.quality.estimates = policy.NewTable(estimates)
-	s.quality.grants = nil
+	s.quality.allowed = nil
 	for k := range s.quality.withdrawn.All() {
 		if v, ok := s.versions.Get(k); ok {
 			s.versions = s.versions.With(k, v.WithWithdrawn(true))
@@ -135,43 +136,44 @@
 	return estimateConfig.NewEstimate(v.Quality, weight)
 }
 
-// withAllCandidates computes all menus, and the grants only if the offers of some menu have changed.
+// withAllCandidates computes the candidates of all kinds. Which of them the accounts may use is computed
+// again only for a new document or where a kind's list of versions has changed.
 func (s State) withAllCandidates() State {
 	s.quality.rollOutOnly = s.rollOutOnlyVersions()
-	menus := make(map[value.KindName]CandidateSet)
-	unchanged := s.quality.grants != nil
+	sets := make(map[value.KindName]CandidateSet)
+	unchanged := s.quality.allowed != nil
 	for _, k := range s.Config.Document.Kinds {
 		if k.Model == "" {
 			continue
 		}
-		m := s.candidateSetOf(k)
+		set := s.candidateSetOf(k)
 		old, _ := s.quality.candidates.Get(k.Name)
-		unchanged = unchanged && slices.EqualFunc(old.Candidates, m.Candidates, func(a, b Candidate) bool { return a.Key == b.Key })
-		menus[k.Name] = m
+		unchanged = unchanged && slices.EqualFunc(old.Candidates, set.Candidates, func(a, b Candidate) bool { return a.Key == b.Key })
+		sets[k.Name] = set
 	}
-	s.quality.candidates = policy.NewTable(menus)
+	s.quality.candidates = policy.NewTable(sets)
 	if unchanged {
 		return s
 	}
-	return s.withGrants()
+	return s.withAllowed()
 }
 
-func (s State) withGrants() State {
-	s.quality.grants = make(map[grantKey][]bool)
-	for k, m := range s.quality.candidates.All() {
+func (s State) withAllowed() State {
+	s.quality.allowed = make(map[allowedKey][]bool)
+	for k, set := range s.quality.candidates.All() {
 		for _, a := range s.Config.Document.ClientAccounts {
 			if a.MaySend(k) {
-				s.quality.grants[grantKey{account: a.Name, kind: k}] = allowedCandidates(a, m)
+				s.quality.allowed[allowedKey{account: a.Name, kind: k}] = allowedCandidates(a, set)
 			}
 		}
 	}
 	return s
 }
 
-func allowedCandidates(a value.ClientAccount, m CandidateSet) []bool {
-	list := make([]bool, len(m.Candidates))
-	for i := range m.Candidates {
-		list[i] = slices.Contains(a.Versions, m.Candidates[i].Key)
+func allowedCandidates(a value.ClientAccount, set CandidateSet) []bool {
+	list := make([]bool, len(set.Candidates))
+	for i := range set.Candidates {
+		list[i] = slices.Contains(a.Versions, set.Candidates[i].Key)
 	}
 	return list
 }
--- a/core/state/rollout.go
+++ b/core/state/rollout.go
@@ -30,7 +30,7 @@
 	return value.RollOut{}, false
 }
 
-// Position returns the position of the roll-out; it is planned while no other position is known.
+// Position returns the known position of the roll-out, or the planned one if none is known.
 func (s State) Position(r value.RollOut) value.Progress {
 	p, ok := s.rollOuts.Get(r.Name)
 	if !ok {
@@ -57,8 +57,8 @@
 }
 
 // rollOutOnlyVersions returns the new versions of all roll-outs that are not done, also of those that a
-// later document dropped halfway. A version is exempt if the old version of its staged roll-out is
-// withdrawn.
+// later document dropped before they were done. A version is exempt if the old version of its staged
+// roll-out is withdrawn.
 func (s State) rollOutOnlyVersions() map[value.VersionKey]bool {
 	versions := make(map[value.VersionKey]bool)
 	add := func(p value.Progress) {
--- a/core/state/rollout_limits.go
+++ b/core/state/rollout_limits.go
@@ -9,10 +9,9 @@
 
 const (
 	// falseAlarmProbability bounds the chance that a roll-out's tests ever withdraw a version that
-	// breaks no limit, over the whole life of the roll-out and all of its signals.
+	// exceeds no limit, over the whole life of the roll-out and all of its signals.
 	falseAlarmProbability = 0.01
-	// changeHorizonTrials is the number of trials within which a version is expected to turn bad, if it
-	// does.
+	// changeHorizonTrials is the number of trials within which a version that turns bad is expected to do so.
 	changeHorizonTrials = 1000
 )
 
@@ -26,45 +25,45 @@
 	Epoch int64
 }
 
-// RollOutTests returns the tests of the roll-out's new version. Other limits in the plan start the tests anew,
-// and a new epoch restarts the count of ratings.
+// RollOutTests returns the tests of the roll-out's new version. They restart if the plan's limits have
+// changed, and the count of ratings restarts with each epoch.
 func (s State) RollOutTests(r value.RollOut) RollOutTests {
-	w, ok := s.quality.watches.Get(r.Name)
+	tests, ok := s.quality.rollOutTests.Get(r.Name)
 	limits := limitsOf(r)
-	if !ok || !slices.Equal(w.Tests.Config().Limits, limits) {
+	if !ok || !slices.Equal(tests.Tests.Config().Limits, limits) {
 		config := policy.SequentialTestConfig[value.Reason]{Limits: limits, FalseAlarm: falseAlarmProbability, Horizon: changeHorizonTrials}
-		w = RollOutTests{Tests: config.New()}
+		tests = RollOutTests{Tests: config.New()}
 	}
-	if p := s.Position(r); p.Epoch != w.Epoch {
-		w.Epoch = p.Epoch
-		w.Ratings = 0
+	if p := s.Position(r); p.Epoch != tests.Epoch {
+		tests.Epoch = p.Epoch
+		tests.Ratings = 0
 	}
-	return w
+	return tests
 }
 
-// DecidesWithdrawal reports whether this instance decides for the fleet whether to withdraw the version: it owns
-// the version's hash slot, or knows no owner.
+// DecidesWithdrawal reports whether this instance decides for the fleet whether to withdraw the version:
+// it owns the version's hash slot, or there is no owner.
 func (s State) DecidesWithdrawal(k value.VersionKey) bool {
 	owner, ok := s.Owners().Owner(SlotOf(string(k)))
 	return !ok || owner == s.Self.ID
 }
 
 // WithAttemptCounts returns a state in which the roll-out's tests count the attempts of its new version.
-func (s State) WithAttemptCounts(r value.RollOut, runs value.AttemptCounts) State {
-	w := s.RollOutTests(r)
-	w.Tests = w.Tests.
-		With(value.ReasonErrorRate, runs.Total, runs.Failed).
-		With(value.ReasonSlowRate, runs.Total, runs.Slow).
-		With(value.ReasonCostlyRate, runs.Total, runs.Costly)
-	return s.withWatch(r, w)
+func (s State) WithAttemptCounts(r value.RollOut, counts value.AttemptCounts) State {
+	tests := s.RollOutTests(r)
+	tests.Tests = tests.Tests.
+		With(value.ReasonErrorRate, counts.Total, counts.Failed).
+		With(value.ReasonSlowRate, counts.Total, counts.Slow).
+		With(value.ReasonCostlyRate, counts.Total, counts.Costly)
+	return s.withRollOutTests(r, tests)
 }
 
 // WithRollOutRating returns a state in which the roll-out's tests count a rating of its new version.
 func (s State) WithRollOutRating(r value.RollOut, rating value.Rating) State {
-	w := s.RollOutTests(r)
-	w.Tests = w.Tests.WithWeighted(value.ReasonQuality, !rating.Accepted, s.ratingWeight(rating))
-	w.Ratings++
-	return s.withWatch(r, w)
+	tests := s.RollOutTests(r)
+	tests.Tests = tests.Tests.WithWeighted(value.ReasonQuality, !rating.Accepted, s.ratingWeight(rating))
+	tests.Ratings++
+	return s.withRollOutTests(r, tests)
 }
 
 // ratingWeight returns the weight of a rating, from 0 to 1, that compensates for bad answers being
@@ -77,8 +76,8 @@
 	return min(k.RatingFloor/r.Rate, 1)
 }
 
-func (s State) withWatch(r value.RollOut, w RollOutTests) State {
-	s.quality.watches = s.quality.watches.With(r.Name, w)
+func (s State) withRollOutTests(r value.RollOut, tests RollOutTests) State {
+	s.quality.rollOutTests = s.quality.rollOutTests.With(r.Name, tests)
 	return s
 }
 
--- a/core/state/slope_test.go
+++ b/core/state/slope_test.go
@@ -9,8 +9,8 @@
 	"endivehitch/core/value"
 )
 
-// BenchmarkSlopeServers reports the memory of a state with n backend servers, which have 38 versions
-// loaded, and the processor time to apply two changes of one server.
+// BenchmarkSlopeServers reports the memory of a state with n backend servers, each with one of 38
+// versions loaded, and the processor time to apply two changes of one server.
 func BenchmarkSlopeServers(b *testing.B) {
 	for _, n := range []int{100, 1000, 3000, 10000} {
 		b.Run(fmt.Sprintf("Servers%d", n), func(b *testing.B) {
