--- a/core/cmds/exposure_measure_test.go
+++ b/core/cmds/exposure_measure_test.go
@@ -17,7 +17,7 @@
 	falseAlarmRate = 0.01
 )
 
-// detector tests one trial after the other and returns true when it raises the alarm.
+// detector is called with one trial after the other and returns true when it raises the alarm.
 type detector func(bad bool) bool
 
 // scenario is a version whose share of bad trials changes from shareBefore to shareAfter after changeAt
@@ -63,17 +63,17 @@
 	return exposureTrials - c.changeAt, false
 }
 
-// rollOutWatch returns the tests of a roll-out as the commands set them up.
-func (c scenario) rollOutWatch() detector {
+// rollOutTests returns the tests of a roll-out as the commands set them up.
+func (c scenario) rollOutTests() detector {
 	r := document().RollOuts[0]
-	w := initialState().RollOutTests(r).Tests
+	tests := initialState().RollOutTests(r).Tests
 	return func(bad bool) bool {
-		n := 0
+		failed := 0
 		if bad {
-			n = 1
+			failed = 1
 		}
-		w = w.With(c.signal, 1, n)
-		_, alarm := w.Alarm()
+		tests = tests.With(c.signal, 1, failed)
+		_, alarm := tests.Alarm()
 		return alarm
 	}
 }
@@ -199,14 +199,14 @@
 				for range b.N {
 					threshold := c.threshold()
 					optimal := func() detector { return c.optimal(threshold) }
-					watch, best, fixed := c.meanExposure(c.rollOutWatch), c.meanExposure(optimal), c.meanExposure(c.fixedSample)
+					rollOut, best, fixed := c.meanExposure(c.rollOutTests), c.meanExposure(optimal), c.meanExposure(c.fixedSample)
 					b.ReportMetric(0, "ns/op")
-					b.ReportMetric(watch, "trials")
+					b.ReportMetric(rollOut, "trials")
 					b.ReportMetric(best, "trials-optimal")
 					b.ReportMetric(fixed, "trials-fixed")
-					b.ReportMetric(watch/best, "of-optimal")
-					b.ReportMetric(watch/fixed, "of-fixed")
-					b.ReportMetric(c.falseAlarmShare(c.rollOutWatch), "false-alarms")
+					b.ReportMetric(rollOut/best, "of-optimal")
+					b.ReportMetric(rollOut/fixed, "of-fixed")
+					b.ReportMetric(c.falseAlarmShare(c.rollOutTests), "false-alarms")
 					b.ReportMetric(c.falseAlarmShare(optimal), "false-alarms-optimal")
 					b.ReportMetric(c.falseAlarmShare(c.fixedSample), "false-alarms-fixed")
 				}
--- a/core/cmds/install_revision.go
+++ b/core/cmds/install_revision.go
@@ -43,7 +43,7 @@
 	s, effects := installDocument(s, c.Accepted)
 	s, more := c.installRollOuts(s, now)
 	effects = append(effects, more...)
-	s = c.installRevision(s, now)
+	s = c.withRevisionInForce(s, now)
 	if c.Rejected {
 		effects = append(effects, state.RecordDecision{Event: "ConfigRejected", Subject: subject, Reason: ReasonUndecodable})
 	}
@@ -53,9 +53,9 @@
 	)
 }
 
-// installRevision sets the revision in force. After a rejection the instance counts as lagging until a
-// later document is in force.
-func (c InstallRevision) installRevision(s state.State, now time.Time) state.State {
+// withRevisionInForce returns a state with the revision in force. After a rejection the instance counts as
+// lagging until a later document is in force.
+func (c InstallRevision) withRevisionInForce(s state.State, now time.Time) state.State {
 	lagging := s.Self.LaggingSince
 	s = s.WithRevision(c.Revision)
 	switch {
--- a/core/cmds/mark_replaced.go
+++ b/core/cmds/mark_replaced.go
@@ -8,7 +8,7 @@
 	"endivehitch/core/value"
 )
 
-// MarkReplaced records that another process answers at an instance's address, so that the instance is gone.
+// MarkReplaced records that another process answers at an instance's address, so the instance is gone.
 type MarkReplaced struct {
 	ID value.InstanceID
 }
--- a/core/cmds/receive_message.go
+++ b/core/cmds/receive_message.go
@@ -8,14 +8,14 @@
 	"endivehitch/core/value"
 )
 
-// ReceiveMessage merges a gossip message of another instance.
+// ReceiveMessage merges a gossip message from another instance.
 type ReceiveMessage struct {
 	// From is the sender's own state.
 	From value.Instance
 	// Updates holds the sender's updates on other instances.
 	Updates []value.Instance
-	// IsMembershipList reports that News is the sender's complete membership list. Such a list only adds unknown
-	// instances, and these are not disseminated.
+	// IsMembershipList reports that Updates is the sender's complete membership list. Such a list only
+	// adds unknown instances, and these are not disseminated.
 	IsMembershipList bool
 }
 
@@ -77,7 +77,7 @@
 	return s.WithInstance(withoutObservations(update, now))
 }
 
-// withoutObservations discards the sender's own observations of the instance; its state counts from now.
+// withoutObservations discards what the sender observed of the instance; its state counts from now.
 func withoutObservations(update value.Instance, now time.Time) value.Instance {
 	return update.WithSince(now).WithLastContact(time.Time{}).WithListed(false)
 }
--- a/core/cmds/rollout_advance.go
+++ b/core/cmds/rollout_advance.go
@@ -18,7 +18,7 @@
 	Forced bool
 }
 
-// Apply refuses to advance while the stage's conditions are not met; it is idempotent.
+// Apply refuses an unforced step while the stage's conditions are not met; it is idempotent.
 func (c AdvanceRollOut) Apply(s state.State, now time.Time) (state.State, []state.Effect) {
 	r, ok := s.RollOut(c.Name)
 	if !ok {
@@ -38,9 +38,9 @@
 	return applyProgress(s, p, "RollOutAdvanced")
 }
 
-func (c AdvanceRollOut) nextProgress(r value.RollOut, p value.Progress, observed steps.StageMeasurements, now time.Time) (value.Progress, error) {
+func (c AdvanceRollOut) nextProgress(r value.RollOut, p value.Progress, measurements steps.StageMeasurements, now time.Time) (value.Progress, error) {
 	if c.Forced {
 		return steps.ForceAdvance(r, p, now)
 	}
-	return steps.Advance(r, p, observed, now)
+	return steps.Advance(r, p, measurements, now)
 }
--- a/core/cmds/rollout_attempts.go
+++ b/core/cmds/rollout_attempts.go
@@ -15,13 +15,13 @@
 // Apply withdraws a version if its attempts break a limit of its roll-out.
 func (c ObserveAttempts) Apply(s state.State, now time.Time) (state.State, []state.Effect) {
 	var effects []state.Effect
-	for _, runs := range c.Counts {
-		r, ok := s.RollOutTo(runs.Version)
+	for _, counts := range c.Counts {
+		r, ok := s.RollOutTo(counts.Version)
 		if !ok {
 			continue
 		}
 		var more []state.Effect
-		s, more = withdrawOnAlarm(s.WithAttemptCounts(r, runs), r, now)
+		s, more = withdrawOnAlarm(s.WithAttemptCounts(r, counts), r, now)
 		effects = append(effects, more...)
 	}
 	return s, effects
--- a/core/cmds/rollout_test.go
+++ b/core/cmds/rollout_test.go
@@ -189,8 +189,8 @@
 	s, effects := applyAll(s, testTime, cmds.InstallWithdrawal{Withdrawal: value.Withdrawal{Version: newKey, Reason: value.ReasonQuality}})
 	assert.Equal(t, phaseOf(s), value.PhaseWithdrawn)
 	for _, e := range effects {
-		_, decided := e.(state.RecordDecision)
-		assert.Assert(t, decided, "an installed withdrawal must not be stored again: %T", e)
+		_, isLog := e.(state.RecordDecision)
+		assert.Assert(t, isLog, "an installed withdrawal must not be stored again: %T", e)
 	}
 }
 
--- a/core/cmds/rollout_withdraw.go
+++ b/core/cmds/rollout_withdraw.go
@@ -48,11 +48,11 @@
 	return next, onlyLogEffects(effects)
 }
 
-// onlyLogEffects drops the effects that store values, as another instance has stored them already: all
-// instances of a large fleet would otherwise write to the key-value service at the same time.
+// onlyLogEffects drops the effects that store values, which another instance has stored already:
+// otherwise all instances of a large fleet would write to the key-value service at the same time.
 func onlyLogEffects(effects []state.Effect) []state.Effect {
 	return slices.DeleteFunc(effects, func(e state.Effect) bool {
-		_, decided := e.(state.RecordDecision)
-		return !decided
+		_, isLog := e.(state.RecordDecision)
+		return !isLog
 	})
 }
