--- a/core/ledger/decide.go
+++ b/core/ledger/decide.go
@@ -4,30 +4,30 @@
 // and whether the journal must be written before the verdicts may be acted on.
 //
 // Expiry alone does not require a write, since the next Decide computes it again.
-func (j Journal) Decide(ops []Op, rule JournalRule, setting DecisionInputs) (Journal, []Verdict, bool) {
-	next := j.withTimeouts(rule, setting)
+func (j Journal) Decide(ops []Op, rule JournalRule, inputs DecisionInputs) (Journal, []Verdict, bool) {
+	next := j.withTimeouts(rule, inputs)
 	verdicts := make([]Verdict, len(ops))
 	changed := false
 	for i, op := range ops {
 		var wrote bool
-		next, verdicts[i], wrote = next.apply(op, rule, setting)
+		next, verdicts[i], wrote = next.apply(op, rule, inputs)
 		changed = changed || wrote
 	}
 	return next, verdicts, changed
 }
 
-func (j Journal) apply(op Op, rule JournalRule, setting DecisionInputs) (Journal, Verdict, bool) {
+func (j Journal) apply(op Op, rule JournalRule, inputs DecisionInputs) (Journal, Verdict, bool) {
 	r, known := j.Get(op.ID)
 	if op.Verb == VerbClaim {
-		return j.claim(op, r, known, rule, setting)
+		return j.claim(op, r, known, rule, inputs)
 	}
 	if !known && op.Verb == VerbRelease {
-		return j.recordRelease(op, rule, setting)
+		return j.recordRelease(op, rule, inputs)
 	}
 	if !known || r.Token != op.Token {
 		return j, Verdict{Outcome: OutcomeNotHeld, Record: r}, false
 	}
-	next, changed := afterHolderOp(r, op, rule, setting)
+	next, changed := afterHolderOp(r, op, rule, inputs)
 	if !changed {
 		return j, Verdict{Outcome: OutcomeSettled, Record: r}, false
 	}
@@ -37,7 +37,7 @@
 
 // afterHolderOp returns the record after an operation with the record's own token, and whether the
 // record has changed; a finished or released record does not change any more.
-func afterHolderOp(r Record, op Op, rule JournalRule, setting DecisionInputs) (Record, bool) {
+func afterHolderOp(r Record, op Op, rule JournalRule, inputs DecisionInputs) (Record, bool) {
 	if r.State == RunFinished || r.State == RunReleased {
 		return r, false
 	}
@@ -47,19 +47,19 @@
 		if len(answer.Body) > rule.MaxAnswerBytes {
 			answer = answer.WithoutBody()
 		}
-		return r.WithState(RunFinished, setting.Now).WithAnswer(answer), true
+		return r.WithState(RunFinished, inputs.Now).WithAnswer(answer), true
 	case VerbRelease:
-		return r.WithState(RunReleased, setting.Now), true
+		return r.WithState(RunReleased, inputs.Now), true
 	case VerbMarkInDoubt:
-		return r.WithState(RunInDoubt, setting.Now), r.State != RunInDoubt
+		return r.WithState(RunInDoubt, inputs.Now), r.State != RunInDoubt
 	}
 	return r, false
 }
 
 // claim grants the claim only where no earlier execution of the call may have been dispatched.
-func (j Journal) claim(op Op, r Record, known bool, rule JournalRule, setting DecisionInputs) (Journal, Verdict, bool) {
+func (j Journal) claim(op Op, r Record, known bool, rule JournalRule, inputs DecisionInputs) (Journal, Verdict, bool) {
 	if !known || (r.State == RunReleased && r.Token != op.Token) {
-		return j.grant(op, rule, setting)
+		return j.grant(op, rule, inputs)
 	}
 	if r.Kind != op.Kind || r.RequestHash != op.RequestHash {
 		return j, Verdict{Outcome: OutcomeReused, Record: r}, false
@@ -78,11 +78,11 @@
 }
 
 // recordRelease handles a release that arrives before its claim: it adds a released record, so that the
-// claim is not granted when it arrives later. The record is added even after the claim's deadline,
+// late claim is not granted. The record is added even after the claim's deadline,
 // because the write that adds the claim may still be in progress; that write fails once the journal has
 // another revision.
-func (j Journal) recordRelease(op Op, rule JournalRule, setting DecisionInputs) (Journal, Verdict, bool) {
-	r := newRecord(op, setting).WithState(RunReleased, setting.Now)
+func (j Journal) recordRelease(op Op, rule JournalRule, inputs DecisionInputs) (Journal, Verdict, bool) {
+	r := newRecord(op, inputs).WithState(RunReleased, inputs.Now)
 	next := j.withRecordFitted(r, rule)
 	if next.Size() > rule.MaxBytes {
 		return j, Verdict{Outcome: OutcomeSettled}, false
@@ -90,7 +90,7 @@
 	return next, Verdict{Outcome: OutcomeSettled, Record: r}, true
 }
 
-func newRecord(op Op, setting DecisionInputs) Record {
+func newRecord(op Op, inputs DecisionInputs) Record {
 	return Record{
 		ID:          op.ID,
 		Kind:        op.Kind,
@@ -98,16 +98,16 @@
 		Token:       op.Token,
 		Holder:      op.Holder,
 		State:       RunIntended,
-		Since:       setting.Now,
+		Since:       inputs.Now,
 		Until:       op.Until,
 	}
 }
 
-func (j Journal) grant(op Op, rule JournalRule, setting DecisionInputs) (Journal, Verdict, bool) {
-	if !op.Until.After(setting.Now) {
+func (j Journal) grant(op Op, rule JournalRule, inputs DecisionInputs) (Journal, Verdict, bool) {
+	if !op.Until.After(inputs.Now) {
 		return j, Verdict{Outcome: OutcomeLate}, false
 	}
-	r := newRecord(op, setting)
+	r := newRecord(op, inputs)
 	next := j.withRecordFitted(r, rule)
 	if next.Size() > rule.MaxBytes {
 		return j, Verdict{Outcome: OutcomeFull}, false
--- a/core/ledger/expiry.go
+++ b/core/ledger/expiry.go
@@ -8,25 +8,25 @@
 // withTimeouts returns the journal with the changes that time alone brings about: expired records are
 // removed, and abandoned executions become in doubt. The record of an execution that may still be in
 // progress is never removed.
-func (j Journal) withTimeouts(rule JournalRule, setting DecisionInputs) Journal {
+func (j Journal) withTimeouts(rule JournalRule, inputs DecisionInputs) Journal {
 	for id, r := range j.records.All() {
 		switch {
-		case r.State == RunIntended && isAbandoned(r, rule, setting):
-			j = j.With(r.WithState(RunInDoubt, setting.Now))
-		case r.State != RunIntended && setting.Now.Sub(r.Since) >= retentionOf(r, rule):
+		case r.State == RunIntended && isAbandoned(r, rule, inputs):
+			j = j.With(r.WithState(RunInDoubt, inputs.Now))
+		case r.State != RunIntended && inputs.Now.Sub(r.Since) >= retentionOf(r, rule):
 			j = j.Without(id)
 		}
 	}
 	return j
 }
 
-// isAbandoned reports whether the execution's deadline has passed or its holder has departed, and
-// rule.Wait has passed as well, so that the holder is not expected to report a result any more.
-func isAbandoned(r Record, rule JournalRule, setting DecisionInputs) bool {
-	if !setting.Now.Before(r.Until.Add(rule.AbandonAfter)) {
+// isAbandoned reports whether rule.AbandonAfter has passed since the execution's deadline or, if its
+// holder has departed, since its claim: then the holder is not expected to report a result any more.
+func isAbandoned(r Record, rule JournalRule, inputs DecisionInputs) bool {
+	if !inputs.Now.Before(r.Until.Add(rule.AbandonAfter)) {
 		return true
 	}
-	return setting.HasDeparted(r.Holder) && setting.Now.Sub(r.Since) >= rule.AbandonAfter
+	return inputs.HasDeparted(r.Holder) && inputs.Now.Sub(r.Since) >= rule.AbandonAfter
 }
 
 // retentionOf returns how long the record is retained. A released claim is needed only for as long as a
--- a/core/ledger/journal_test.go
+++ b/core/ledger/journal_test.go
@@ -17,10 +17,10 @@
 	rule  = ledger.JournalRule{Retention: time.Hour, AbandonAfter: 10 * time.Second, MaxBytes: 8 << 10, MaxAnswerBytes: 1 << 10}
 )
 
-func settingAt(d time.Duration, departed ...value.InstanceID) ledger.DecisionInputs {
+func inputsAt(d time.Duration, departed ...value.InstanceID) ledger.DecisionInputs {
 	return ledger.DecisionInputs{Now: start.Add(d), HasDeparted: func(id value.InstanceID) bool {
-		for _, g := range departed {
-			if g == id {
+		for _, holder := range departed {
+			if holder == id {
 				return true
 			}
 		}
@@ -57,21 +57,21 @@
 		at   ledger.DecisionInputs
 		want ledger.Outcome
 	}{
-		{"running", nil, settingAt(time.Second), ledger.OutcomeRunning},
-		{"running, deadline passed less than Wait ago", nil, settingAt(69 * time.Second), ledger.OutcomeRunning},
-		{"deadline passed Wait ago", nil, settingAt(70 * time.Second), ledger.OutcomeUnknown},
-		{"holder departed, claimed less than Wait ago", nil, settingAt(9*time.Second, "i1"), ledger.OutcomeRunning},
-		{"holder departed, claimed Wait ago", nil, settingAt(10*time.Second, "i1"), ledger.OutcomeUnknown},
-		{"finished", []ledger.Op{first.WithAnswer(answer)}, settingAt(time.Second), ledger.OutcomeAnswered},
-		{"in doubt", []ledger.Op{first.WithVerb(ledger.VerbMarkInDoubt)}, settingAt(time.Second), ledger.OutcomeUnknown},
-		{"in doubt, then finished", []ledger.Op{first.WithVerb(ledger.VerbMarkInDoubt), first.WithAnswer(answer)}, settingAt(time.Second), ledger.OutcomeAnswered},
-		{"finished, then released", []ledger.Op{first.WithAnswer(answer), first.WithVerb(ledger.VerbRelease)}, settingAt(time.Second), ledger.OutcomeAnswered},
-		{"released with another token", []ledger.Op{second.WithVerb(ledger.VerbRelease)}, settingAt(time.Second), ledger.OutcomeRunning},
-		{"released", []ledger.Op{first.WithVerb(ledger.VerbRelease)}, settingAt(time.Second), ledger.OutcomeGranted},
+		{"running", nil, inputsAt(time.Second), ledger.OutcomeRunning},
+		{"running, deadline passed less than AbandonAfter ago", nil, inputsAt(69 * time.Second), ledger.OutcomeRunning},
+		{"deadline passed AbandonAfter ago", nil, inputsAt(70 * time.Second), ledger.OutcomeUnknown},
+		{"holder departed, claimed less than AbandonAfter ago", nil, inputsAt(9*time.Second, "i1"), ledger.OutcomeRunning},
+		{"holder departed, claimed AbandonAfter ago", nil, inputsAt(10*time.Second, "i1"), ledger.OutcomeUnknown},
+		{"finished", []ledger.Op{first.WithAnswer(answer)}, inputsAt(time.Second), ledger.OutcomeAnswered},
+		{"in doubt", []ledger.Op{first.WithVerb(ledger.VerbMarkInDoubt)}, inputsAt(time.Second), ledger.OutcomeUnknown},
+		{"in doubt, then finished", []ledger.Op{first.WithVerb(ledger.VerbMarkInDoubt), first.WithAnswer(answer)}, inputsAt(time.Second), ledger.OutcomeAnswered},
+		{"finished, then released", []ledger.Op{first.WithAnswer(answer), first.WithVerb(ledger.VerbRelease)}, inputsAt(time.Second), ledger.OutcomeAnswered},
+		{"released with another token", []ledger.Op{second.WithVerb(ledger.VerbRelease)}, inputsAt(time.Second), ledger.OutcomeRunning},
+		{"released", []ledger.Op{first.WithVerb(ledger.VerbRelease)}, inputsAt(time.Second), ledger.OutcomeGranted},
 	} {
-		j, got := decide(ledger.Journal{}, first, settingAt(0))
+		j, got := decide(ledger.Journal{}, first, inputsAt(0))
 		assert.Equal(t, got, ledger.OutcomeGranted, c.name)
-		j, _, _ = j.Decide(c.ops, rule, settingAt(time.Second))
+		j, _, _ = j.Decide(c.ops, rule, inputsAt(time.Second))
 		second.Until = c.at.Now.Add(time.Minute)
 		_, got = decide(j, second, c.at)
 		assert.Equal(t, got, c.want, c.name)
@@ -79,27 +79,27 @@
 }
 
 func TestKeyReusedForAnotherRequestIsRefused(t *testing.T) {
-	j, _ := decide(ledger.Journal{}, claim("k", "t1", "i1"), settingAt(0))
+	j, _ := decide(ledger.Journal{}, claim("k", "t1", "i1"), inputsAt(0))
 	other := claim("k", "t2", "i1")
 	other.RequestHash = 8
-	_, got := decide(j, other, settingAt(0))
+	_, got := decide(j, other, inputsAt(0))
 	assert.Equal(t, got, ledger.OutcomeReused)
 }
 
 func TestClaimThatArrivesAfterItsReleaseIsNotGranted(t *testing.T) {
 	c := claim("k", "t1", "i1")
-	j, _ := decide(ledger.Journal{}, c, settingAt(0))
-	j, _ = decide(j, c.WithVerb(ledger.VerbRelease), settingAt(0))
-	_, got := decide(j, c, settingAt(time.Second))
+	j, _ := decide(ledger.Journal{}, c, inputsAt(0))
+	j, _ = decide(j, c.WithVerb(ledger.VerbRelease), inputsAt(0))
+	_, got := decide(j, c, inputsAt(time.Second))
 	assert.Equal(t, got, ledger.OutcomeLate)
-	_, got = decide(ledger.Journal{}, c, settingAt(time.Minute))
+	_, got = decide(ledger.Journal{}, c, inputsAt(time.Minute))
 	assert.Equal(t, got, ledger.OutcomeLate, "claim whose deadline has passed")
 }
 
 func TestTooLargeAnswerIsStoredWithoutItsBody(t *testing.T) {
 	c := claim("k", "t1", "i1")
-	j, _ := decide(ledger.Journal{}, c, settingAt(0))
-	j, _ = decide(j, c.WithAnswer(ledger.Answer{Body: make([]byte, 2<<10), Digest: "d", Bytes: 2 << 10}), settingAt(0))
+	j, _ := decide(ledger.Journal{}, c, inputsAt(0))
+	j, _ = decide(j, c.WithAnswer(ledger.Answer{Body: make([]byte, 2<<10), Digest: "d", Bytes: 2 << 10}), inputsAt(0))
 	r, ok := j.Get(c.ID)
 	assert.Assert(t, ok)
 	assert.Assert(t, !r.Answer.IsComplete())
@@ -117,16 +117,16 @@
 		settledAt := map[ledger.CallID]time.Duration{}
 		for i := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 400).Draw(t, "seconds")) * time.Second
-			setting := settingAt(now, departed...)
+			inputs := inputsAt(now, departed...)
 			op := claim(fmt.Sprint(rapid.IntRange(0, 12).Draw(t, "key")), fmt.Sprint(i), "i1")
-			op.Until = setting.Now.Add(30 * time.Second)
+			op.Until = inputs.Now.Add(30 * time.Second)
 			held, isOpen := open[op.ID]
 			verb := rapid.SampledFrom([]ledger.Verb{ledger.VerbClaim, ledger.VerbClaim, ledger.VerbFinish, ledger.VerbMarkInDoubt, ledger.VerbRelease}).Draw(t, "verb")
 			if verb != ledger.VerbClaim {
 				body := make([]byte, rapid.IntRange(0, 1500).Draw(t, "body"))
 				op = held.WithAnswer(ledger.Answer{Body: body, Bytes: len(body)}).WithVerb(verb)
 			}
-			next, got := decide(j, op, setting)
+			next, got := decide(j, op, inputs)
 			assert.Assert(t, next.Size() <= rule.MaxBytes)
 			if got == ledger.OutcomeGranted {
 				since, settled := settledAt[op.ID]
@@ -159,18 +159,18 @@
 	granted := 0
 	for i := range 100 {
 		c := claim(fmt.Sprint(i), fmt.Sprint(i), "i1")
-		j, last = decide(j, c, settingAt(0))
+		j, last = decide(j, c, inputsAt(0))
 		if last == ledger.OutcomeGranted {
 			granted++
-			j, _ = decide(j, c.WithAnswer(ledger.Answer{Body: make([]byte, 1<<10), Bytes: 1 << 10}), settingAt(0))
+			j, _ = decide(j, c.WithAnswer(ledger.Answer{Body: make([]byte, 1<<10), Bytes: 1 << 10}), inputsAt(0))
 		}
 	}
 	assert.Equal(t, last, ledger.OutcomeFull)
 	assert.Equal(t, len(j.Records()), granted)
-	_, last = decide(j, claim("0", "again", "i2"), settingAt(time.Second))
+	_, last = decide(j, claim("0", "again", "i2"), inputsAt(time.Second))
 	assert.Equal(t, last, ledger.OutcomeAnswered, "the body of the oldest answer is dropped, its record is kept")
 	fresh := claim("new", "new", "i1")
 	fresh.Until = start.Add(2 * time.Hour)
-	_, last = decide(j, fresh, settingAt(time.Hour))
+	_, last = decide(j, fresh, inputsAt(time.Hour))
 	assert.Equal(t, last, ledger.OutcomeGranted, "expired records free their space")
 }
--- a/core/ledger/operation.go
+++ b/core/ledger/operation.go
@@ -17,7 +17,7 @@
 	VerbRelease     Verb = "Release"
 )
 
-// Op is one operation on the record of a call, idempotent by its token.
+// Op is one operation on the record of a call; its token makes it idempotent.
 type Op struct {
 	Verb Verb
 	ID   CallID
@@ -64,7 +64,7 @@
 	OutcomeFull Outcome = "Full"
 	// OutcomeLate means that the claim arrived after its own deadline or after its release.
 	OutcomeLate Outcome = "Late"
-	// OutcomeSettled means that a finish, doubt or release has been applied or changes nothing.
+	// OutcomeSettled means that a finish, a mark in doubt or a release has been applied or changes nothing.
 	OutcomeSettled Outcome = "Settled"
 	// OutcomeNotHeld means that the journal has no claim with the operation's token.
 	OutcomeNotHeld Outcome = "Foreign"
--- a/core/ledger/record.go
+++ b/core/ledger/record.go
@@ -32,7 +32,7 @@
 	RunIntended RunState = "Intended"
 	// RunFinished means that the execution ended in a complete answer.
 	RunFinished RunState = "Finished"
-	// RunInDoubt means that the execution may or may not have taken effect. While the record lasts no
+	// RunInDoubt means that the execution may or may not have taken effect. While the record exists, no
 	// other claim is granted; the holder may still finish or release it.
 	RunInDoubt RunState = "Doubted"
 	// RunReleased means that the claim was released before any dispatch; the call may be claimed again.
--- a/core/ledger/tail.go
+++ b/core/ledger/tail.go
@@ -79,7 +79,8 @@
 	return t.entries.Len()
 }
 
-// Find returns the sequence number of the request's bill, if it was made since the last but one flush.
+// Find returns the sequence number of the request's bill, if it was made since the flush before
+// the latest.
 func (t Tail) Find(r value.RequestID) (int64, bool) {
 	if n, ok := t.recent.Get(r); ok {
 		return n, true
@@ -121,8 +122,8 @@
 	return t
 }
 
-// Since returns the entries after the sequence number: as many as fit into the bytes, and the first
-// even if it does not fit.
+// Since returns the entries after the sequence number: as many as fit into the given bytes, but always
+// the first.
 func (t Tail) Since(sequence int64, bytes int) []Entry {
 	skip := max(sequence-t.flushed, 0)
 	var list []Entry
