--- a/core/fleet/lease.go
+++ b/core/fleet/lease.go
@@ -14,8 +14,8 @@
 	Renew time.Duration
 	// Margin is how much earlier than the store the holder considers the lease expired.
 	Margin time.Duration
-	// TakeoverDelay is how long a new holder waits before it sends orders to backend servers that ignore fencing
-	// tokens.
+	// TakeoverDelay is how long a new holder waits before it sends orders to backend servers that ignore
+	// fencing tokens.
 	TakeoverDelay time.Duration
 	// MaxOrderTime is the longest time that one order to a backend server may take.
 	MaxOrderTime time.Duration
@@ -36,74 +36,77 @@
 func (r LeaseRule) Check() error {
 	switch {
 	case r.Length <= 0 || r.Renew <= 0 || r.Margin <= 0 || r.MaxOrderTime <= 0:
-		return errors.New("lease rule: Length, Renew, Margin and Order must be positive")
+		return errors.New("lease rule: Length, Renew, Margin and MaxOrderTime must be positive")
 	case r.Renew+r.Margin >= r.Length:
-		return fmt.Errorf("lease rule: renewal interval of %s is not shorter than the holder's term of %s", r.Renew, r.Length-r.Margin)
+		return fmt.Errorf("lease rule: Renew of %s is not shorter than the holder's term of %s", r.Renew, r.Length-r.Margin)
 	case r.MaxOrderTime >= r.Length-r.Margin-r.Renew:
-		return fmt.Errorf("lease rule: order time of %s does not fit into the rest of the term at a renewal", r.MaxOrderTime)
+		return fmt.Errorf("lease rule: MaxOrderTime of %s does not fit into the rest of the term at a renewal", r.MaxOrderTime)
 	case r.TakeoverDelay < r.MaxOrderTime:
-		return fmt.Errorf("lease rule: quiet time of %s is shorter than the order time", r.TakeoverDelay)
+		return fmt.Errorf("lease rule: TakeoverDelay of %s is shorter than MaxOrderTime", r.TakeoverDelay)
 	}
 	return nil
 }
 
-// HeldLease is the holder's view of its own lease; it is immutable.
+// HeldLease is what the holder of a lease knows of it; it is immutable.
 type HeldLease struct {
 	// Fence is the fencing token, which grows with each holder.
 	Fence int64
-	// Since is when the holder took the lease.
-	Since  time.Time
+	// Since is when the holder sent the request for the lease.
+	Since time.Time
+	// sentAt is when the holder sent the latest request or renewal.
 	sentAt time.Time
+	// usable is how long after sentAt the holder may act.
 	usable time.Duration
 }
 
-// NewHeldLease returns the tenure of a lease whose request was sent at the given time.
+// NewHeldLease returns a lease that was granted on a request sent at the given time.
 func NewHeldLease(r LeaseRule, fence int64, sentAt time.Time) HeldLease {
 	return HeldLease{Fence: fence, Since: sentAt, sentAt: sentAt, usable: r.Length - r.Margin}
 }
 
-// WithRenewal returns the tenure after a renewal that was sent at sentAt, with the lease granted for the
-// given time.
+// WithRenewal returns the lease after a renewal that was sent at sentAt and granted for the given time.
 //
-// The store counts from the arrival of the renewal, which is later, so the holder's term ends first.
-// A renewal that is answered after the tenure has ended does not make it valid again.
-func (t HeldLease) WithRenewal(r LeaseRule, sentAt time.Time, granted time.Duration, now time.Time) HeldLease {
-	if !t.Valid(now) {
-		return t
+// The store counts from the arrival of the renewal, which is later, so the lease ends for the holder
+// before it ends in the store. A renewal that is answered after the holder's term has ended does not make
+// the lease valid again.
+func (h HeldLease) WithRenewal(r LeaseRule, sentAt time.Time, granted time.Duration, now time.Time) HeldLease {
+	if !h.Valid(now) {
+		return h
 	}
-	t.sentAt = sentAt
-	t.usable = granted - r.Margin
-	return t
+	h.sentAt = sentAt
+	h.usable = granted - r.Margin
+	return h
 }
 
-// WithEnd returns the tenure after the holder gave the lease up.
-func (t HeldLease) WithEnd() HeldLease {
-	t.usable = 0
-	return t
+// WithEnd returns the lease after the holder has given it up.
+func (h HeldLease) WithEnd() HeldLease {
+	h.usable = 0
+	return h
 }
 
 // Valid reports whether the holder may act.
-func (t HeldLease) Valid(now time.Time) bool {
-	return t.Remaining(now) > 0
+func (h HeldLease) Valid(now time.Time) bool {
+	return h.Remaining(now) > 0
 }
 
-// Remaining returns how long the holder may still act; it is zero or negative once the tenure has ended.
+// Remaining returns how long the holder may still act; it is zero or negative once the term has ended.
 //
 // The monotonic clock does not advance while a machine is suspended, and the wall clock can be set
 // back, so the longer of the two elapsed times counts.
-func (t HeldLease) Remaining(now time.Time) time.Duration {
-	monotonic := now.Sub(t.sentAt)
-	wall := now.Round(0).Sub(t.sentAt.Round(0))
-	return t.usable - max(monotonic, wall, 0)
+func (h HeldLease) Remaining(now time.Time) time.Duration {
+	monotonic := now.Sub(h.sentAt)
+	wall := now.Round(0).Sub(h.sentAt.Round(0))
+	return h.usable - max(monotonic, wall, 0)
 }
 
-// CanSendOrder reports whether an order sent now ends within the tenure, even if it takes the longest time.
-func (t HeldLease) CanSendOrder(r LeaseRule, now time.Time) bool {
-	return t.Remaining(now) > r.MaxOrderTime
+// CanSendOrder reports whether an order that is sent now ends within the holder's term even if it takes
+// MaxOrderTime.
+func (h HeldLease) CanSendOrder(r LeaseRule, now time.Time) bool {
+	return h.Remaining(now) > r.MaxOrderTime
 }
 
-// TakeoverDelayLeft returns how long the holder must still wait before it sends orders to backend servers that
-// ignore fencing tokens, so that its predecessor's last orders have ended by then.
-func (t HeldLease) TakeoverDelayLeft(r LeaseRule, now time.Time) time.Duration {
-	return t.Since.Add(r.TakeoverDelay).Sub(now)
+// TakeoverDelayLeft returns how long the holder must still wait before it sends orders to backend
+// servers that ignore fencing tokens, so that its predecessor's last orders have ended by then.
+func (h HeldLease) TakeoverDelayLeft(r LeaseRule, now time.Time) time.Duration {
+	return h.Since.Add(r.TakeoverDelay).Sub(now)
 }
--- a/core/fleet/lease_test.go
+++ b/core/fleet/lease_test.go
@@ -12,22 +12,22 @@
 func TestHolderMayNotActAfterItsTermHasEnded(t *testing.T) {
 	rule := fleet.DefaultLeaseRule()
 	sent := time.Unix(1000, 0)
-	tenure := fleet.NewHeldLease(rule, 5, sent)
+	lease := fleet.NewHeldLease(rule, 5, sent)
 	end := sent.Add(rule.Length - rule.Margin)
-	assert.Assert(t, tenure.Valid(end.Add(-1)))
-	assert.Assert(t, !tenure.Valid(end))
-	assert.Assert(t, tenure.CanSendOrder(rule, end.Add(-rule.MaxOrderTime-1)))
-	assert.Assert(t, !tenure.CanSendOrder(rule, end.Add(-rule.MaxOrderTime)))
-	assert.Assert(t, !tenure.WithEnd().Valid(sent))
+	assert.Assert(t, lease.Valid(end.Add(-1)))
+	assert.Assert(t, !lease.Valid(end))
+	assert.Assert(t, lease.CanSendOrder(rule, end.Add(-rule.MaxOrderTime-1)))
+	assert.Assert(t, !lease.CanSendOrder(rule, end.Add(-rule.MaxOrderTime)))
+	assert.Assert(t, !lease.WithEnd().Valid(sent))
 }
 
 func TestRenewalExtendsTheTermFromItsSendTimeUnlessLate(t *testing.T) {
 	rule := fleet.DefaultLeaseRule()
 	sent := time.Unix(1000, 0)
-	tenure := fleet.NewHeldLease(rule, 5, sent)
+	lease := fleet.NewHeldLease(rule, 5, sent)
 	renewal := sent.Add(rule.Renew)
-	renewed := tenure.WithRenewal(rule, renewal, rule.Length, renewal.Add(time.Second))
+	renewed := lease.WithRenewal(rule, renewal, rule.Length, renewal.Add(time.Second))
 	assert.Equal(t, renewed.Remaining(renewal), rule.Length-rule.Margin)
-	late := tenure.WithRenewal(rule, renewal, rule.Length, sent.Add(rule.Length))
+	late := lease.WithRenewal(rule, renewal, rule.Length, sent.Add(rule.Length))
 	assert.Assert(t, !late.Valid(renewal.Add(rule.Length-rule.Margin-1)))
 }
--- a/core/fleet/member.go
+++ b/core/fleet/member.go
@@ -14,18 +14,19 @@
 	Period time.Duration
 	// Timeout is how long a direct or an indirect probe waits for its answer.
 	Timeout time.Duration
-	// IndirectProbes is how many other instances are asked to probe one that did not answer (indirect probes).
+	// IndirectProbes is how many other instances are asked to probe one that did not answer.
 	IndirectProbes int
-	// ViewSize is the number of instances that an instance probes and pushes to; the choice rotates.
+	// ViewSize is the number of instances that an instance sends probes and messages to; the choice
+	// rotates.
 	ViewSize int
 	// Rotation is the time after which an instance chooses another view.
 	Rotation time.Duration
 	// Retention is how long an instance is remembered after it has departed.
 	Retention time.Duration
-	// MaxUpdates is the highest number of instances that one message has updates of.
+	// MaxUpdates is the highest number of instances that one message has updates on.
 	MaxUpdates int
-	// ProbesPerReconnect is the average number of probes for each probe of a departed instance that is still
-	// listed.
+	// ProbesPerReconnect makes one probe in so many, on average, go to a departed instance that is still
+	// listed, so that the parts of a partitioned fleet find each other again.
 	ProbesPerReconnect int
 	// Fanout is how many instances are notified at once of a new configuration.
 	Fanout int
@@ -67,8 +68,9 @@
 	return !last.IsZero() && now.Sub(last) > missedPeriods*t.Period
 }
 
-// WasPausedDuringProbe reports whether a probe, with its direct and its indirect attempt, took so much longer than
-// its timeouts that the probing instance was paused, which says nothing about the probed one.
+// WasPausedDuringProbe reports whether a probe, with its direct and its indirect attempt, took so much
+// longer than its timeouts that the probing instance must have been paused. Such a probe says nothing
+// about the probed instance.
 func (t Timing) WasPausedDuringProbe(begun, now time.Time) bool {
 	const timeouts = 2
 	return now.Sub(begun) > timeouts*t.Timeout+t.Period
@@ -92,7 +94,7 @@
 	return severity(update.State) > severity(known.State)
 }
 
-// Refutes reports whether the instance must refute the update that others have sent of it.
+// Refutes reports whether the instance must refute the update that another one has sent about it.
 func Refutes(self, update value.Instance) bool {
 	return update.Incarnation >= self.Incarnation && severity(update.State) > severity(self.State)
 }
--- a/core/fleet/member_test.go
+++ b/core/fleet/member_test.go
@@ -28,7 +28,7 @@
 		}
 	})
 	rapid.Check(t, func(t *rapid.T) {
-		updates := rapid.SliceOfN(anyUpdate, 1, 8).Draw(t, "news")
+		updates := rapid.SliceOfN(anyUpdate, 1, 8).Draw(t, "updates")
 		shuffled := rapid.Permutation(updates).Draw(t, "shuffled")
 		assert.DeepEqual(t, mergeAll(updates), mergeAll(shuffled))
 		assert.DeepEqual(t, mergeAll(updates), mergeAll(append(updates, updates...)))
@@ -37,9 +37,9 @@
 
 func mergeAll(updates []value.Instance) value.Instance {
 	known := updates[0]
-	for _, n := range updates[1:] {
-		if fleet.Supersedes(n, known) {
-			known = fleet.Merge(known, n, time.Time{})
+	for _, update := range updates[1:] {
+		if fleet.Supersedes(update, known) {
+			known = fleet.Merge(known, update, time.Time{})
 		}
 	}
 	return known
@@ -55,7 +55,7 @@
 	assert.Assert(t, !timing.WasPaused(time.Time{}, begun))
 }
 
-func TestSuspicionTimeoutAndRetransmitsGrowWithTheFleet(t *testing.T) {
+func TestSuspicionTimeoutAndTransmitCountGrowWithTheFleet(t *testing.T) {
 	timing := fleet.DefaultTiming()
 	assert.Equal(t, timing.SuspicionTimeout(7), 4*time.Second)
 	assert.Equal(t, timing.SuspicionTimeout(1000), 12*time.Second)
