--- a/core/steps/order.go
+++ b/core/steps/order.go
@@ -24,7 +24,7 @@
 	Stage int
 }
 
-// ApplyOrder returns the position after the order and whether it differs from the present one.
+// ApplyOrder returns the position after the order, and whether the order has changed it.
 //
 // An order whose target position is already reached changes nothing, so that it may be repeated. The
 // error is value.ChangeRefused where the present position does not allow the order.
--- a/core/steps/steps.go
+++ b/core/steps/steps.go
@@ -70,16 +70,16 @@
 
 // Advance returns the position at the next stage or, after the last one, at the end. The error is
 // NotDue while the present stage's conditions are not met.
-func Advance(r value.RollOut, p value.Progress, seen StageMeasurements, now time.Time) (value.Progress, error) {
+func Advance(r value.RollOut, p value.Progress, measurements StageMeasurements, now time.Time) (value.Progress, error) {
 	if p.Phase == value.PhaseStaged {
-		if err := checkConditions(r, p, seen, now); err != nil {
+		if err := checkConditions(r, p, measurements, now); err != nil {
 			return p, err
 		}
 	}
 	return ForceAdvance(r, p, now)
 }
 
-// ForceAdvance is like Advance, but does not check the stage's conditions; it serves an operator's order.
+// ForceAdvance is like Advance but does not check the stage's conditions, as an operator's order requires.
 func ForceAdvance(r value.RollOut, p value.Progress, now time.Time) (value.Progress, error) {
 	last := p.Stage+1 >= len(r.Stages)
 	event := eventAdvance
@@ -114,7 +114,7 @@
 	return limit > 0 && now.Sub(p.Since) > limit
 }
 
-func checkConditions(r value.RollOut, p value.Progress, seen StageMeasurements, now time.Time) error {
+func checkConditions(r value.RollOut, p value.Progress, measurements StageMeasurements, now time.Time) error {
 	if p.Stage >= len(r.Stages) {
 		return nil
 	}
@@ -122,7 +122,7 @@
 	if remaining := stage.MinTime - now.Sub(p.Since); remaining > 0 {
 		return NotDue{Name: r.Name, Condition: fmt.Sprintf("stage lasts another %v", remaining)}
 	}
-	if missing := stage.MinRatings - seen.Ratings; missing > 0 {
+	if missing := stage.MinRatings - measurements.Ratings; missing > 0 {
 		return NotDue{Name: r.Name, Condition: fmt.Sprintf("stage needs another %d ratings", missing)}
 	}
 	return nil
