--- a/core/loop/loop.go
+++ b/core/loop/loop.go
@@ -72,8 +72,8 @@
 
 // Watch returns the latest state and a channel that is closed once there is a newer one.
 func (l *Loop[S, E]) Watch() (S, <-chan struct{}) {
-	p := l.current.Load()
-	return p.state, p.changed
+	latest := l.current.Load()
+	return latest.state, latest.changed
 }
 
 // Effects returns the channel that yields the effects of the commands in order; it is closed when the
