--- a/core/policy/fair.go
+++ b/core/policy/fair.go
@@ -166,7 +166,8 @@
 }
 
 // withoutIdleGroups drops groups that have no items and whose tag has been reached by the clock. A
-// group whose tag lies ahead has used service in advance and must not start again without that debt.
+// group whose tag is ahead of the clock has had service in advance; it is retained, since a new group
+// would start at the clock and be served too soon.
 func (f FairQueue[G, K, V]) withoutIdleGroups() FairQueue[G, K, V] {
 	f.groups = slices.DeleteFunc(f.groups, func(g group[G, K, V]) bool {
 		return g.size == 0 && g.tag <= f.clock
