--- a/core/state/candidates.go
+++ b/core/state/candidates.go
@@ -33,7 +33,8 @@
 	// Replacement is the roll-out that replaces the version, if any.
 	Replacement Replacement
 
-	estimate   policy.Estimate
+	estimate policy.Estimate
+	// freshBound is the estimate's bound until freshUntil, or without end if that is zero.
 	freshBound policy.Bound
 	freshUntil time.Time
 }
@@ -47,7 +48,7 @@
 	Percent int
 }
 
-// Cascade is a cascade of two versions.
+// Cascade is a plan of two versions: the second one answers if the judge rejects the first one's answer.
 type Cascade struct {
 	// First and Second are the indexes of the two versions in CandidateSet.Candidates.
 	First  int
--- a/core/state/membership.go
+++ b/core/state/membership.go
@@ -56,7 +56,8 @@
 	return s.membership.owners
 }
 
-// DomainOwners returns the instances of the failure domain that may own hash slots.
+// DomainOwners returns the instances of the failure domain that may own hash slots. Callers rank them with
+// Top; the single slot of the assignment has no meaning.
 func (s State) DomainOwners(d value.FailureDomain) policy.Rendezvous[value.InstanceID] {
 	r, ok := s.membership.domains.Get(d)
 	if !ok {
--- a/core/state/rollout_limits.go
+++ b/core/state/rollout_limits.go
@@ -9,9 +9,10 @@
 
 const (
 	// falseAlarmProbability bounds the chance that a roll-out's tests ever withdraw a version that
-	// exceeds no limit, over the whole life of the roll-out and all of its signals.
+	// exceeds no limit, over the roll-out's whole duration and all of its signals.
 	falseAlarmProbability = 0.01
-	// changeHorizonTrials is the number of trials within which a version that turns bad is expected to do so.
+	// changeHorizonTrials is the number of trials within which a version that comes to exceed a limit is
+	// expected to do so.
 	changeHorizonTrials = 1000
 )
 
--- a/core/state/state.go
+++ b/core/state/state.go
@@ -95,7 +95,7 @@
 	return s.instances
 }
 
-// TotalShares returns the sum of the shares of all client accounts.
+// TotalShares returns the sum of the shares of all client accounts, where a share below 1 counts as 1.
 func (s State) TotalShares() float64 {
 	return s.totalShares
 }
