--- a/core/ledger/decide.go
+++ b/core/ledger/decide.go
@@ -78,9 +78,9 @@
 }
 
 // recordRelease handles a release that arrives before its claim: it adds a released record, so that the
-// late claim is not granted. The record is added even after the claim's deadline,
-// because the write that adds the claim may still be in progress; that write fails once the journal has
-// another revision.
+// late claim is not granted. The record is added even after the claim's deadline, because the write that
+// adds the claim may still be in progress; that write fails once the journal has another revision. A
+// journal without space for the record stays as it is.
 func (j Journal) recordRelease(op Op, rule JournalRule, inputs DecisionInputs) (Journal, Verdict, bool) {
 	r := newRecord(op, inputs).WithState(RunReleased, inputs.Now)
 	next := j.withRecordFitted(r, rule)
--- a/core/ledger/tail.go
+++ b/core/ledger/tail.go
@@ -100,7 +100,7 @@
 }
 
 // WithCopies returns the tail of a holder of a copy, extended by the owner's entries. Entries that it
-// has already and entries after a gap are skipped.
+// has already and entries after a gap are skipped; Find does not return copied entries.
 func (t Tail) WithCopies(entries []Entry) Tail {
 	for _, e := range entries {
 		if e.Sequence == t.Last()+1 {
