--- a/core/cmds/members_test.go
+++ b/core/cmds/members_test.go
@@ -35,7 +35,7 @@
 	return i.State
 }
 
-func TestSuspectBecomesGoneAndIsThenForgotten(t *testing.T) {
+func TestSuspectBecomesGoneAndIsThenRemoved(t *testing.T) {
 	s := stateWithSuspect(t)
 	now := start
 	for range 3 {
@@ -59,7 +59,7 @@
 	assert.Equal(t, stateOf(s, "b"), value.InstanceSuspected)
 }
 
-func TestLeavingInstanceIsForgottenOnlyOnceUnlisted(t *testing.T) {
+func TestLeavingInstanceIsRemovedOnlyOnceUnlisted(t *testing.T) {
 	leaving := live("b").WithState(value.InstanceLeaving)
 	s, _ := cmds.ReceiveMessage{From: leaving}.Apply(state.New(live("a")), start)
 	s, _ = cmds.SyncInstances{Instances: []value.Instance{leaving}}.Apply(s, start)
