--- a/core/relay/gain.go
+++ b/core/relay/gain.go
@@ -1,7 +1,7 @@
 package relay
 
-// ConfidenceGain estimates how much higher one model's confidence is than a smaller one's for the same
-// requests; confidences are from 0 to 100. The zero value holds no observations.
+// ConfidenceGain estimates how much higher one model's confidence is than a smaller one's for the
+// same requests; confidences are from 0 to 100. The zero value holds no observations.
 type ConfidenceGain struct {
 	sum    float64
 	weight float64
--- a/core/relay/gain_test.go
+++ b/core/relay/gain_test.go
@@ -8,7 +8,7 @@
 	"endivehitch/core/relay"
 )
 
-func TestGainTracksRecentConfidences(t *testing.T) {
+func TestConfidenceGainTracksRecentAnswers(t *testing.T) {
 	var gain relay.ConfidenceGain
 	untried := gain.Value()
 	assert.Assert(t, untried > 0, "an untried model has a positive gain, so that it is tried")
--- a/core/relay/load.go
+++ b/core/relay/load.go
@@ -20,8 +20,8 @@
 type Load struct {
 	// InFlight counts this instance's own requests in flight at the server.
 	InFlight int
-	// Work is the time that the server is expected to need until the first byte of those requests
-	// that have received none.
+	// Work is the expected time to first byte, summed over those requests that have not received
+	// theirs yet.
 	Work   time.Duration
 	Report Report
 	// Reported is when the report was made.
@@ -63,21 +63,24 @@
 	return l
 }
 
-// WithStart returns a copy with one more request in flight, which is expected to need the work.
+// WithStart returns a copy with one more request in flight, which is expected to take the given work
+// until its first byte.
 func (l Load) WithStart(work time.Duration) Load {
 	l.InFlight++
 	l.Work += work
 	return l
 }
 
-// WithFirstByte returns a copy in which an attempt has received its first byte after the elapsed time.
+// WithFirstByte returns a copy in which an attempt, started with the given work, has received its
+// first byte after the elapsed time.
 func (l Load) WithFirstByte(config policy.DecayingMeanConfig, work, elapsed time.Duration, at time.Time) Load {
 	l.Work = max(0, l.Work-work)
 	l.TimeToFirstByte = l.TimeToFirstByte.With(config, elapsed, at)
 	return l
 }
 
-// WithoutWork returns a copy in which an attempt ended before its first byte.
+// WithoutWork returns a copy in which an attempt, started with the given work, ended before its
+// first byte.
 func (l Load) WithoutWork(work time.Duration) Load {
 	l.Work = max(0, l.Work-work)
 	return l
--- a/core/relay/orderage.go
+++ b/core/relay/orderage.go
@@ -17,19 +17,19 @@
 // OrderAges returns the ages of the orders whose age is known rather than estimated.
 func (s State) OrderAges(now time.Time) []OrderAge {
 	var known []OrderAge
-	for _, p := range s.rollOuts {
-		if p.AgeKnown {
-			known = append(known, OrderAge{Service: p.Order.Service, Revision: p.Order.Revision, Age: now.Sub(p.OrderedAt)})
+	for _, r := range s.rollOuts {
+		if r.AgeKnown {
+			known = append(known, OrderAge{Service: r.Order.Service, Revision: r.Order.Revision, Age: now.Sub(r.OrderedAt)})
 		}
 	}
 	return known
 }
 
-// HasUnknownOrderAge reports whether the age of some unfinished roll-out's order is only estimated, since
-// the instance was not running, or not connected to the store, when the order was given.
+// HasUnknownOrderAge reports whether the age of some unfinished roll-out's order is only estimated,
+// because the instance was not running, or not connected to the store, when the order was given.
 func (s State) HasUnknownOrderAge() bool {
-	for _, p := range s.rollOuts {
-		if p.Order.Target != "" && !p.AgeKnown && !p.Phase().IsFinal() {
+	for _, r := range s.rollOuts {
+		if r.Order.Target != "" && !r.AgeKnown && !r.Phase().IsFinal() {
 			return true
 		}
 	}
@@ -38,32 +38,32 @@
 
 // WithOrderAges returns a state in which orders of unknown age have the ages reported by others.
 func (s State) WithOrderAges(reported []OrderAge, at time.Time) State {
-	plans := make(map[ServiceName]RollOutState, len(s.rollOuts))
-	for n, p := range s.rollOuts {
+	rollOuts := make(map[ServiceName]RollOutState, len(s.rollOuts))
+	for name, r := range s.rollOuts {
 		for _, age := range reported {
-			if age.Service == n && age.Revision == p.Order.Revision && !p.AgeKnown {
-				p = p.withOrderTime(at.Add(-age.Age), true)
+			if age.Service == name && age.Revision == r.Order.Revision && !r.AgeKnown {
+				r = r.withOrderTime(at.Add(-age.Age), true)
 			}
 		}
-		plans[n] = p
+		rollOuts[name] = r
 	}
-	s.rollOuts = plans
+	s.rollOuts = rollOuts
 	return s
 }
 
-func (p RollOutState) withOrderTime(at time.Time, known bool) RollOutState {
-	p.OrderedAt, p.AgeKnown = at, known
-	return p
+func (r RollOutState) withOrderTime(at time.Time, known bool) RollOutState {
+	r.OrderedAt, r.AgeKnown = at, known
+	return r
 }
 
 // estimatedOrderTime estimates when the order was given by the median start time of the servers
 // that run its target release: they were started for the order, and single ones may have restarted
 // since. The estimate depends on the wall clocks of several machines, so ages reported by other
-// instances replace it.
-func (p RollOutState) estimatedOrderTime(servers []Server, at time.Time) time.Time {
+// instances replace it. It is at most the order's Within before the given time.
+func (r RollOutState) estimatedOrderTime(servers []Server, at time.Time) time.Time {
 	var startTimes []time.Time
 	for _, server := range servers {
-		if server.Release == p.Order.Target && !server.Born.IsZero() {
+		if server.Release == r.Order.Target && !server.Born.IsZero() {
 			startTimes = append(startTimes, server.Born)
 		}
 	}
@@ -72,5 +72,5 @@
 	}
 	slices.SortFunc(startTimes, time.Time.Compare)
 	age := at.Sub(startTimes[len(startTimes)/2])
-	return at.Add(-max(0, min(age, p.Order.Within)))
+	return at.Add(-max(0, min(age, r.Order.Within)))
 }
--- a/core/relay/route.go
+++ b/core/relay/route.go
@@ -47,6 +47,7 @@
 	Name   RouteName
 	Host   string
 	Prefix string
+	// Repeat is the rule for retries.
 	Repeat RetryRule
 	// Stream is set when answers are event streams.
 	Stream bool
--- a/core/relay/state.go
+++ b/core/relay/state.go
@@ -23,10 +23,10 @@
 	Leaving      bool
 	LeavingSince time.Time
 	LeavesBy     time.Time
-	// StoreUnreachableSince is the time since which the store has been unreachable; zero means that it is reachable.
+	// StoreUnreachableSince is when the store became unreachable; zero means that it is reachable.
 	StoreUnreachableSince time.Time
-	// StoreRecoveredAt is when the store last became reachable again after an outage that may have affected all
-	// instances and servers; zero means that there was none.
+	// StoreRecoveredAt is when the store last became reachable again after an outage that may have
+	// affected all instances and servers; zero means that there was none.
 	StoreRecoveredAt time.Time
 	// StoreAnsweredAt is when the store last answered this instance or, as peers report, another one.
 	StoreAnsweredAt time.Time
@@ -61,11 +61,11 @@
 }
 
 // Phase returns the phase of the current order; progress of an earlier order doesn't count.
-func (p RollOutState) Phase() Phase {
-	if p.Progress.Target != p.Order.Target || p.ProgressRevision < p.Order.Revision {
+func (r RollOutState) Phase() Phase {
+	if r.Progress.Target != r.Order.Target || r.ProgressRevision < r.Order.Revision {
 		return PhaseNone
 	}
-	return p.Progress.Phase
+	return r.Progress.Phase
 }
 
 // New returns the initial state of an instance, which has read nothing from the store.
@@ -111,8 +111,8 @@
 
 // RollOut returns the roll-out of the service.
 func (s State) RollOut(n ServiceName) (RollOutState, bool) {
-	p, ok := s.rollOuts[n]
-	return p, ok
+	r, ok := s.rollOuts[n]
+	return r, ok
 }
 
 // RollOuts returns the roll-outs of all services; the map must not be changed.
@@ -136,7 +136,7 @@
 	return len(s.missing)
 }
 
-// Since returns the changes after the revision, or a full snapshot if the history starts later.
+// Since returns the changes after the revision, or a full snapshot if the history lacks it.
 func (s State) Since(revision int64) Feed {
 	if revision < s.historyStart || revision > s.Revision || revision == 0 {
 		return Feed{Whole: true, Changes: slices.Collect(maps.Values(s.entries)), Revision: s.Revision}
@@ -169,7 +169,7 @@
 const storeAnswerLifetime = 2500 * time.Millisecond
 
 // WithStoreRecovered returns a state in which the store is reachable again. An outage that affected
-// only this instance leaves Back as it was, since the servers could renew their entries meanwhile.
+// only this instance does not set StoreRecoveredAt, since the servers could renew their entries.
 func (s State) WithStoreRecovered(at time.Time) State {
 	if s.StoreUnreachableSince.IsZero() {
 		return s
@@ -198,7 +198,7 @@
 	return s
 }
 
-// WithFeed returns a state that includes the feed, unless the feed is older or leaves a gap. Servers
+// WithFeed returns a state that includes the feed, if it is newer and leaves no gap. Servers
 // whose entries vanished in a store outage stay in use for the grace period after it.
 func (s State) WithFeed(feed Feed, at time.Time, grace time.Duration) State {
 	if feed.Revision < s.Revision || (feed.Revision == s.Revision && s.Revision > 0) {
@@ -334,14 +334,14 @@
 			s.byID[e.Server.ID] = e.Server
 			s.servers[e.Server.Service] = append(s.servers[e.Server.Service], *e.Server)
 		case e.RollOut != nil:
-			p := s.rollOuts[e.RollOut.Service]
-			p.Order = *e.RollOut
-			p.Order.Revision = c.Revision
-			s.rollOuts[e.RollOut.Service] = p
+			rollOut := s.rollOuts[e.RollOut.Service]
+			rollOut.Order = *e.RollOut
+			rollOut.Order.Revision = c.Revision
+			s.rollOuts[e.RollOut.Service] = rollOut
 		case e.Progress != nil:
-			p := s.rollOuts[e.Progress.Service]
-			p.Progress, p.ProgressRevision = *e.Progress, c.Revision
-			s.rollOuts[e.Progress.Service] = p
+			rollOut := s.rollOuts[e.Progress.Service]
+			rollOut.Progress, rollOut.ProgressRevision = *e.Progress, c.Revision
+			s.rollOuts[e.Progress.Service] = rollOut
 		case e.Duty != nil:
 			s.duties[e.Duty.Service] = *e.Duty
 		case e.Member != nil:
@@ -358,15 +358,15 @@
 // withOrderTimes sets when each order was given: as before if it was known, at the time if it was
 // observed being given, and estimated otherwise.
 func (s State) withOrderTimes(previous map[ServiceName]RollOutState, observed bool, at time.Time) State {
-	for n, p := range s.rollOuts {
-		known, ok := previous[n]
+	for name, rollOut := range s.rollOuts {
+		known, ok := previous[name]
 		switch {
-		case ok && known.Order.Revision == p.Order.Revision:
-			s.rollOuts[n] = p.withOrderTime(known.OrderedAt, known.AgeKnown)
+		case ok && known.Order.Revision == rollOut.Order.Revision:
+			s.rollOuts[name] = rollOut.withOrderTime(known.OrderedAt, known.AgeKnown)
 		case observed:
-			s.rollOuts[n] = p.withOrderTime(at, true)
+			s.rollOuts[name] = rollOut.withOrderTime(at, true)
 		default:
-			s.rollOuts[n] = p.withOrderTime(p.estimatedOrderTime(s.servers[n], at), false)
+			s.rollOuts[name] = rollOut.withOrderTime(rollOut.estimatedOrderTime(s.servers[name], at), false)
 		}
 	}
 	return s
