--- a/core/relay/query/admit.go
+++ b/core/relay/query/admit.go
@@ -6,7 +6,8 @@
 	"endivehitch/core/relay"
 )
 
-// otherInstanceRetryAfter is how long a caller should wait to retry; another instance may take it.
+// otherInstanceRetryAfter is how long a caller should wait before a retry that another instance may
+// accept.
 const otherInstanceRetryAfter = 50 * time.Millisecond
 
 // Admitted holds the route, priority and client account, if any, of an admitted request.
--- a/core/relay/query/duty.go
+++ b/core/relay/query/duty.go
@@ -31,6 +31,6 @@
 const maxTurns = 8
 
 // turnHash orders the instances, differently for each service.
-func turnHash(service relay.ServiceName, m relay.MemberName) uint64 {
-	return xxhash.Sum64String(string(service) + "/" + string(m))
+func turnHash(service relay.ServiceName, member relay.MemberName) uint64 {
+	return xxhash.Sum64String(string(service) + "/" + string(member))
 }
--- a/core/relay/query/escalation.go
+++ b/core/relay/query/escalation.go
@@ -6,7 +6,8 @@
 	"endivehitch/core/relay"
 )
 
-// ObservedAnswer is what the router knows of a model's answer before the caller has received any of it.
+// ObservedAnswer is what the router knows of a model's answer before the caller has received any of
+// it.
 type ObservedAnswer struct {
 	// Step is the answering model's position among the route's models.
 	Step int
@@ -23,10 +24,11 @@
 const (
 	// goodConfidence is the confidence from which an answer is expected to be good.
 	goodConfidence = 52
-	// escalateBelow is the confidence below which an answer is dropped for a model between that is
-	// expected to reach goodConfidence, and escalateToLargestBelow the one for the largest model,
-	// which is asked when no model between is expected to. The largest model costs its servers many
-	// times what the others do, so it takes a lower confidence. The throttle scales both.
+	// escalateBelow is the confidence below which an answer is dropped for that of a larger model,
+	// other than the largest, that is expected to reach goodConfidence. escalateToLargestBelow is the
+	// same for the largest model, which is asked when none of the others is expected to; it is lower,
+	// because the largest model costs its servers many times what the others do. The throttle scales
+	// both.
 	escalateBelow          = 56
 	escalateToLargestBelow = 40
 )
@@ -47,7 +49,9 @@
 }
 
 // StepUp returns the position of the larger model to escalate to, and whether the answer is dropped
-// for that model's. It is the smallest one expected to reach goodConfidence, or else the largest.
+// for that model's. The model is the smallest that is expected to reach goodConfidence, or else the
+// largest. Without a larger model, a reported confidence, a further attempt and enough time, the
+// answer is not dropped.
 func StepUp(route relay.Route, answer ObservedAnswer, gains GainLookup) (int, bool) {
 	if answer.Step >= len(route.Models)-1 || answer.Confidence < 0 || answer.Sends.Run >= route.Attempts {
 		return 0, false
--- a/core/relay/query/query_test.go
+++ b/core/relay/query/query_test.go
@@ -60,14 +60,14 @@
 	}
 }
 
-func TestAgainFollowsEndingAndRetryRule(t *testing.T) {
+func TestMayRetryFollowsEndingAndRetryRule(t *testing.T) {
 	endings := []query.Ending{query.EndedUnsent, query.EndedNotRun, query.EndedUnknown, query.EndedFailed, query.EndedSlow}
-	for _, repeat := range []relay.RetryRule{relay.RetryNever, relay.RetryAlways, relay.RetryResuming} {
+	for _, rule := range []relay.RetryRule{relay.RetryNever, relay.RetryAlways, relay.RetryResuming} {
 		for _, ending := range endings {
-			route := relay.Route{Repeat: repeat, Attempts: 3}
+			route := relay.Route{Repeat: rule, Attempts: 3}
 			notRun := ending == query.EndedUnsent || ending == query.EndedNotRun
-			want := notRun || repeat != relay.RetryNever
-			assert.Equal(t, query.MayRetry(route, ending, query.RequestAttempts{}.With(ending), time.Second), want, "%v %v", repeat, ending)
+			want := notRun || rule != relay.RetryNever
+			assert.Equal(t, query.MayRetry(route, ending, query.RequestAttempts{}.With(ending), time.Second), want, "%v %v", rule, ending)
 			assert.Assert(t, !query.MayRetry(route, ending, query.RequestAttempts{}.With(ending), time.Millisecond), "no time is left")
 		}
 	}
@@ -75,7 +75,7 @@
 	assert.Assert(t, !query.MayRetry(route, query.EndedFailed, query.RequestAttempts{All: 2, Run: 2}, time.Second), "attempts are used up")
 }
 
-func TestVerdictSaysNotRunOnlyWhenNoServerRanIt(t *testing.T) {
+func TestFinalRefusalSaysNotRunOnlyWhenNoServerRanIt(t *testing.T) {
 	for run := range 3 {
 		for _, ending := range []query.Ending{query.EndedUnsent, query.EndedNotRun, query.EndedUnknown, query.EndedFailed, query.EndedSlow} {
 			for _, left := range []time.Duration{0, time.Second} {
@@ -87,7 +87,7 @@
 	}
 }
 
-func TestPatienceEndsAfterSilenceOfServerOrAttempt(t *testing.T) {
+func TestSilenceTimeoutEndsAfterSilenceOfServerOrAttempt(t *testing.T) {
 	stream := relay.Route{Stream: true, Repeat: relay.RetryResuming, Objective: 2 * time.Second, Gap: time.Second}
 	assert.Assert(t, query.SilenceTimeout(stream, false, false, 0, 0) > 0)
 	assert.Assert(t, query.SilenceTimeout(stream, false, false, 2*time.Second, 2*time.Second) <= 0, "the server seems to be dead")
@@ -98,7 +98,7 @@
 	assert.Assert(t, query.SilenceTimeout(plain, false, false, 0, time.Second) <= 0)
 }
 
-func TestStepUpNeedsDoubtTimeAndAttempts(t *testing.T) {
+func TestStepUpNeedsLowConfidenceTimeAndAttempts(t *testing.T) {
 	route := relay.Route{Models: []relay.ModelName{"s", "m", "l"}, Attempts: 3, Objective: time.Second}
 	answer := query.ObservedAnswer{Confidence: 10, Sends: query.RequestAttempts{All: 1, Run: 1}, Left: 5 * time.Second, Throttle: 1}
 	untried := func(int, int) relay.ConfidenceGain { return relay.ConfidenceGain{} }
@@ -111,13 +111,13 @@
 		_, ok := query.StepUp(route, changed, untried)
 		assert.Assert(t, !ok, reason)
 	}
-	refuse("confident answer", func(b *query.ObservedAnswer) { b.Confidence = 90 })
-	refuse("larger models are throttled", func(b *query.ObservedAnswer) { b.Throttle = 0.1 })
-	refuse("no confidence reported", func(b *query.ObservedAnswer) { b.Confidence = -1 })
-	refuse("already the largest model", func(b *query.ObservedAnswer) { b.Step = 2 })
-	refuse("no attempt left", func(b *query.ObservedAnswer) { b.Sends.Run = 3 })
-	refuse("no time left", func(b *query.ObservedAnswer) { b.Left = 100 * time.Millisecond })
-	refuse("confidence not low enough for the largest model, which alone is left", func(b *query.ObservedAnswer) { b.Step, b.Confidence = 1, 45 })
+	refuse("confident answer", func(a *query.ObservedAnswer) { a.Confidence = 90 })
+	refuse("larger models are throttled", func(a *query.ObservedAnswer) { a.Throttle = 0.1 })
+	refuse("no confidence reported", func(a *query.ObservedAnswer) { a.Confidence = -1 })
+	refuse("already the largest model", func(a *query.ObservedAnswer) { a.Step = 2 })
+	refuse("no attempt left", func(a *query.ObservedAnswer) { a.Sends.Run = 3 })
+	refuse("no time left", func(a *query.ObservedAnswer) { a.Left = 100 * time.Millisecond })
+	refuse("confidence not low enough for the largest model, which alone is left", func(a *query.ObservedAnswer) { a.Step, a.Confidence = 1, 45 })
 }
 
 func TestStepUpAsksSmallestModelExpectedToBeConfident(t *testing.T) {
@@ -145,23 +145,23 @@
 }
 
 func TestInstancesTakeVacantDutyInDistinctTurns(t *testing.T) {
-	state := rollOut(now, 7, relay.PhaseUnderWay)
-	turns := make(map[time.Duration]bool)
+	state := stateInRollOut(now, 7, relay.PhaseUnderWay)
+	delays := make(map[time.Duration]bool)
 	for _, m := range state.Members() {
 		own := state
 		own.Self = m
-		turn, vacant := query.Vacant(own, "engine")
+		delay, vacant := query.Vacant(own, "engine")
 		assert.Assert(t, vacant)
-		assert.Assert(t, !turns[turn])
-		turns[turn] = true
+		assert.Assert(t, !delays[delay])
+		delays[delay] = true
 	}
-	assert.Assert(t, turns[0])
+	assert.Assert(t, delays[0])
 	held := stateOf(relay.Entry{Duty: &relay.Duty{Service: "engine", Holder: "A"}})
 	_, vacant := query.Vacant(held, "engine")
 	assert.Assert(t, !vacant)
 }
 
-func TestSpreadFollowsTargetWeights(t *testing.T) {
+func TestSelectTargetFollowsWeights(t *testing.T) {
 	route := relay.Route{Targets: []relay.Target{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}}
 	count := make(map[relay.ServiceName]int)
 	for i := range uint64(1000) {
@@ -189,7 +189,7 @@
 		state    relay.State
 		host     string
 		after    time.Duration
-		patience time.Duration
+		timeout  time.Duration
 		accepted bool
 	}{
 		{"instance that stays accepts any request", stateOf(config), "long", time.Hour, 0, true},
@@ -200,7 +200,7 @@
 		{"caller's own limit ends before the instance", leaving, "long", 6 * time.Second, 500 * time.Millisecond, true},
 		{"request without deadline", leaving, "endless", 3 * time.Second, 0, false},
 	} {
-		_, err := query.Admit(c.state, relay.Request{Host: c.host, Path: "/", Arrived: now.Add(c.after), CallerTimeout: c.patience})
+		_, err := query.Admit(c.state, relay.Request{Host: c.host, Path: "/", Arrived: now.Add(c.after), CallerTimeout: c.timeout})
 		assert.Equal(t, err == nil, c.accepted, c.name)
 		var r relay.Refusal
 		if errors.As(err, &r) {
--- a/core/relay/query/reader.go
+++ b/core/relay/query/reader.go
@@ -17,10 +17,10 @@
 	return reader, reader.Name != "" && reader.Name != state.Self.Name
 }
 
-// UpdateSource returns the instance from which one that doesn't read the store itself requests updates:
-// its own reader on even turns, and the readers of the other failure domains in rotation on odd
-// ones. So a reader that is cut off from the store without noticing delays updates by one turn at
-// most.
+// UpdateSource returns the instance to request updates from, for an instance that doesn't read the
+// store itself: its own reader on even turns, and the readers of the other failure domains in
+// rotation on odd ones. So a reader that is cut off from the store without noticing delays updates
+// by one turn at most.
 func UpdateSource(state relay.State, turn int, suspected func(relay.MemberName) bool) relay.Member {
 	own := readerOf(state, state.Self.Domain, suspected)
 	others := otherDomains(state)
--- a/core/relay/query/reader_test.go
+++ b/core/relay/query/reader_test.go
@@ -57,7 +57,7 @@
 	assert.Assert(t, !other, "with all others suspected, the instance reads the store itself")
 }
 
-func TestTellerAlternatesBetweenOwnAndOtherReaders(t *testing.T) {
+func TestUpdateSourceAlternatesBetweenOwnAndOtherReaders(t *testing.T) {
 	state := stateOf(member("n1", "d1"), member("n2", "d1"), member("n3", "d2"), member("n4", "d3"))
 	none := func(relay.MemberName) bool { return false }
 	own, _ := query.Reader(state, none)
--- a/core/relay/query/release_test.go
+++ b/core/relay/query/release_test.go
@@ -10,7 +10,7 @@
 	"endivehitch/core/relay/query"
 )
 
-func rollOut(orderedAt time.Time, members int, phase relay.Phase) relay.State {
+func stateInRollOut(orderedAt time.Time, members int, phase relay.Phase) relay.State {
 	entries := []relay.Entry{
 		serverOf("a", "v1"), serverOf("b", "v2"),
 		{RollOut: &relay.RollOut{Service: "engine", Target: "v2", Within: 20 * time.Second}},
@@ -27,35 +27,35 @@
 }
 
 func TestReleaseFollowsShareSessionAndPhase(t *testing.T) {
-	state := rollOut(now, 7, relay.PhaseUnderWay)
+	state := stateInRollOut(now, 7, relay.PhaseUnderWay)
 	early, late := now.Add(time.Second), now.Add(19*time.Second)
 	assert.Equal(t, query.Release(state, "engine", "", "", 9999, early), relay.Release("v1"))
 	assert.Equal(t, query.Release(state, "engine", "", "", 0, early), relay.Release("v2"))
 	assert.Equal(t, query.Release(state, "engine", "x", "v1", 0, early), relay.Release("v1"), "a session stays at its release during the canary")
 	assert.Equal(t, query.Release(state, "engine", "x", "v2", 9999, early), relay.Release("v2"))
 	assert.Equal(t, query.Release(state, "engine", "x", "v1", 9999, late), relay.Release("v2"), "at the end all sessions move")
-	assert.Equal(t, query.Release(rollOut(now, 7, relay.PhaseReverted), "engine", "x", "v2", 0, late), relay.Release("v1"))
-	assert.Equal(t, query.Release(rollOut(now, 7, relay.PhaseCompleted), "engine", "x", "v1", 9999, early), relay.Release("v2"))
+	assert.Equal(t, query.Release(stateInRollOut(now, 7, relay.PhaseReverted), "engine", "x", "v2", 0, late), relay.Release("v1"))
+	assert.Equal(t, query.Release(stateInRollOut(now, 7, relay.PhaseCompleted), "engine", "x", "v1", 9999, early), relay.Release("v2"))
 	assert.Equal(t, query.Release(state, "other", "", "", 0, early), relay.Release(""))
 }
 
 func TestTrafficShareStaysSmallDuringCanary(t *testing.T) {
-	state := rollOut(now, 7, relay.PhaseUnderWay)
-	plan, _ := state.RollOut("engine")
+	state := stateInRollOut(now, 7, relay.PhaseUnderWay)
+	rollOut, _ := state.RollOut("engine")
 	for at := range 10 {
-		assert.Assert(t, query.TrafficShare(plan, 7, now.Add(time.Duration(at)*time.Second)) <= 0.1)
+		assert.Assert(t, query.TrafficShare(rollOut, 7, now.Add(time.Duration(at)*time.Second)) <= 0.1)
 	}
-	assert.Assert(t, query.TrafficShare(plan, 61, now) < query.TrafficShare(plan, 7, now), "a large fleet needs a smaller canary share")
+	assert.Assert(t, query.TrafficShare(rollOut, 61, now) < query.TrafficShare(rollOut, 7, now), "a large fleet needs a smaller canary share")
 }
 
 func TestJudgeComparesReleaseWithBaseline(t *testing.T) {
-	state := rollOut(now, 7, relay.PhaseUnderWay)
-	plan, _ := state.RollOut("engine")
+	state := stateInRollOut(now, 7, relay.PhaseUnderWay)
+	rollOut, _ := state.RollOut("engine")
 	tally := func(r relay.Release, runs, failed, slow int) relay.Tally {
 		return relay.Tally{Service: "engine", Release: r, Runs: runs, Failed: failed, Slow: slow}
 	}
 	judge := func(at time.Duration, tallies ...relay.Tally) relay.Phase {
-		phase, _ := query.Judge(state, plan, tallies, now.Add(at))
+		phase, _ := query.Judge(state, rollOut, tallies, now.Add(at))
 		return phase
 	}
 	baseline := tally("v1", 500, 2, 5)
--- a/core/relay/query/retry.go
+++ b/core/relay/query/retry.go
@@ -50,8 +50,8 @@
 
 // MayRetry reports whether the request may be retried at another server after an attempt with the
 // ending, which the counts include.
-func MayRetry(route relay.Route, ending Ending, sends RequestAttempts, left time.Duration) bool {
-	if left < minTimeLeft || sends.Run >= max(1, route.Attempts) || sends.All-sends.Run > maxUnrunAttempts {
+func MayRetry(route relay.Route, ending Ending, attempts RequestAttempts, left time.Duration) bool {
+	if left < minTimeLeft || attempts.Run >= max(1, route.Attempts) || attempts.All-attempts.Run > maxUnrunAttempts {
 		return false
 	}
 	if ending == EndedUnsent || ending == EndedNotRun {
@@ -60,12 +60,13 @@
 	return route.Repeat != relay.RetryNever
 }
 
-// FinalRefusal returns the final answer to a request whose last attempt, with the ending, isn't retried.
-func FinalRefusal(ending Ending, sends RequestAttempts, left time.Duration) relay.Refusal {
+// FinalRefusal returns the final answer to a request whose last attempt, with the ending, isn't
+// retried.
+func FinalRefusal(ending Ending, attempts RequestAttempts, left time.Duration) relay.Refusal {
 	switch {
-	case sends.Run == 0 && left < minTimeLeft:
+	case attempts.Run == 0 && left < minTimeLeft:
 		return relay.Refusal{Reason: relay.ReasonTimeout, NotRun: true, RetryAfter: otherInstanceRetryAfter, Detail: "no server took the request in time"}
-	case sends.Run == 0:
+	case attempts.Run == 0:
 		return relay.Refusal{Reason: relay.ReasonSaturated, NotRun: true, RetryAfter: saturatedRetryAfter, Detail: "no server took the request"}
 	case left < minTimeLeft || ending == EndedSlow:
 		return relay.Refusal{Reason: relay.ReasonTimeout, Detail: "the answer did not come in time"}
--- a/core/relay/query/server.go
+++ b/core/relay/query/server.go
@@ -30,10 +30,10 @@
 // Choice is the chosen server, with what led to the choice.
 type Choice struct {
 	Server relay.Server
-	// Candidates is the number of eligible servers.
+	// Candidates is the number of eligible servers, of which only a few were compared.
 	Candidates int
-	// HasCacheAffinity is set when the server is one of those expected to have the shared part in their prefix
-	// cache.
+	// HasCacheAffinity is set when the server is one of those expected to have the shared part in
+	// their prefix cache.
 	HasCacheAffinity bool
 	// Score is the server's score; lower is better. For engines it is in milliseconds.
 	Score float64
@@ -65,30 +65,30 @@
 	warmUpFactor = 2.0
 )
 
-// SelectServer chooses the server with the lowest score among a few candidates; it reports false when no
-// server is eligible.
-func SelectServer(state relay.State, want Criteria, loads LoadLookup, rnd policy.Rand, now time.Time) (Choice, bool) {
-	service, _ := state.Service(want.Service)
-	p := selector{state: state, want: want, loads: loads, now: now, engine: service.Engine}
-	p.scan()
-	if p.eligible == 0 {
+// SelectServer chooses the server with the lowest score among a few candidates; it reports false
+// when no server is eligible.
+func SelectServer(state relay.State, criteria Criteria, loads LoadLookup, rnd policy.Rand, now time.Time) (Choice, bool) {
+	service, _ := state.Service(criteria.Service)
+	s := selector{state: state, criteria: criteria, loads: loads, now: now, engine: service.Engine}
+	s.scan()
+	if s.eligible == 0 {
 		return Choice{}, false
 	}
 	best, score := relay.Server{}, policy.Excluded
-	for _, server := range p.candidates(rnd) {
-		if v := p.score(server); v < score {
+	for _, server := range s.candidates(rnd) {
+		if v := s.score(server); v < score {
 			best, score = server, v
 		}
 	}
-	return Choice{Server: best, Candidates: p.eligible, HasCacheAffinity: p.hasAffinity(best.ID), Score: score}, true
+	return Choice{Server: best, Candidates: s.eligible, HasCacheAffinity: s.hasAffinity(best.ID), Score: score}, true
 }
 
 type selector struct {
-	state  relay.State
-	want   Criteria
-	loads  LoadLookup
-	now    time.Time
-	engine bool
+	state    relay.State
+	criteria Criteria
+	loads    LoadLookup
+	now      time.Time
+	engine   bool
 	// eligible is the number of servers that may take the request.
 	eligible int
 	// topRanked lists the eligible servers that rank highest for the shared part by rendezvous hash.
@@ -98,60 +98,60 @@
 }
 
 // isEligible reports whether the server may take the request; an ejected one still may.
-func (p *selector) isEligible(server relay.Server) bool {
-	return !server.Draining && (p.want.Release == "" || server.Release == p.want.Release) && !slices.Contains(p.want.Tried, server.ID)
+func (s *selector) isEligible(server relay.Server) bool {
+	return !server.Draining && (s.criteria.Release == "" || server.Release == s.criteria.Release) && !slices.Contains(s.criteria.Tried, server.ID)
 }
 
-func (p *selector) isEjected(id relay.ServerID) bool {
-	return p.loads(id).EjectedUntil.After(p.now)
+func (s *selector) isEjected(id relay.ServerID) bool {
+	return s.loads(id).EjectedUntil.After(s.now)
 }
 
 // scan counts and ranks the eligible servers in one pass, without looking up their loads.
-func (p *selector) scan() {
-	top := policy.NewTop[relay.ServerID](p.want.Shared, rankedServers)
-	for _, server := range p.state.Servers(p.want.Service) {
-		if !p.isEligible(server) {
+func (s *selector) scan() {
+	top := policy.NewTop[relay.ServerID](s.criteria.Shared, rankedServers)
+	for _, server := range s.state.Servers(s.criteria.Service) {
+		if !s.isEligible(server) {
 			continue
 		}
-		p.eligible++
-		if p.want.Shared != "" {
+		s.eligible++
+		if s.criteria.Shared != "" {
 			top.Offer(server.ID)
 		}
 	}
-	p.topRanked = top.Keys()
+	s.topRanked = top.Keys()
 }
 
 // candidates returns the servers with affinity to the prompt's shared part and a few random ones.
 // If all servers were compared, instances with the same reports would all choose the same server.
 // Ejected servers are left out unless there is no other.
-func (p *selector) candidates(rnd policy.Rand) []relay.Server {
+func (s *selector) candidates(rnd policy.Rand) []relay.Server {
 	chosen := make([]relay.Server, 0, affinityServers+sampledServers)
-	for _, id := range p.topRanked {
-		if server, ok := p.state.Server(id); ok && len(chosen) < affinityServers && !p.isEjected(id) {
-			p.affinity[len(chosen)] = id
+	for _, id := range s.topRanked {
+		if server, ok := s.state.Server(id); ok && len(chosen) < affinityServers && !s.isEjected(id) {
+			s.affinity[len(chosen)] = id
 			chosen = append(chosen, server)
 		}
 	}
 	withAffinity := len(chosen)
 	for range maxDraws {
-		if server := p.eligibleServer(rnd.IntN(p.eligible)); len(chosen) < withAffinity+sampledServers && !p.isEjected(server.ID) {
+		if server := s.eligibleServer(rnd.IntN(s.eligible)); len(chosen) < withAffinity+sampledServers && !s.isEjected(server.ID) {
 			chosen = append(chosen, server)
 		}
 	}
 	if len(chosen) > 0 {
 		return chosen
 	}
-	return p.fallback()
+	return s.fallback()
 }
 
 // eligibleServer returns the nth eligible server, from 0.
-func (p *selector) eligibleServer(n int) relay.Server {
-	servers := p.state.Servers(p.want.Service)
-	if p.eligible == len(servers) {
+func (s *selector) eligibleServer(n int) relay.Server {
+	servers := s.state.Servers(s.criteria.Service)
+	if s.eligible == len(servers) {
 		return servers[n]
 	}
 	for _, server := range servers {
-		if !p.isEligible(server) {
+		if !s.isEligible(server) {
 			continue
 		}
 		if n == 0 {
@@ -163,12 +163,12 @@
 }
 
 // fallback returns all eligible servers that aren't ejected or, if there are none, the ejected ones.
-func (p *selector) fallback() []relay.Server {
+func (s *selector) fallback() []relay.Server {
 	var healthy, ejected []relay.Server
-	for _, server := range p.state.Servers(p.want.Service) {
+	for _, server := range s.state.Servers(s.criteria.Service) {
 		switch {
-		case !p.isEligible(server):
-		case p.isEjected(server.ID):
+		case !s.isEligible(server):
+		case s.isEjected(server.ID):
 			ejected = append(ejected, server)
 		default:
 			healthy = append(healthy, server)
@@ -180,47 +180,47 @@
 	return ejected
 }
 
-func (p *selector) hasAffinity(id relay.ServerID) bool {
-	return p.want.Shared != "" && slices.Contains(p.affinity[:], id)
+func (s *selector) hasAffinity(id relay.ServerID) bool {
+	return s.criteria.Shared != "" && slices.Contains(s.affinity[:], id)
 }
 
-func (p *selector) score(server relay.Server) float64 {
-	load := p.loads(server.ID)
-	if p.engine {
-		return p.timeToFirstEvent(server, load)
+func (s *selector) score(server relay.Server) float64 {
+	load := s.loads(server.ID)
+	if s.engine {
+		return s.timeToFirstEvent(server, load)
 	}
-	wait := p.occupancy(server, load) + 1/float64(max(1, server.Slots))
-	if server.Domain != p.state.Self.Domain {
+	wait := s.occupancy(server, load) + 1/float64(max(1, server.Slots))
+	if server.Domain != s.state.Self.Domain {
 		wait *= remoteDomainFactor
 	}
-	return wait * p.slowdown(server, load)
+	return wait * s.slowdown(server, load)
 }
 
 // timeToFirstEvent returns the score of an engine: the expected time until the first event, in
 // milliseconds. The second server with affinity is assumed to hold the shared part half the time.
-func (p *selector) timeToFirstEvent(server relay.Server, load relay.Load) float64 {
-	wait := msPerRequest*p.occupancy(server, load)*float64(max(1, server.Slots)) + milliseconds(load.Work)
-	if p.want.Shared != "" {
-		prefill := milliseconds(time.Duration(p.want.SharedTokens) * p.want.PrefillTime)
+func (s *selector) timeToFirstEvent(server relay.Server, load relay.Load) float64 {
+	wait := msPerRequest*s.occupancy(server, load)*float64(max(1, server.Slots)) + milliseconds(load.Work)
+	if s.criteria.Shared != "" {
+		prefill := milliseconds(time.Duration(s.criteria.SharedTokens) * s.criteria.PrefillTime)
 		switch server.ID {
-		case p.affinity[0]:
-		case p.affinity[1]:
+		case s.affinity[0]:
+		case s.affinity[1]:
 			wait += prefill / 2
 		default:
 			wait += prefill
 		}
 	}
-	if server.Domain != p.state.Self.Domain {
+	if server.Domain != s.state.Self.Domain {
 		wait += remoteDomainMs
 	}
-	return (wait + 1) * p.slowdown(server, load)
+	return (wait + 1) * s.slowdown(server, load)
 }
 
 // occupancy returns the ratio of the server's requests to its slots. It counts this instance's own
 // requests, or those of all instances if a recent report, discounted by its age, shows more.
-func (p *selector) occupancy(server relay.Server, load relay.Load) float64 {
+func (s *selector) occupancy(server relay.Server, load relay.Load) float64 {
 	busy := float64(load.InFlight)
-	if age := p.now.Sub(load.Reported); !load.Reported.IsZero() && age < reportLifetime {
+	if age := s.now.Sub(load.Reported); !load.Reported.IsZero() && age < reportLifetime {
 		busy = max(busy, float64(load.Report.Running+load.Report.Waiting)*(1-float64(age)/float64(2*reportLifetime)))
 	}
 	return busy / float64(max(1, server.Slots))
@@ -230,12 +230,12 @@
 	return float64(d) / float64(time.Millisecond)
 }
 
-func (p *selector) slowdown(server relay.Server, load relay.Load) float64 {
-	factor := 1 + failureRateWeight*load.DecayedFailureRate(p.now)
-	if p.now.Before(server.ColdUntil) {
+func (s *selector) slowdown(server relay.Server, load relay.Load) float64 {
+	factor := 1 + failureRateWeight*load.DecayedFailureRate(s.now)
+	if s.now.Before(server.ColdUntil) {
 		factor *= warmUpFactor
 	}
-	if load.Report.Pace > 0 && p.now.Sub(load.Reported) < reportLifetime {
+	if load.Report.Pace > 0 && s.now.Sub(load.Reported) < reportLifetime {
 		factor *= math.Max(1, float64(load.Report.Pace)/normalPace)
 	}
 	return factor
--- a/core/relay/query/server_test.go
+++ b/core/relay/query/server_test.go
@@ -11,7 +11,7 @@
 	"endivehitch/core/relay/query"
 )
 
-func TestPickAvoidsTriedDrainingAndEjectedServers(t *testing.T) {
+func TestSelectServerAvoidsTriedDrainingAndEjectedServers(t *testing.T) {
 	draining := serverOf("c", "v1")
 	draining.Server.Draining = true
 	state := stateOf(serverOf("a", "v1"), serverOf("b", "v2"), draining)
@@ -39,7 +39,7 @@
 	assert.Equal(t, c.Server.ID, relay.ServerID("a"))
 }
 
-func TestPickAvoidsServerUntilItHasWarmedUp(t *testing.T) {
+func TestSelectServerAvoidsServerUntilItHasWarmedUp(t *testing.T) {
 	warmingUp := serverOf("cold", "v1")
 	warmingUp.Server.Cold = 5 * time.Second
 	state := stateOf(warmingUp, serverOf("warm", "v1"))
@@ -67,7 +67,7 @@
 	assert.Equal(t, c.Server.ID, relay.ServerID("cold"), "a full server is worse than one that is warming up")
 }
 
-func TestPickKeepsSharedPromptAtItsServerUnlessBusy(t *testing.T) {
+func TestSelectServerKeepsSharedPromptAtItsServerUnlessBusy(t *testing.T) {
 	entries := []relay.Entry{{Config: &relay.Config{Version: 1, Services: []relay.Service{{Name: "engine", Engine: true}}}}}
 	for i := range 8 {
 		entries = append(entries, serverOf(relay.ServerID(rune('a'+i)), "v1"))
@@ -75,11 +75,11 @@
 	state := stateOf(entries...)
 	rnd := rand.New(rand.NewPCG(1, 1))
 	idle := func(relay.ServerID) relay.Load { return relay.Load{} }
-	want := query.Criteria{Service: "engine", Shared: "menu", SharedTokens: 6000, PrefillTime: 20 * time.Microsecond}
-	first, _ := query.SelectServer(state, want, idle, rnd, now)
+	criteria := query.Criteria{Service: "engine", Shared: "menu", SharedTokens: 6000, PrefillTime: 20 * time.Microsecond}
+	first, _ := query.SelectServer(state, criteria, idle, rnd, now)
 	assert.Assert(t, first.HasCacheAffinity)
 	for range 30 {
-		again, _ := query.SelectServer(state, want, idle, rnd, now)
+		again, _ := query.SelectServer(state, criteria, idle, rnd, now)
 		assert.Equal(t, again.Server.ID, first.Server.ID)
 	}
 	busy := func(id relay.ServerID) relay.Load {
@@ -88,6 +88,6 @@
 		}
 		return relay.Load{}
 	}
-	whenBusy, _ := query.SelectServer(state, want, busy, rnd, now)
+	whenBusy, _ := query.SelectServer(state, criteria, busy, rnd, now)
 	assert.Assert(t, whenBusy.Server.ID != first.Server.ID)
 }
--- a/core/relay/query/silence.go
+++ b/core/relay/query/silence.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// minSilence is how long a streaming server must at least have been silent before an attempt
-	// there is given up.
+	// minSilence is the shortest silence of a server after which it is taken for dead and a stream
+	// from it is given up.
 	minSilence = 1200 * time.Millisecond
 	// soleAttemptFactor multiplies the time until a server is taken for dead when this instance has
 	// only one attempt there, as the server's silence is then no more than that of the attempt.
@@ -21,11 +21,11 @@
 	maxWaitObjectives = 2
 )
 
-// SilenceTimeout returns the rest of the silence timeout of an attempt that another server could take
-// over; the attempt should be given up when it is zero or negative. begun is set once the caller has
-// received a part of the answer, serverSilent is how long this instance has received nothing from
-// the server on any attempt, and silent how long this attempt has been silent; sole is set when this
-// instance has no other attempt at the server.
+// SilenceTimeout returns what is left of the silence timeout of an attempt that another server could
+// take over; the attempt should be given up when it is zero or negative. begun is set once the
+// caller has received a part of the answer, serverSilent is how long this instance has received
+// nothing from the server on any attempt, and silent how long this attempt has been silent; sole is
+// set when this instance has no other attempt at the server.
 //
 // A busy server is slow for all requests, and starting one over elsewhere adds to the load, so only
 // a server that seems to be dead is given up early.
--- a/core/relay/query/slope_test.go
+++ b/core/relay/query/slope_test.go
@@ -25,16 +25,16 @@
 	return relay.New(relay.Member{Name: "n", Domain: "d1"}).WithFeed(feed, now, 0)
 }
 
-func BenchmarkSlopePick(b *testing.B) {
+func BenchmarkSlopeSelectServer(b *testing.B) {
 	for _, n := range sizes {
 		state := fleetOf(n)
 		rnd := rand.New(rand.NewPCG(1, 1))
 		loads := func(relay.ServerID) relay.Load { return relay.Load{} }
-		w := query.Criteria{Service: "engine", Shared: "5c1e07a2", SharedTokens: 6000, PrefillTime: 20 * time.Microsecond}
+		criteria := query.Criteria{Service: "engine", Shared: "5c1e07a2", SharedTokens: 6000, PrefillTime: 20 * time.Microsecond}
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				query.SelectServer(state, w, loads, rnd, now)
+				query.SelectServer(state, criteria, loads, rnd, now)
 			}
 		})
 	}
--- a/core/relay/query/target.go
+++ b/core/relay/query/target.go
@@ -2,8 +2,8 @@
 
 import "endivehitch/core/relay"
 
-// SelectTarget returns the service that receives the request, in proportion to the weights of the route's
-// targets; uniform is a number that is uniformly distributed over requests.
+// SelectTarget returns the service that receives the request, in proportion to the weights of the
+// route's targets; uniform is a number that is uniformly distributed over requests.
 func SelectTarget(route relay.Route, uniform uint64) relay.ServiceName {
 	total := 0
 	for _, t := range route.Targets {
