--- a/core/relay/cmds/ages.go
+++ b/core/relay/cmds/ages.go
@@ -19,11 +19,11 @@
 func (c ApplyOrderAges) Apply(state relay.State, now time.Time) (relay.State, []relay.Effect) {
 	updated := state.WithOrderAges(c.OrderAges, now)
 	var decisions []relay.Effect
-	for n, p := range updated.RollOuts() {
-		if before, _ := state.RollOut(n); p.AgeKnown && !before.AgeKnown {
+	for name, rollOut := range updated.RollOuts() {
+		if before, _ := state.RollOut(name); rollOut.AgeKnown && !before.AgeKnown {
 			decisions = append(decisions, relay.RecordDecision{
-				What: "RollOutAgeLearned", Subject: string(n), Revision: p.Order.Revision,
-				Detail: c.From + " age " + now.Sub(p.OrderedAt).Round(time.Millisecond).String(),
+				What: "RollOutAgeLearned", Subject: string(name), Revision: rollOut.Order.Revision,
+				Detail: c.From + " age " + now.Sub(rollOut.OrderedAt).Round(time.Millisecond).String(),
 			})
 		}
 	}
--- a/core/relay/cmds/doc.go
+++ b/core/relay/cmds/doc.go
@@ -1,6 +1,7 @@
-// Package cmds holds the commands that change the router's control state, one per file: Learn and
-// LearnAges take in what the store or other instances send, StoreAway records an outage of the
-// store, Tick expires what an outage left behind, and Leave starts the shutdown.
+// Package cmds holds the commands that change the router's control state, one per file: ApplyFeed
+// takes in changes from the store or other instances, ApplyOrderAges takes in the ages of roll-out
+// orders, StoreUnreachable records the start of a store outage, Tick removes the servers that did not
+// return after one, and Leave starts the shutdown.
 //
 // The control goroutine applies one command at a time to a relay.State. A command is pure: its Apply
 // returns the next state and the effects that follow, and leaves the effects to the workers.
