--- a/core/query/admit.go
+++ b/core/query/admit.go
@@ -38,8 +38,8 @@
 	return Admitted{Account: account, Kind: kind}, nil
 }
 
-// CheckInFlightLimit checks the client account's limit on concurrent requests at one instance; the error is a
-// value.Refusal with NotRun set.
+// CheckInFlightLimit checks the client account's limit on concurrent requests at one instance; the
+// error is a value.Refusal with NotRun set.
 func CheckInFlightLimit(a value.ClientAccount, inFlight int) error {
 	if a.MaxInFlight > 0 && inFlight >= a.MaxInFlight {
 		return refuseWithRetryAfter(value.ReasonOverloaded, "client account has its most concurrent requests", 0)
--- a/core/query/bill_replicas.go
+++ b/core/query/bill_replicas.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// billReplicas is how many other instances store copies of an instance's bills.
-	billReplicas = 2
+	// billReplicaCount is how many other instances store copies of an instance's bills.
+	billReplicaCount = 2
 	// maxReplicaDraws bounds the hash slots whose owners are considered.
 	maxReplicaDraws = 32
 )
@@ -32,12 +32,12 @@
 			continue
 		}
 		remote = appendUnique(remote, i)
-		if len(remote) == billReplicas {
+		if len(remote) == billReplicaCount {
 			return remote
 		}
 	}
 	chosen := append(remote, local...)
-	return chosen[:min(len(chosen), billReplicas)]
+	return chosen[:min(len(chosen), billReplicaCount)]
 }
 
 func appendUnique(list []value.Instance, i value.Instance) []value.Instance {
@@ -52,11 +52,13 @@
 // departureGrace is how long a leaving instance has to flush its own bills.
 const departureGrace = 40 * time.Second
 
-// NeedsBillTakeover reports whether the holders should write their copies of the instance's bills to the
-// store, because the instance has departed or has been leaving for departureGrace.
+// NeedsBillTakeover reports whether the instances that store copies of the instance's bills should
+// write them to the key-value service, because the instance has departed or has been leaving for
+// departureGrace.
 //
 // This is safe even if the instance still runs: the segments of its chain are created by
-// compare-and-swap in the store, so that the instance and the holders may write them concurrently.
+// compare-and-swap in the key-value service, so that all of these instances may write them
+// concurrently.
 func NeedsBillTakeover(s state.State, id value.InstanceID, now time.Time) bool {
 	i, ok := s.Instance(id)
 	if !ok {
--- a/core/query/cascade.go
+++ b/core/query/cascade.go
@@ -16,31 +16,31 @@
 		return p
 	}
 	remaining := c.request.Deadline.Sub(c.now)
-	for i := range c.menu.Cascades {
-		pair := &c.menu.Cascades[i]
-		first, second := c.qualityBound(pair.First), c.qualityBound(pair.Second)
-		cost := c.cascadeCost(pair, first.Mean)
+	for i := range c.set.Cascades {
+		cascade := &c.set.Cascades[i]
+		first, second := c.qualityBound(cascade.First), c.qualityBound(cascade.Second)
+		cost := c.cascadeCost(cascade, first.Mean)
 		if p.Reason != value.ReasonBestEffort && cost >= p.CostMicros {
 			continue
 		}
 		quality := state.CascadeLower(c.kind.Judge, first, second)
-		if quality < c.kind.QualityTarget || c.cascadeLatency(pair) > remaining {
+		if quality < c.kind.QualityTarget || c.cascadeLatency(cascade) > remaining {
 			continue
 		}
-		if c.eligible(pair.First) && c.eligible(pair.Second) {
-			p = Plan{Versions: pair.Versions, Reason: value.ReasonCascade, CostMicros: cost, Quality: quality}
+		if c.eligible(cascade.First) && c.eligible(cascade.Second) {
+			p = Plan{Versions: cascade.Versions, Reason: value.ReasonCascade, CostMicros: cost, Quality: quality}
 		}
 	}
 	return p
 }
 
-func (c *chooser) cascadeCost(p *state.Cascade, firstQuality float64) int64 {
-	return c.kind.Judge.Cost(c.cost(p.First), c.cost(p.Second), firstQuality)
+func (c *chooser) cascadeCost(cascade *state.Cascade, firstQuality float64) int64 {
+	return c.kind.Judge.Cost(c.cost(cascade.First), c.cost(cascade.Second), firstQuality)
 }
 
 // cascadeLatency returns the expected time to an answer if the judge rejects the first version's
 // one.
-func (c *chooser) cascadeLatency(p *state.Cascade) time.Duration {
-	first := c.menu.Candidates[p.First].Version.Latency(c.request.MaxTokens)
-	return first + c.kind.Judge.Latency + c.menu.Candidates[p.Second].Version.Latency(c.request.MaxTokens)
+func (c *chooser) cascadeLatency(cascade *state.Cascade) time.Duration {
+	first := c.set.Candidates[cascade.First].Version.Latency(c.request.MaxTokens)
+	return first + c.kind.Judge.Latency + c.set.Candidates[cascade.Second].Version.Latency(c.request.MaxTokens)
 }
--- a/core/query/cost_measure_test.go
+++ b/core/query/cost_measure_test.go
@@ -77,34 +77,34 @@
 	secondHalfMicros float64
 }
 
-func (s *policyResult) add(d deployment, k value.Kind, versions []value.VersionKey, explored bool) {
+func (r *policyResult) add(d deployment, k value.Kind, versions []value.VersionKey, explored bool) {
 	micros, quality := d.costAndQuality(k, versions)
-	if s.quality == nil {
-		s.quality, s.count = make(map[value.KindName]float64), make(map[value.KindName]int)
+	if r.quality == nil {
+		r.quality, r.count = make(map[value.KindName]float64), make(map[value.KindName]int)
 	}
-	s.micros += micros
-	if s.total >= d.requests/2 {
-		s.secondHalfMicros += micros
+	r.micros += micros
+	if r.total >= d.requests/2 {
+		r.secondHalfMicros += micros
 	}
-	s.quality[k.Name] += quality
-	s.count[k.Name]++
-	s.total++
+	r.quality[k.Name] += quality
+	r.count[k.Name]++
+	r.total++
 	if quality >= k.QualityTarget || !d.reachable(k) {
 		return
 	}
 	if explored {
-		s.exploredBelowTarget++
+		r.exploredBelowTarget++
 	} else {
-		s.belowTarget++
+		r.belowTarget++
 	}
 }
 
 // deficit returns how far the worst kind's mean quality lies below its target.
-func (s *policyResult) deficit(d deployment) float64 {
+func (r *policyResult) deficit(d deployment) float64 {
 	worst := 0.0
 	for _, k := range d.document.Kinds {
 		if d.reachable(k) {
-			worst = max(worst, k.QualityTarget-s.quality[k.Name]/float64(s.count[k.Name]))
+			worst = max(worst, k.QualityTarget-r.quality[k.Name]/float64(r.count[k.Name]))
 		}
 	}
 	return worst
@@ -201,8 +201,8 @@
 	return value.Rating{Kind: k.Name, Version: v, Accepted: index == 1, Rate: rates[index] * passRates[index]}, true
 }
 
-// simulate plans the deployment's requests with query.Choose and, for comparison, always with the
-// best version, by the stated qualities, and with an oracle that knows the true qualities.
+// simulate plans the deployment's requests with query.ChoosePlan and, for comparison, always with
+// the best version, by the stated qualities, and with an oracle that knows the true qualities.
 func (d deployment) simulate(seed uint64) (chosen, always, prior, oracle policyResult) {
 	rnd := rand.New(rand.NewPCG(seed, 77))
 	s, _ := cmds.InstallConfig{Accepted: value.AcceptedDocument{Document: d.document, Revision: 1}}.Apply(state.New(value.Instance{ID: "a"}), start)
--- a/core/query/duration.go
+++ b/core/query/duration.go
@@ -35,8 +35,8 @@
 }
 
 var (
-	historySmoothing = policy.DecayingMeanConfig{HalfLife: time.Minute, MaxWeight: 32}
-	medianAttempt    = policy.QuantileConfig{Of: 0.5, Step: 0.05, MinSamples: 20}
+	historySmoothing     = policy.DecayingMeanConfig{HalfLife: time.Minute, MaxWeight: 32}
+	medianDurationConfig = policy.QuantileConfig{Of: 0.5, Step: 0.05, MinSamples: 20}
 )
 
 // FirstTokenSmoothing configures the average of a backend server's time to first token.
@@ -60,9 +60,9 @@
 }
 
 // WithAttempt returns an estimate that includes a completed attempt of the given duration.
-func (t MedianDuration) WithAttempt(duration time.Duration) MedianDuration {
-	t.duration = t.duration.With(medianAttempt, duration)
-	return t
+func (m MedianDuration) WithAttempt(duration time.Duration) MedianDuration {
+	m.duration = m.duration.With(medianDurationConfig, duration)
+	return m
 }
 
 // longFactor is how many times the median duration makes an attempt long.
@@ -82,11 +82,11 @@
 const minCost = 0.1
 
 // EstimateDuration estimates an attempt's duration from the history of its class.
-func EstimateDuration(h History, t MedianDuration) DurationEstimate {
-	typical := t.duration.Value(medianAttempt)
-	if h.Duration.Weight == 0 || typical == 0 {
+func EstimateDuration(h History, m MedianDuration) DurationEstimate {
+	median := m.duration.Value(medianDurationConfig)
+	if h.Duration.Weight == 0 || median == 0 {
 		return DurationEstimate{Duration: h.Duration.Mean, Cost: 1}
 	}
-	cost := float64(h.Duration.Mean) / float64(typical)
+	cost := float64(h.Duration.Mean) / float64(median)
 	return DurationEstimate{Duration: h.Duration.Mean, Cost: max(cost, minCost), Long: cost >= longFactor}
 }
--- a/core/query/duty.go
+++ b/core/query/duty.go
@@ -17,7 +17,8 @@
 	DutyRotation = 5 * time.Minute
 )
 
-// IsDutyCandidate reports whether the instance is one of the few that contend for the duty at present.
+// IsDutyCandidate reports whether the instance is one of the few that contend for the duty at
+// present.
 //
 // A duty is a singleton task of the fleet, run by the instance that holds its lease.
 func IsDutyCandidate(s state.State, duty string, now time.Time) bool {
--- a/core/query/eject.go
+++ b/core/query/eject.go
@@ -30,7 +30,7 @@
 //
 // Consecutive failures or a long time to first token cause an ejection. Each further one without a
 // recovery in between lasts twice as long as the last, up to a limit.
-func Eject(s state.State, b value.BackendServer, loads Loads, rnd policy.Rand, now time.Time) time.Time {
+func Eject(s state.State, b value.BackendServer, loads LoadLookup, rnd policy.Rand, now time.Time) time.Time {
 	l := loads(b.ID)
 	if l.EjectedUntil.After(now) || !isOutlier(s, b, l, loads, rnd) || !mayEject(s, b.Pool, loads, now) {
 		return time.Time{}
@@ -40,19 +40,19 @@
 
 // IsSlow reports whether the server's mean time to first token is more than slowFactor times the
 // median of its peers.
-func IsSlow(s state.State, b value.BackendServer, loads Loads, rnd policy.Rand) bool {
+func IsSlow(s state.State, b value.BackendServer, loads LoadLookup, rnd policy.Rand) bool {
 	l := loads(b.ID)
-	typical := medianFirstToken(s.PoolServers(b.Pool), b.ID, loads, rnd)
-	return typical > 0 && float64(l.FirstToken.Mean) > slowFactor*float64(typical)
+	median := medianFirstToken(s.PoolServers(b.Pool), b.ID, loads, rnd)
+	return median > 0 && float64(l.FirstToken.Mean) > slowFactor*float64(median)
 }
 
 // HasRecovered reports whether an ejection has ended and the server answers normally again.
-func HasRecovered(s state.State, b value.BackendServer, loads Loads, rnd policy.Rand, now time.Time) bool {
+func HasRecovered(s state.State, b value.BackendServer, loads LoadLookup, rnd policy.Rand, now time.Time) bool {
 	l := loads(b.ID)
 	return l.Ejections > 0 && !l.EjectedUntil.After(now) && l.Failures == 0 && !IsSlow(s, b, loads, rnd)
 }
 
-func isOutlier(s state.State, b value.BackendServer, l value.Load, loads Loads, rnd policy.Rand) bool {
+func isOutlier(s state.State, b value.BackendServer, l value.Load, loads LoadLookup, rnd policy.Rand) bool {
 	if l.Failures >= failuresToEject {
 		return true
 	}
@@ -64,7 +64,7 @@
 
 // medianFirstToken returns the median time to first token of a bounded number of peers, so that its
 // cost does not grow with the pool; zero means that none is known.
-func medianFirstToken(members []value.BackendServer, self value.ServerID, loads Loads, rnd policy.Rand) time.Duration {
+func medianFirstToken(members []value.BackendServer, self value.ServerID, loads LoadLookup, rnd policy.Rand) time.Duration {
 	if len(members) == 0 {
 		return 0
 	}
@@ -86,7 +86,7 @@
 
 // mayEject reports whether the pool keeps its minimum share of healthy servers if one more is
 // ejected.
-func mayEject(s state.State, p value.PoolName, loads Loads, now time.Time) bool {
+func mayEject(s state.State, p value.PoolName, loads LoadLookup, now time.Time) bool {
 	pool, _ := s.Pool(p)
 	members := s.PoolServers(p)
 	healthy := 0
--- a/core/query/explain.go
+++ b/core/query/explain.go
@@ -88,13 +88,13 @@
 func alternatives(s state.State, d value.Decision) []string {
 	account, _ := s.Account(d.Account)
 	kind, _ := s.Kind(d.Kind)
-	menu, _ := s.Candidates(d.Kind)
+	set, _ := s.Candidates(d.Kind)
 	var lines []string
 	for _, key := range account.Versions {
 		if key == d.Version || key.Model() != kind.Model {
 			continue
 		}
-		lines = append(lines, fmt.Sprintf("    also considered: %s, %s", key, reasonNotChosen(menu, key, d, kind)))
+		lines = append(lines, fmt.Sprintf("    also considered: %s, %s", key, reasonNotChosen(set, key, d, kind)))
 	}
 	return lines
 }
@@ -102,21 +102,21 @@
 // comparedTokens is the length in tokens, of prompt and answer each, at which prices are compared.
 const comparedTokens = 1000
 
-func reasonNotChosen(menu state.CandidateSet, key value.VersionKey, d value.Decision, kind value.Kind) string {
-	i := menu.Find(key)
+func reasonNotChosen(set state.CandidateSet, key value.VersionKey, d value.Decision, kind value.Kind) string {
+	i := set.Find(key)
 	if i < 0 {
 		return "which is withdrawn"
 	}
-	o := &menu.Candidates[i]
-	lower := o.Bound(d.At).Lower
+	candidate := &set.Candidates[i]
+	lower := candidate.Bound(d.At).Lower
 	switch {
-	case o.RollOutOnly:
+	case candidate.RollOutOnly:
 		return "which gets new sessions through its roll-out only"
 	case lower < kind.QualityTarget:
 		return fmt.Sprintf("whose quality is certain to be %.3g only, below the target %.3g", lower, kind.QualityTarget)
 	}
-	if j := menu.Find(d.Version); j >= 0 {
-		chosenCost, otherCost := menu.Candidates[j].Version.Cost(comparedTokens, comparedTokens), o.Version.Cost(comparedTokens, comparedTokens)
+	if j := set.Find(d.Version); j >= 0 {
+		chosenCost, otherCost := set.Candidates[j].Version.Cost(comparedTokens, comparedTokens), candidate.Version.Cost(comparedTokens, comparedTokens)
 		if otherCost > chosenCost {
 			return fmt.Sprintf("which costs %.1f times as much", float64(otherCost)/float64(max(chosenCost, 1)))
 		}
--- a/core/query/explore.go
+++ b/core/query/explore.go
@@ -23,7 +23,7 @@
 // minExploreShare. It is larger if the plan's quality exceeds the target, but only so far that the
 // lower bound of the quality of all answers taken together still meets the target.
 func (c *chooser) considerExploration(p Plan) Plan {
-	if !c.kind.Idempotent || !c.menu.ExpectsRatings(c.now) {
+	if !c.kind.Idempotent || !c.set.ExpectsRatings(c.now) {
 		return p
 	}
 	draw := c.sessionHash("explore") % basisPoints
@@ -42,7 +42,7 @@
 func (c *chooser) explorationCandidate(p Plan) int {
 	candidate := -1
 	var lowestWeight float64
-	for i := range c.menu.Candidates {
+	for i := range c.set.Candidates {
 		if c.cost(i) >= p.CostMicros {
 			continue
 		}
--- a/core/query/placement.go
+++ b/core/query/placement.go
@@ -45,17 +45,18 @@
 	Reason value.Reason
 }
 
-// PlanPlacement returns the orders that bring the backend servers closer to what is wanted: first the
-// unloads of withdrawn versions, then loads by urgency, with the unloads that free capacity for
-// them.
+// PlanPlacement returns the orders that bring the backend servers closer to what the rule and the
+// demand require: first the unloads of withdrawn versions, then loads by urgency, with the unloads
+// that free capacity for them.
 //
 // The orders have to be carried out in sequence, because a load may depend on the unload before it
-// that frees the capacity. After a failed order the rest is void and Place has to be called again.
-func PlanPlacement(s state.State, r PlacementRule, w PlacementDemand) []Placement {
+// that frees the capacity. After a failed order the rest must not be carried out, and PlanPlacement
+// has to be called again.
+func PlanPlacement(s state.State, r PlacementRule, demand PlacementDemand) []Placement {
 	p := &planner{
 		state:    s,
 		rule:     r,
-		wants:    w,
+		demand:   demand,
 		carried:  make(map[value.ServerID][]value.VersionKey),
 		carriers: make(map[value.VersionKey][]value.BackendServer),
 		domains:  make(map[value.PoolName]int),
@@ -67,12 +68,13 @@
 	return append(orders, p.load()...)
 }
 
-// planner computes the orders of one call of Place.
+// planner computes the orders of one call of PlanPlacement.
 type planner struct {
-	state state.State
-	rule  PlacementRule
-	wants PlacementDemand
-	// carried and carriers hold the entries that the orders so far have changed from the state.
+	state  state.State
+	rule   PlacementRule
+	demand PlacementDemand
+	// carried holds the versions of each server, and carriers the servers of each version, that the
+	// orders so far change; the others are as in the state.
 	carried  map[value.ServerID][]value.VersionKey
 	carriers map[value.VersionKey][]value.BackendServer
 	// domains counts each pool's failure domains.
@@ -117,10 +119,11 @@
 	return orders
 }
 
-// load uses the loads that the weight store allows for the most urgent needs.
+// load returns the orders for the most urgent needs, with at most as many loads as the weight store
+// allows.
 func (p *planner) load() []Placement {
 	var orders []Placement
-	for remaining := p.wants.MaxLoads; remaining > 0; {
+	for remaining := p.demand.MaxLoads; remaining > 0; {
 		n, ok := p.mostUrgent()
 		if !ok {
 			break
@@ -176,13 +179,13 @@
 		return need{}, false
 	}
 	carriers := p.plannedCarriers(k)
-	n := need{version: k, pool: v.Pool, shortage: p.wants.Demand[k] / float64(max(1, len(carriers)))}
+	n := need{version: k, pool: v.Pool, shortage: p.demand.Demand[k] / float64(max(1, len(carriers)))}
 	switch {
 	case len(carriers) == 0:
 		n.reason = ReasonNoCarrier
 	case countDomains(carriers) < p.requiredDomains(v.Pool):
 		n.reason = ReasonTooFewDomains
-	case float64(len(carriers)) < math.Ceil(p.wants.Demand[k]):
+	case float64(len(carriers)) < math.Ceil(p.demand.Demand[k]):
 		n.reason = ReasonDemandExceedsCarriers
 	default:
 		return need{}, false
@@ -256,7 +259,7 @@
 	if len(remaining) == 0 || countDomains(remaining) < p.requiredDomains(b.Pool) {
 		return false
 	}
-	return float64(len(remaining)) >= math.Ceil(p.wants.Demand[k])
+	return float64(len(remaining)) >= math.Ceil(p.demand.Demand[k])
 }
 
 func (p *planner) orderFor(n need) Placement {
@@ -276,7 +279,7 @@
 
 // isLastCarrierForSessions reports whether the version has pinned sessions and at most one carrier.
 func (p *planner) isLastCarrierForSessions(k value.VersionKey) bool {
-	return p.wants.Sessions[k] > 0 && len(p.plannedCarriers(k)) <= 1
+	return p.demand.Sessions[k] > 0 && len(p.plannedCarriers(k)) <= 1
 }
 
 func withoutServer(list []value.BackendServer, id value.ServerID) []value.BackendServer {
--- a/core/query/placement_test.go
+++ b/core/query/placement_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-var placeRule = query.PlacementRule{VersionsPerServer: 2, Domains: 2}
+var placementRule = query.PlacementRule{VersionsPerServer: 2, Domains: 2}
 
 // poolState returns a state with one pool of servers in three failure domains, and versions m/v0,
 // m/v1 and so on.
@@ -70,8 +70,8 @@
 
 func TestLimitedLoadsGoToTheMostUrgentNeeds(t *testing.T) {
 	s := withVersions(poolState(6, 3), "s0", "m/v1")
-	w := query.PlacementDemand{Demand: map[value.VersionKey]float64{"m/v1": 3, "m/v2": 1}, MaxLoads: 3}
-	orders := query.PlanPlacement(s, placeRule, w)
+	demand := query.PlacementDemand{Demand: map[value.VersionKey]float64{"m/v1": 3, "m/v2": 1}, MaxLoads: 3}
+	orders := query.PlanPlacement(s, placementRule, demand)
 	assert.Equal(t, len(orders), 3)
 	assert.Equal(t, orders[0].Version, value.VersionKey("m/v2"))
 	assert.Equal(t, orders[0].Reason, query.ReasonNoCarrier)
@@ -86,8 +86,8 @@
 	for _, id := range []value.ServerID{"s0", "s1", "s2"} {
 		s = withVersions(s, id, "m/v0", "m/v1")
 	}
-	w := query.PlacementDemand{Demand: map[value.VersionKey]float64{"m/v0": 3, "m/v1": 0.5}, MaxLoads: 5}
-	orders := query.PlanPlacement(s, placeRule, w)
+	demand := query.PlacementDemand{Demand: map[value.VersionKey]float64{"m/v0": 3, "m/v1": 0.5}, MaxLoads: 5}
+	orders := query.PlanPlacement(s, placementRule, demand)
 	assert.Equal(t, len(orders), 2)
 	assert.Equal(t, orders[0].Version, value.VersionKey("m/v1"))
 	assert.Equal(t, orders[0].Reason, query.ReasonFreesCapacity)
@@ -101,15 +101,15 @@
 		s = withVersions(s, id, "m/v0")
 	}
 	pinned := query.PlacementDemand{Sessions: map[value.VersionKey]int{"m/v0": 1}, Demand: map[value.VersionKey]float64{"m/v0": 9}, MaxLoads: 9}
-	orders := query.PlanPlacement(s, placeRule, pinned)
+	orders := query.PlanPlacement(s, placementRule, pinned)
 	assert.Equal(t, len(orders), 2)
-	assert.Equal(t, len(query.PlanPlacement(s, placeRule, query.PlacementDemand{})), 3)
-	assert.Equal(t, len(query.PlanPlacement(applyOrders(s, orders), placeRule, pinned)), 0)
+	assert.Equal(t, len(query.PlanPlacement(s, placementRule, query.PlacementDemand{})), 3)
+	assert.Equal(t, len(query.PlanPlacement(applyOrders(s, orders), placementRule, pinned)), 0)
 }
 
 func TestVersionWithdrawnByCommandIsUnloadedAndNotLoadedAgain(t *testing.T) {
 	s := withVersions(poolState(3, 2), "s0", "m/v0").WithWithdrawal(value.Withdrawal{Version: "m/v0"})
-	orders := query.PlanPlacement(s, placeRule, query.PlacementDemand{Demand: map[value.VersionKey]float64{"m/v0": 3}, MaxLoads: 9})
+	orders := query.PlanPlacement(s, placementRule, query.PlacementDemand{Demand: map[value.VersionKey]float64{"m/v0": 3}, MaxLoads: 9})
 	assert.Equal(t, orders[0].Reason, query.ReasonWithdrawn)
 	for _, o := range orders {
 		assert.Equal(t, o.Load, o.Version == "m/v1")
@@ -120,28 +120,28 @@
 	rapid.Check(t, func(t *rapid.T) {
 		servers, versions := rapid.IntRange(4, 12).Draw(t, "servers"), rapid.IntRange(1, 4).Draw(t, "versions")
 		s := poolState(servers, versions, rapid.IntRange(0, 5).Draw(t, "withdrawn"))
-		w := query.PlacementDemand{
+		demand := query.PlacementDemand{
 			Demand: make(map[value.VersionKey]float64), Sessions: make(map[value.VersionKey]int),
 			MaxLoads: rapid.IntRange(1, 4).Draw(t, "loads"),
 		}
 		for i := range versions {
 			k := value.VersionKey(fmt.Sprintf("m/v%d", i))
-			w.Demand[k] = rapid.Float64Range(0, 8).Draw(t, "demand")
-			w.Sessions[k] = rapid.IntRange(0, 1).Draw(t, "sessions")
+			demand.Demand[k] = rapid.Float64Range(0, 8).Draw(t, "demand")
+			demand.Sessions[k] = rapid.IntRange(0, 1).Draw(t, "sessions")
 			for j := range rapid.IntRange(0, servers).Draw(t, "carriers") {
 				id := value.ServerID(fmt.Sprintf("s%d", j))
-				if b, _ := s.Server(id); len(b.Versions) < placeRule.VersionsPerServer {
+				if b, _ := s.Server(id); len(b.Versions) < placementRule.VersionsPerServer {
 					s = withVersions(s, id, append(slices.Clone(b.Versions), k)...)
 				}
 			}
 		}
 		for rounds := 0; ; rounds++ {
 			assert.Assert(t, rounds < 100, "placement does not converge")
-			orders := query.PlanPlacement(s, placeRule, w)
+			orders := query.PlanPlacement(s, placementRule, demand)
 			if len(orders) == 0 {
 				break
 			}
-			s = applyChecked(t, s, orders, w)
+			s = applyChecked(t, s, orders, demand)
 		}
 		for i := range versions {
 			k := value.VersionKey(fmt.Sprintf("m/v%d", i))
@@ -153,33 +153,33 @@
 }
 
 // applyChecked carries out the orders one by one and checks the placement rules after each.
-func applyChecked(t *rapid.T, s state.State, orders []query.Placement, w query.PlacementDemand) state.State {
+func applyChecked(t *rapid.T, s state.State, orders []query.Placement, demand query.PlacementDemand) state.State {
 	loads := 0
 	for _, o := range orders {
 		carriersBefore := len(s.VersionServers(o.Version))
 		s = applyOrders(s, []query.Placement{o})
 		v, _ := s.Version(o.Version)
 		b, _ := s.Server(o.Server.ID)
-		assert.Assert(t, len(b.Versions) <= placeRule.VersionsPerServer)
+		assert.Assert(t, len(b.Versions) <= placementRule.VersionsPerServer)
 		if o.Load {
 			loads++
 			assert.Assert(t, !v.Withdrawn, "a withdrawn version was loaded")
 			continue
 		}
-		assert.Assert(t, carriersBefore > 1 || w.Sessions[o.Version] == 0, "a version with sessions lost its last server")
-		assert.Assert(t, v.Withdrawn || countDomains(s, o.Version) >= placeRule.Domains, "an unload left the version in too few failure domains")
+		assert.Assert(t, carriersBefore > 1 || demand.Sessions[o.Version] == 0, "a version with sessions lost its last server")
+		assert.Assert(t, v.Withdrawn || countDomains(s, o.Version) >= placementRule.Domains, "an unload left the version in too few failure domains")
 	}
-	assert.Assert(t, loads <= w.MaxLoads)
+	assert.Assert(t, loads <= demand.MaxLoads)
 	return s
 }
 
-func BenchmarkMeasurePlace(b *testing.B) {
+func BenchmarkMeasurePlacement(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 10000} {
 		b.Run(fmt.Sprintf("Servers%d", n), func(b *testing.B) {
 			s := poolState(n, 38)
-			w := query.PlacementDemand{Demand: map[value.VersionKey]float64{"m/v1": float64(n) / 2}, MaxLoads: 10}
+			demand := query.PlacementDemand{Demand: map[value.VersionKey]float64{"m/v1": float64(n) / 2}, MaxLoads: 10}
 			for b.Loop() {
-				query.PlanPlacement(s, placeRule, w)
+				query.PlanPlacement(s, placementRule, demand)
 			}
 		})
 	}
@@ -189,5 +189,5 @@
 	s := withVersions(poolState(4, 3), "s0", "m/v0")
 	s = withVersions(s, "s1", "m/v1", "m/v2")
 	s = withVersions(s, "s2", "m/v1", "m/v2")
-	assert.Equal(t, len(query.PlanPlacement(s, placeRule, query.PlacementDemand{MaxLoads: 3})), 0)
+	assert.Equal(t, len(query.PlanPlacement(s, placementRule, query.PlacementDemand{MaxLoads: 3})), 0)
 }
--- a/core/query/plan.go
+++ b/core/query/plan.go
@@ -31,15 +31,15 @@
 	return p.Versions[len(p.Versions)-1]
 }
 
-// ChoosePlan returns the cheapest allowed version, or cascade of versions, whose lower bound of quality
-// meets the kind's target; the error is a value.Refusal.
+// ChoosePlan returns the cheapest allowed version, or cascade of versions, whose lower bound of
+// quality meets the kind's target; the error is a value.Refusal.
 //
 // If no version is known to meet the target, it returns the one with the best lower bound. A
 // session that is pinned to an allowed version stays on it.
 func ChoosePlan(s state.State, a Admitted, r value.Request, now time.Time) (Plan, error) {
 	c := chooser{state: &s, kind: a.Kind, request: r, now: now}
-	c.menu, _ = s.Candidates(a.Kind.Name)
-	c.granted = s.AllowedCandidates(a.Account.Name, a.Kind.Name)
+	c.set, _ = s.Candidates(a.Kind.Name)
+	c.allowedCandidates = s.AllowedCandidates(a.Account.Name, a.Kind.Name)
 	if p, ok := c.pinnedPlan(); ok {
 		return p, nil
 	}
@@ -57,14 +57,15 @@
 	return p, nil
 }
 
-// chooser holds the inputs of one call of Choose.
+// chooser holds the inputs of one call of ChoosePlan.
 type chooser struct {
-	state   *state.State
-	menu    state.CandidateSet
-	granted []bool
-	kind    value.Kind
-	request value.Request
-	now     time.Time
+	state *state.State
+	set   state.CandidateSet
+	// allowedCandidates says, by index in the set, whether the client account may use the version.
+	allowedCandidates []bool
+	kind              value.Kind
+	request           value.Request
+	now               time.Time
 	// requireCarrier restricts the choice to versions that a live backend server carries.
 	requireCarrier bool
 }
@@ -75,7 +76,7 @@
 	if c.request.Pinned == "" {
 		return Plan{}, false
 	}
-	i := c.menu.Find(c.request.Pinned)
+	i := c.set.Find(c.request.Pinned)
 	if i < 0 || !c.allowed(i) {
 		return Plan{}, false
 	}
@@ -93,7 +94,7 @@
 	p = c.considerCascade(p)
 	p = c.considerExploration(p)
 	p = c.applyStage(p)
-	p.Candidates = len(c.menu.Candidates)
+	p.Candidates = len(c.set.Candidates)
 	if c.request.Pinned != "" && c.state.Withdrawn(c.request.Pinned) {
 		p.Reason = value.ReasonVersionRetired
 	}
@@ -104,9 +105,9 @@
 func (c *chooser) cheapest() (Plan, bool) {
 	found := -1
 	var lowest int64
-	for i := range c.menu.Candidates {
-		// Offers are sorted by their usual cost, so that the more expensive checks are rarely
-		// reached.
+	for i := range c.set.Candidates {
+		// The candidates are sorted by their reference cost, so that the more expensive checks are
+		// rarely reached.
 		if cost := c.cost(i); found < 0 || cost < lowest {
 			if c.lowerBound(i) >= c.kind.QualityTarget && c.eligible(i) {
 				found, lowest = i, cost
@@ -123,7 +124,7 @@
 func (c *chooser) bestLowerBound() (Plan, bool) {
 	found := -1
 	var highest float64
-	for i := range c.menu.Candidates {
+	for i := range c.set.Candidates {
 		if lower := c.lowerBound(i); (found < 0 || lower > highest) && c.eligible(i) {
 			found, highest = i, lower
 		}
@@ -136,29 +137,29 @@
 
 func (c *chooser) singleVersion(i int, reason value.Reason) Plan {
 	return Plan{
-		Versions:   c.menu.Candidates[i].SinglePlan,
+		Versions:   c.set.Candidates[i].SinglePlan,
 		Reason:     reason,
-		Candidates: len(c.menu.Candidates),
+		Candidates: len(c.set.Candidates),
 		CostMicros: c.cost(i),
 		Quality:    c.lowerBound(i),
 	}
 }
 
 func (c *chooser) allowed(i int) bool {
-	return i < len(c.granted) && c.granted[i]
+	return i < len(c.allowedCandidates) && c.allowedCandidates[i]
 }
 
 // eligible reports whether the version may be chosen for its own estimate: it can take the request,
 // and no roll-out holds it back or has replaced it.
 func (c *chooser) eligible(i int) bool {
-	o := &c.menu.Candidates[i]
-	if o.RollOutOnly || !c.canTake(i) {
+	candidate := &c.set.Candidates[i]
+	if candidate.RollOutOnly || !c.canTake(i) {
 		return false
 	}
 	// Once the roll-out is done, the new version takes the old one's place, if it can take the
 	// request.
-	replaced := o.Replacement.Percent >= fullPercent && !c.menu.Candidates[o.Replacement.Candidate].RollOutOnly
-	return !replaced || !c.canTake(o.Replacement.Candidate)
+	replaced := candidate.Replacement.Percent >= fullPercent && !c.set.Candidates[candidate.Replacement.Candidate].RollOutOnly
+	return !replaced || !c.canTake(candidate.Replacement.Candidate)
 }
 
 func (c *chooser) lowerBound(i int) float64 {
@@ -166,9 +167,9 @@
 }
 
 func (c *chooser) qualityBound(i int) policy.Bound {
-	return c.menu.Candidates[i].Bound(c.now)
+	return c.set.Candidates[i].Bound(c.now)
 }
 
 func (c *chooser) cost(i int) int64 {
-	return c.menu.Candidates[i].Version.Cost(c.request.InputTokens, c.request.MaxTokens)
+	return c.set.Candidates[i].Version.Cost(c.request.InputTokens, c.request.MaxTokens)
 }
--- a/core/query/plan_test.go
+++ b/core/query/plan_test.go
@@ -109,7 +109,7 @@
 	assert.DeepEqual(t, p.Versions, []value.VersionKey{large})
 }
 
-func TestMissingRatingsMoveRequestsToTheDearerVersion(t *testing.T) {
+func TestMissingRatingsMoveRequestsToTheMoreExpensiveVersion(t *testing.T) {
 	s := withRatings(installed(document()), "spelling", small, 40, 10, start)
 	assert.Equal(t, choose(t, s, request("spelling", 1), start).Last(), small)
 	assert.Equal(t, choose(t, s, request("spelling", 1), start.Add(48*time.Hour)).Last(), large)
--- a/core/query/queue.go
+++ b/core/query/queue.go
@@ -42,13 +42,13 @@
 }
 
 // NewQueueEntry returns the queue entry of a request, with the item that represents it there.
-func NewQueueEntry[V any](a Admitted, t Target, l DurationEstimate, item V) policy.Entry[value.AccountName, Lane, V] {
+func NewQueueEntry[V any](a Admitted, t Target, estimate DurationEstimate, item V) policy.Entry[value.AccountName, Lane, V] {
 	return policy.Entry[value.AccountName, Lane, V]{
 		Group:       a.Account.Name,
 		GroupWeight: accountWeight(a.Account),
 		Lane:        Lane{Priority: a.Kind.Priority, Version: t.Version, Service: t.Service, Long: t.Long},
 		LaneWeight:  laneWeight(a.Kind.Priority),
-		Cost:        l.Cost,
+		Cost:        estimate.Cost,
 		Item:        item,
 	}
 }
@@ -57,7 +57,7 @@
 	return float64(max(1, a.Share))
 }
 
-// QueueState is the state of the queue as Wait needs it for one request.
+// QueueState is the state of the queue as CheckWait needs it for one request.
 type QueueState struct {
 	// Waiting counts the client account's waiting requests.
 	Waiting int
@@ -85,29 +85,29 @@
 	return queue
 }
 
-// CheckWait decides whether the request may wait for capacity; the error is a value.Refusal with NotRun
-// set.
+// CheckWait decides whether the request may wait for capacity; the error is a value.Refusal with
+// NotRun set.
 //
 // Each client account has a part of the queue in proportion to its share, so that one account's
 // demand cannot fill the part of another. The servers' capacity is not divided: it is always used
 // in full.
-func CheckWait(s state.State, a Admitted, r value.Request, l DurationEstimate, queue QueueState, now time.Time) error {
-	estimate := queue.expectedWait(accountWeight(a.Account))
+func CheckWait(s state.State, a Admitted, r value.Request, estimate DurationEstimate, queue QueueState, now time.Time) error {
+	wait := queue.expectedWait(accountWeight(a.Account))
 	if queue.Waiting >= queueLimit(s, a.Account) {
-		return refuseWithRetryAfter(value.ReasonQueueFull, "queue of the client account is full", estimate)
+		return refuseWithRetryAfter(value.ReasonQueueFull, "queue of the client account is full", wait)
 	}
-	if remaining := r.Deadline.Sub(now); estimate+l.Duration > remaining {
-		detail := fmt.Sprintf("expected wait of %s and run of %s pass the deadline in %s", estimate, l.Duration, remaining)
-		return refuseWithRetryAfter(value.ReasonOverloaded, detail, estimate+l.Duration-remaining)
+	if remaining := r.Deadline.Sub(now); wait+estimate.Duration > remaining {
+		detail := fmt.Sprintf("expected wait of %s and run of %s pass the deadline in %s", wait, estimate.Duration, remaining)
+		return refuseWithRetryAfter(value.ReasonOverloaded, detail, wait+estimate.Duration-remaining)
 	}
 	return nil
 }
 
 // CheckDeadline checks whether a request that has waited can still be answered before its deadline;
 // the error is a value.Refusal.
-func CheckDeadline(r value.Request, l DurationEstimate, now time.Time) error {
-	if remaining := r.Deadline.Sub(now); l.Duration > remaining {
-		return refuseWithRetryAfter(value.ReasonOverloaded, "deadline is too near for a run", l.Duration)
+func CheckDeadline(r value.Request, estimate DurationEstimate, now time.Time) error {
+	if remaining := r.Deadline.Sub(now); estimate.Duration > remaining {
+		return refuseWithRetryAfter(value.ReasonOverloaded, "deadline is too near for a run", estimate.Duration)
 	}
 	return nil
 }
--- a/core/query/report.go
+++ b/core/query/report.go
@@ -28,7 +28,7 @@
 		Newest:   s.NewestKnown,
 	}
 	for _, i := range fleet {
-		status.Fleet = append(status.Fleet, standingOf(s, i, now))
+		status.Fleet = append(status.Fleet, instanceStatusOf(s, i, now))
 	}
 	for _, r := range s.Config.Document.RollOuts {
 		status.RollOuts = append(status.RollOuts, s.Position(r))
--- a/core/query/retry.go
+++ b/core/query/retry.go
@@ -30,14 +30,14 @@
 	return r.Deadline.After(now)
 }
 
-// UsesRetryBudget reports whether a retry after the failure counts against the retry budget. An attempt
-// that never reached a backend server does not, because it put no load on one.
+// UsesRetryBudget reports whether a retry after the failure counts against the retry budget. It does
+// not if the failed attempt never reached a backend server, because that put no load on one.
 func UsesRetryBudget(f FailedAttempt) bool {
 	return f.Sent
 }
 
-// MeansEarlierRun reports whether the reason of a refusal means that an earlier request with the same
-// idempotency key was or may have been run.
+// MeansEarlierRun reports whether the reason of a refusal means that an earlier request with the
+// same idempotency key was or may have been run.
 func MeansEarlierRun(reason value.Reason) bool {
 	return reason == value.ReasonStillRunning || reason == value.ReasonOutcomeUnknown
 }
--- a/core/query/route.go
+++ b/core/query/route.go
@@ -9,8 +9,8 @@
 	"endivehitch/core/value"
 )
 
-// Loads returns the load of a backend server as this instance has observed it.
-type Loads func(value.ServerID) value.Load
+// LoadLookup returns the load of a backend server as this instance has observed it.
+type LoadLookup func(value.ServerID) value.Load
 
 // Target is what a request needs a backend server for: a version of a model, or a plain service.
 type Target struct {
@@ -33,7 +33,7 @@
 
 // Route picks a backend server for the target; the error is a value.Refusal, whose reason is
 // Overloaded if the servers that could take the target have no capacity at present.
-func Route(s state.State, t Target, loads Loads, rnd policy.Rand, now time.Time) (Choice, error) {
+func Route(s state.State, t Target, loads LoadLookup, rnd policy.Rand, now time.Time) (Choice, error) {
 	if IsWithdrawn(s, t) {
 		return Choice{}, refuse(value.ReasonVersionRetired, "version "+string(t.Version)+" is withdrawn")
 	}
@@ -99,8 +99,9 @@
 	return s.PoolServers(service.Pool)
 }
 
-// ChooseServer reports whether the given server can take the target now.
-func ChooseServer(s state.State, t Target, b value.BackendServer, loads Loads, now time.Time) (Choice, bool) {
+// ChooseServer returns the given server as the choice for the target, and false if it cannot take
+// the target now.
+func ChooseServer(s state.State, t Target, b value.BackendServer, loads LoadLookup, now time.Time) (Choice, bool) {
 	if b.State != value.ServerLive || !servesTarget(s, t, b) {
 		return Choice{}, false
 	}
@@ -120,7 +121,7 @@
 type router struct {
 	state  state.State
 	target Target
-	loads  Loads
+	loads  LoadLookup
 	now    time.Time
 	// pool and limits are cached from the server scored last, because most targets have only one
 	// pool.
--- a/core/query/route_measure_test.go
+++ b/core/query/route_measure_test.go
@@ -39,7 +39,7 @@
 }
 
 // sampledLoads returns loads with one observation of each server.
-func sampledLoads(servers int, now time.Time) query.Loads {
+func sampledLoads(servers int, now time.Time) query.LoadLookup {
 	loads := make(map[value.ServerID]value.Load, servers)
 	for i := range servers {
 		l := value.Load{}.WithStart(false, now).WithFirstByte(query.FirstTokenSmoothing, now, now, time.Duration(100+i%50)*time.Millisecond)
--- a/core/query/settle_test.go
+++ b/core/query/settle_test.go
@@ -10,13 +10,13 @@
 	"endivehitch/core/value"
 )
 
-func TestSettleDistinguishesALostResponseFromAConflict(t *testing.T) {
+func TestOutcomeOfDistinguishesALostResponseFromAConflict(t *testing.T) {
 	mine := value.Change{ID: "mine", Expect: 7, Digest: "d1"}
 	other := value.Change{ID: "rival", Expect: 7, Digest: "d1"}
 	later := value.Change{ID: "later", Expect: 8}
 	cases := []struct {
 		name    string
-		present value.CurrentRecord
+		current value.CurrentRecord
 		want    query.Outcome
 	}{
 		{"applied", value.CurrentRecord{Revision: 8, Change: mine}, query.OutcomeApplied},
@@ -28,7 +28,7 @@
 		{"change history too short", value.CurrentRecord{Revision: 9, Change: later}, query.OutcomeForgotten},
 	}
 	for _, c := range cases {
-		assert.Equal(t, query.OutcomeOf(c.present, mine), c.want, c.name)
+		assert.Equal(t, query.OutcomeOf(c.current, mine), c.want, c.name)
 	}
 }
 
--- a/core/query/stage.go
+++ b/core/query/stage.go
@@ -13,19 +13,19 @@
 // when the share grows. A client account that may not use the new version stays on the old one.
 func (c *chooser) applyStage(p Plan) Plan {
 	for step, k := range p.Versions {
-		next := c.menu.Candidates[c.menu.Find(k)].Replacement
-		if next.Percent == 0 || !c.canTake(next.Candidate) {
+		replacement := c.set.Candidates[c.set.Find(k)].Replacement
+		if replacement.Percent == 0 || !c.canTake(replacement.Candidate) {
 			continue
 		}
-		if c.sessionHash(string(next.RollOut))%fullPercent >= uint64(next.Percent) {
+		if c.sessionHash(string(replacement.RollOut))%fullPercent >= uint64(replacement.Percent) {
 			continue
 		}
 		p.Versions = slices.Clone(p.Versions)
-		p.Versions[step] = c.menu.Candidates[next.Candidate].Key
+		p.Versions[step] = c.set.Candidates[replacement.Candidate].Key
 		p.Reason = value.ReasonStage
 		if !p.Cascade() {
-			p.CostMicros = c.cost(next.Candidate)
-			p.Quality = c.lowerBound(next.Candidate)
+			p.CostMicros = c.cost(replacement.Candidate)
+			p.Quality = c.lowerBound(replacement.Candidate)
 		}
 	}
 	return p
@@ -34,5 +34,5 @@
 // canTake reports whether the account may use the version and a server carries it, where that is
 // required; it ignores whether the version is held back for its roll-out.
 func (c *chooser) canTake(i int) bool {
-	return c.allowed(i) && (!c.requireCarrier || len(c.state.VersionServers(c.menu.Candidates[i].Key)) > 0)
+	return c.allowed(i) && (!c.requireCarrier || len(c.state.VersionServers(c.set.Candidates[i].Key)) > 0)
 }
--- a/core/query/status.go
+++ b/core/query/status.go
@@ -12,21 +12,22 @@
 	Instance value.Instance
 	// Lag is for how long the instance has known of a newer configuration than it has in force.
 	Lag time.Duration
-	// SinceLastSeen is the time since the last sign of life. It can be long in a large fleet, where an
-	// instance hears of most others only through a few.
+	// SinceLastSeen is the time since the last contact; zero for the instance itself and without any
+	// contact. It can be long in a large fleet, where an instance receives the state of most others
+	// only through a few.
 	SinceLastSeen time.Duration
 }
 
-// Fleet returns the standing of each known instance, in the order of identifiers.
+// Fleet returns the status of each known instance, in the order of identifiers.
 func Fleet(s state.State, now time.Time) []InstanceStatus {
-	standings := make([]InstanceStatus, 0, s.Instances().Len())
+	statuses := make([]InstanceStatus, 0, s.Instances().Len())
 	for _, i := range s.Instances().All() {
-		standings = append(standings, standingOf(s, i, now))
+		statuses = append(statuses, instanceStatusOf(s, i, now))
 	}
-	return standings
+	return statuses
 }
 
-func standingOf(s state.State, i value.Instance, now time.Time) InstanceStatus {
+func instanceStatusOf(s state.State, i value.Instance, now time.Time) InstanceStatus {
 	result := InstanceStatus{Instance: i}
 	if !i.LaggingSince.IsZero() {
 		result.Lag = now.Sub(i.LaggingSince)
--- a/core/query/throughput.go
+++ b/core/query/throughput.go
@@ -6,29 +6,29 @@
 	"endivehitch/core/policy"
 )
 
-// Throughput measures the throughput of this instance's attempts at one target; the zero value has no
-// samples.
+// Throughput measures the throughput of this instance's attempts at one target; the zero value has
+// no samples.
 type Throughput struct {
 	inFlight int
 	duration policy.DecayingMean
 }
 
-// WithStart returns a pace with one more attempt in flight.
-func (p Throughput) WithStart() Throughput {
-	p.inFlight++
-	return p
+// WithStart returns a throughput with one more attempt in flight.
+func (t Throughput) WithStart() Throughput {
+	t.inFlight++
+	return t
 }
 
-// WithEnd returns a pace with one attempt less in flight.
-func (p Throughput) WithEnd() Throughput {
-	p.inFlight--
-	return p
+// WithEnd returns a throughput with one attempt less in flight.
+func (t Throughput) WithEnd() Throughput {
+	t.inFlight--
+	return t
 }
 
-// WithAttempt returns a pace that includes a completed attempt of the given duration.
-func (p Throughput) WithAttempt(duration time.Duration, at time.Time) Throughput {
-	p.duration = p.duration.With(historySmoothing, duration, at)
-	return p
+// WithAttempt returns a throughput that includes a completed attempt of the given duration.
+func (t Throughput) WithAttempt(duration time.Duration, at time.Time) Throughput {
+	t.duration = t.duration.With(historySmoothing, duration, at)
+	return t
 }
 
 // PerSecond returns how many attempts complete per second while all capacity is in use; zero means
@@ -36,9 +36,9 @@
 //
 // It is the number of attempts in flight divided by their mean duration. The rate of earlier
 // completions would not do, because it shows the demand and not what the servers can handle.
-func (p Throughput) PerSecond() float64 {
-	if p.inFlight <= 0 || p.duration.Mean <= 0 {
+func (t Throughput) PerSecond() float64 {
+	if t.inFlight <= 0 || t.duration.Mean <= 0 {
 		return 0
 	}
-	return float64(p.inFlight) / p.duration.Mean.Seconds()
+	return float64(t.inFlight) / t.duration.Mean.Seconds()
 }
