--- a/io/carry/attempt.go
+++ b/io/carry/attempt.go
@@ -20,8 +20,8 @@
 	readBufferBytes = 16 << 10
 )
 
-// attempt is one attempt to have a server answer a request.
-type attempt[H any] struct {
+// attemptHandler makes one attempt to have a server answer a request.
+type attemptHandler[H any] struct {
 	*requestHandler[H]
 	load    *loadTracker
 	server  relay.Server
@@ -32,22 +32,22 @@
 
 // send sends the request and handles the answer. It reports whether the request is done, in which case
 // the error is its result; otherwise the ending says how the attempt failed.
-func (a *attempt[H]) send(ctx context.Context) (query.Ending, bool, error) {
+func (a *attemptHandler[H]) send(ctx context.Context) (query.Ending, bool, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	watch := a.startWatchdog(ctx, cancel)
 	defer func() { a.retryPaid = watch.stop() }()
-	answer, err := a.carrier.config.Backend.Send(ctx, a.buildRun(ctx))
+	answer, err := a.dispatcher.config.Backend.Send(ctx, a.buildAttempt(ctx))
 	if err != nil {
 		return a.handleError(ctx, err), false, nil
 	}
 	defer func() { _ = answer.Body.Close() }()
 	if answer.Confidence >= 0 || answer.Stream {
-		a.carrier.prefillRates.observe(a.model(), a.prefillTokens, a.carrier.config.Now().Sub(a.started))
+		a.dispatcher.prefillRates.observe(a.model(), a.prefillTokens, a.dispatcher.config.Now().Sub(a.started))
 	}
 	a.learnConfidenceGain(answer)
 	if answer.Reported {
-		a.load.recordReport(answer.Report, a.carrier.config.Now())
+		a.load.recordReport(answer.Report, a.dispatcher.config.Now())
 	}
 	ending, ok := a.checkAnswer(answer)
 	if !ok {
@@ -65,7 +65,7 @@
 // errSilenceTimeout is the cause with which a watchdog cancels an attempt.
 var errSilenceTimeout = errors.New("no answer in time")
 
-func (a *attempt[H]) buildRun(ctx context.Context) Attempt[H] {
+func (a *attemptHandler[H]) buildAttempt(ctx context.Context) Attempt[H] {
 	return Attempt[H]{
 		Server: a.server, Request: a.job.Request, Account: a.admitted.Account, Head: a.job.Head, Body: a.job.Body,
 		TimeLeft: a.timeLeft(ctx), Model: a.model(), Rank: query.Priority(a.admitted.Rank, a.step), LastEventID: a.lastEventID,
@@ -75,8 +75,8 @@
 
 // handleError returns how an attempt ended that failed with the error, and counts the failure against
 // the server unless the caller cancelled the request.
-func (a *attempt[H]) handleError(ctx context.Context, err error) query.Ending {
-	now := a.carrier.config.Now()
+func (a *attemptHandler[H]) handleError(ctx context.Context, err error) query.Ending {
+	now := a.dispatcher.config.Now()
 	ending := query.EndedUnknown
 	switch {
 	case errors.Is(err, ErrUnsent):
@@ -93,7 +93,7 @@
 
 // checkAnswer reports whether the answer may be relayed to the caller, and otherwise how the attempt
 // ended.
-func (a *attempt[H]) checkAnswer(answer *Answer[H]) (query.Ending, bool) {
+func (a *attemptHandler[H]) checkAnswer(answer *Answer[H]) (query.Ending, bool) {
 	switch {
 	case answer.NotRun:
 		return query.EndedNotRun, false
@@ -107,8 +107,8 @@
 
 // handleRejected handles an answer that checkAnswer rejected. A server's own error is relayed to the
 // caller when no retry is allowed; in every other case the returned ending decides on a retry.
-func (a *attempt[H]) handleRejected(ctx context.Context, answer *Answer[H], ending query.Ending) (query.Ending, bool, error) {
-	now := a.carrier.config.Now()
+func (a *attemptHandler[H]) handleRejected(ctx context.Context, answer *Answer[H], ending query.Ending) (query.Ending, bool, error) {
+	now := a.dispatcher.config.Now()
 	a.record(DecisionAttemptFailed, endingName(ending), answer.Status, "")
 	switch ending {
 	case query.EndedNotRun:
@@ -118,8 +118,8 @@
 	default:
 		a.load.recordFailure(now)
 	}
-	final := ending == query.EndedFailed && !a.responseStarted
-	if final && !query.MayRetry(a.admitted.Route, ending, a.attempts.With(ending), a.timeLeft(ctx)) {
+	canRelay := ending == query.EndedFailed && !a.responseStarted
+	if canRelay && !query.MayRetry(a.admitted.Route, ending, a.attempts.With(ending), a.timeLeft(ctx)) {
 		return a.relayBody(ctx, answer)
 	}
 	return ending, false, nil
@@ -127,22 +127,22 @@
 
 // tryStepUp reports whether the answer is discarded because its confidence is low, so that a larger
 // model is asked next.
-func (a *attempt[H]) tryStepUp(ctx context.Context, answer *Answer[H]) bool {
+func (a *attemptHandler[H]) tryStepUp(ctx context.Context, answer *Answer[H]) bool {
 	route := a.admitted.Route
 	if !route.IsCascade() || a.responseStarted {
 		return false
 	}
 	observed := query.ObservedAnswer{
 		Step: a.step, Confidence: answer.Confidence, Sends: a.attempts.With(query.EndedDropped),
-		Left: a.timeLeft(ctx), Throttle: a.carrier.throttles.Get(a.service).Value(),
+		Left: a.timeLeft(ctx), Throttle: a.dispatcher.throttles.Get(a.service).Value(),
 	}
 	next, ok := query.StepUp(route, observed, a.confidenceGain)
-	if !ok || !a.carrier.spendBudget(a.service, useStepUp) {
+	if !ok || !a.dispatcher.spendBudget(a.service, useStepUp) {
 		return false
 	}
 	a.decision.Throttle = observed.Throttle
 	a.discarded = discardedAnswer{step: a.step, confidence: answer.Confidence}
-	a.load.recordFirstByte(a.carrier.config.Now())
+	a.load.recordFirstByte(a.dispatcher.config.Now())
 	a.decision.FirstByteTime = a.load.firstByteTime
 	a.record(DecisionSteppedUp, "LowConfidence", answer.Status, "")
 	a.step = next
@@ -151,12 +151,12 @@
 
 // relayBody relays an answer that is not an event stream. It buffers up to bufferedBodyBytes before it
 // writes any of the body, and copies the rest of a larger one as it arrives.
-func (a *attempt[H]) relayBody(ctx context.Context, answer *Answer[H]) (query.Ending, bool, error) {
+func (a *attemptHandler[H]) relayBody(ctx context.Context, answer *Answer[H]) (query.Ending, bool, error) {
 	body, err := io.ReadAll(io.LimitReader(answer.Body, bufferedBodyBytes))
 	if err != nil {
 		return a.handleError(ctx, err), false, nil
 	}
-	a.load.recordFirstByte(a.carrier.config.Now())
+	a.load.recordFirstByte(a.dispatcher.config.Now())
 	a.responseStarted = true
 	if err := a.writer.WriteHead(answer); err != nil {
 		return 0, true, a.failCallerGone(err)
@@ -177,7 +177,7 @@
 }
 
 // copyBody copies the rest of a body to the caller.
-func (a *attempt[H]) copyBody(body io.Reader) error {
+func (a *attemptHandler[H]) copyBody(body io.Reader) error {
 	buf := make([]byte, readBufferBytes)
 	for {
 		n, err := body.Read(buf)
@@ -197,7 +197,7 @@
 
 // relayStream writes complete events to the caller as they arrive. The watchdog cancels the attempt when
 // the stream stalls, and lastEventID lets another server resume it.
-func (a *attempt[H]) relayStream(ctx context.Context, answer *Answer[H], watch *watchdog) (query.Ending, bool, error) {
+func (a *attemptHandler[H]) relayStream(ctx context.Context, answer *Answer[H], watch *watchdog) (query.Ending, bool, error) {
 	splitter := event.NewSplitter(maxEventBytes)
 	buf := make([]byte, readBufferBytes)
 	for {
@@ -207,9 +207,9 @@
 			if splitErr != nil {
 				return a.handleError(ctx, splitErr), false, nil
 			}
-			a.load.recordActivity(a.carrier.config.Now())
+			a.load.recordActivity(a.dispatcher.config.Now())
 			if len(complete) > 0 {
-				a.load.recordFirstByte(a.carrier.config.Now())
+				a.load.recordFirstByte(a.dispatcher.config.Now())
 				if err := a.writeEvents(answer, complete); err != nil {
 					return 0, true, a.failCallerGone(err)
 				}
@@ -231,7 +231,7 @@
 }
 
 // writeEvents writes the events, preceded by the answer's head unless an earlier attempt has written one.
-func (a *attempt[H]) writeEvents(answer *Answer[H], events []byte) error {
+func (a *attemptHandler[H]) writeEvents(answer *Answer[H], events []byte) error {
 	if !a.responseStarted {
 		a.responseStarted = true
 		a.updateThrottle(true)
@@ -244,22 +244,22 @@
 }
 
 // failCallerGone ends a request whose answer could not be written to the caller.
-func (a *attempt[H]) failCallerGone(err error) error {
+func (a *attemptHandler[H]) failCallerGone(err error) error {
 	return a.fail(relay.Refusal{Reason: relay.ReasonCallerLeft, Detail: err.Error()})
 }
 
 // recordSuccess counts a complete answer for the server and its release.
-func (a *attempt[H]) recordSuccess() {
-	a.load.recordSuccess(a.carrier.config.Now())
+func (a *attemptHandler[H]) recordSuccess() {
+	a.load.recordSuccess(a.dispatcher.config.Now())
 	a.recordTally(false)
 }
 
-func (a *attempt[H]) recordTally(failed bool) {
-	now := a.carrier.config.Now()
-	a.carrier.tallies.add(a.server, usualTimeKey{a.admitted.Route.Name, a.model()}, failed, now.Sub(a.started), now)
+func (a *attemptHandler[H]) recordTally(failed bool) {
+	now := a.dispatcher.config.Now()
+	a.dispatcher.tallies.add(a.server, usualTimeKey{a.admitted.Route.Name, a.model()}, failed, now.Sub(a.started), now)
 }
 
-func (a *attempt[H]) recordAnswered(status int) {
+func (a *attemptHandler[H]) recordAnswered(status int) {
 	a.decision.FirstByteTime = a.load.firstByteTime
 	a.record(DecisionAnswered, "", status, "")
 }
--- a/io/carry/budget.go
+++ b/io/carry/budget.go
@@ -38,9 +38,9 @@
 
 // budgetLimits returns one instance's limits: the full ratio, since it applies to the instance's own
 // requests, and an equal part of the fleet's allowance.
-func (c *Dispatcher[H]) budgetLimits() policy.QuotaConfig {
-	instances := max(1, len(c.config.Snapshot().Members()))
-	limits := c.config.RetryLimits()
+func (d *Dispatcher[H]) budgetLimits() policy.QuotaConfig {
+	instances := max(1, len(d.config.Snapshot().Members()))
+	limits := d.config.RetryLimits()
 	return policy.QuotaConfig{
 		Window: limits.Window, Ratio: limits.Ratio * fleetLimitShare,
 		Allowance: limits.Allowance * fleetLimitShare / float64(instances), Optional: stepUpShare,
@@ -48,18 +48,18 @@
 }
 
 // spendBudget reports whether the service's budget allows a further attempt, and if so counts it.
-func (c *Dispatcher[H]) spendBudget(service relay.ServiceName, use budgetUse) bool {
-	bounds, now := c.budgetLimits(), c.config.Now()
-	return c.retryBudgets.Cell(service).TryUpdate(func(q policy.Quota) (policy.Quota, bool) {
+func (d *Dispatcher[H]) spendBudget(service relay.ServiceName, use budgetUse) bool {
+	limits, now := d.budgetLimits(), d.config.Now()
+	return d.retryBudgets.Cell(service).TryUpdate(func(q policy.Quota) (policy.Quota, bool) {
 		if use == useStepUp {
-			return q.WithOptional(bounds, now)
+			return q.WithOptional(limits, now)
 		}
-		return q.WithExtra(bounds, now)
+		return q.WithExtra(limits, now)
 	})
 }
 
 // countFirstAttempt counts the first attempt of a request, which adds Ratio to the budget.
-func (c *Dispatcher[H]) countFirstAttempt(service relay.ServiceName) {
-	bounds, now := c.budgetLimits(), c.config.Now()
-	c.retryBudgets.Cell(service).Update(func(q policy.Quota) policy.Quota { return q.WithFirst(bounds, now) })
+func (d *Dispatcher[H]) countFirstAttempt(service relay.ServiceName) {
+	limits, now := d.budgetLimits(), d.config.Now()
+	d.retryBudgets.Cell(service).Update(func(q policy.Quota) policy.Quota { return q.WithFirst(limits, now) })
 }
--- a/io/carry/carry.go
+++ b/io/carry/carry.go
@@ -27,7 +27,7 @@
 	DecisionSteppedUp DecisionKind = "SteppedUp"
 	// DecisionAttemptFailed means that an attempt yielded no answer for the caller.
 	DecisionAttemptFailed DecisionKind = "RunFailed"
-	// DecisionRefused means that the request ended without any server running it.
+	// DecisionRefused means that the request was refused and no server has run it.
 	DecisionRefused DecisionKind = "Refused"
 	// DecisionFailed means that the request may have run and ended without a complete answer.
 	DecisionFailed DecisionKind = "Failed"
@@ -69,7 +69,7 @@
 	Detail string
 }
 
-// Config holds the dependencies and settings of a Carrier.
+// Config holds the dependencies and settings of a Dispatcher.
 type Config[H any] struct {
 	Backend  Backend[H]
 	Snapshot func() relay.State
@@ -85,7 +85,7 @@
 type Dispatcher[H any] struct {
 	config Config[H]
 	loads  *loadTable
-	// retryBudgets count the attempts of each service.
+	// retryBudgets limit the attempts of each service beyond the first ones.
 	retryBudgets    policy.Cells[relay.ServiceName, policy.Quota]
 	sessions        *sessions
 	tallies         *tallies
@@ -95,19 +95,19 @@
 	throttles policy.Cells[relay.ServiceName, relay.Throttle]
 }
 
-// New returns a carrier, or an error that names what is missing from the configuration.
+// New returns a dispatcher, or an error that names what the configuration lacks.
 func New[H any](c Config[H]) (*Dispatcher[H], error) {
 	switch {
 	case c.Backend == nil:
-		return nil, errors.New("carrier: no backend")
+		return nil, errors.New("dispatcher: no backend")
 	case c.Snapshot == nil:
-		return nil, errors.New("carrier: no snapshot")
+		return nil, errors.New("dispatcher: no snapshot")
 	case c.Now == nil:
-		return nil, errors.New("carrier: no clock")
+		return nil, errors.New("dispatcher: no clock")
 	case c.Recorder == nil:
-		return nil, errors.New("carrier: no recorder")
+		return nil, errors.New("dispatcher: no recorder")
 	case c.RetryLimits == nil:
-		return nil, errors.New("carrier: no retry limits")
+		return nil, errors.New("dispatcher: no retry limits")
 	}
 	return &Dispatcher[H]{
 		config: c, loads: new(loadTable), sessions: newSessions(c.SessionLifetime), tallies: new(tallies),
@@ -115,44 +115,44 @@
 	}, nil
 }
 
-// Serve relays the request and its answer. The error is a relay.Refusal as long as nothing was written
-// to the sink, and wraps ErrCut afterwards.
-func (c *Dispatcher[H]) Serve(ctx context.Context, j Job[H], sink ResponseWriter[H]) error {
-	s := c.config.Snapshot()
-	admitted, err := query.Admit(s, j.Request)
+// Serve relays the request and its answer. The error is a relay.Refusal if nothing was written to the
+// writer, and wraps ErrTruncated otherwise.
+func (d *Dispatcher[H]) Serve(ctx context.Context, job Job[H], writer ResponseWriter[H]) error {
+	s := d.config.Snapshot()
+	admitted, err := query.Admit(s, job.Request)
 	if err != nil {
-		c.recordRefused(j.Request, admitted, s, err)
+		d.recordRefused(job.Request, admitted, s, err)
 		return err
 	}
-	if at := j.Request.Deadline(admitted.Route); !at.IsZero() {
+	if at := job.Request.Deadline(admitted.Route); !at.IsZero() {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithDeadline(ctx, at)
 		defer cancel()
 	}
-	handler := &requestHandler[H]{carrier: c, job: j, admitted: admitted, writer: sink}
+	handler := &requestHandler[H]{dispatcher: d, job: job, admitted: admitted, writer: writer}
 	return handler.serve(ctx)
 }
 
 // Retain discards the load data of servers that are not in the state, and expired sessions.
-func (c *Dispatcher[H]) Retain(s relay.State) {
-	c.loads.retain(func(id relay.ServerID) bool {
+func (d *Dispatcher[H]) Retain(s relay.State) {
+	d.loads.retain(func(id relay.ServerID) bool {
 		_, ok := s.Server(id)
 		return ok
 	})
-	c.sessions.removeExpired(c.config.Now())
+	d.sessions.removeExpired(d.config.Now())
 }
 
 // Tallies returns this instance's counts of attempts by release.
-func (c *Dispatcher[H]) Tallies() []relay.Tally {
-	return c.tallies.all()
+func (d *Dispatcher[H]) Tallies() []relay.Tally {
+	return d.tallies.all()
 }
 
-func (c *Dispatcher[H]) recordRefused(request relay.Request, admitted query.Admitted, s relay.State, err error) {
+func (d *Dispatcher[H]) recordRefused(request relay.Request, admitted query.Admitted, s relay.State, err error) {
 	var refusal relay.Refusal
 	errors.As(err, &refusal)
-	c.config.Recorder.Record(Decision{
+	d.config.Recorder.Record(Decision{
 		Request: request.ID, Kind: DecisionRefused, Route: admitted.Route.Name, Account: admitted.Account.Name,
 		Reason: string(refusal.Reason), Detail: refusal.Detail, Revision: s.Revision,
-		Elapsed: c.config.Now().Sub(request.Arrived),
+		Elapsed: d.config.Now().Sub(request.Arrived),
 	})
 }
--- a/io/carry/carry_test.go
+++ b/io/carry/carry_test.go
@@ -109,7 +109,7 @@
 	}
 }
 
-func TestStreamEndingInsideAnEventIsReportedAsCut(t *testing.T) {
+func TestStreamEndingInsideAnEventIsReportedAsTruncated(t *testing.T) {
 	h := newHarness(t, streamRoute(relay.RetryNever), streamAnswer(firstEvent+"id: 2\nda", io.EOF))
 	assert.ErrorIs(t, h.serve(t.Context()), carry.ErrTruncated)
 	assert.Equal(t, h.writer.body.String(), firstEvent)
@@ -148,16 +148,16 @@
 func TestLateLargerModelAnswersReduceStepUps(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		lowConfidence := answerWith(answer{Status: 200, Signed: true, Stream: true, Confidence: 30}, firstEvent, io.EOF)
-		late := func(ctx context.Context, r attempt) (*answer, error) {
+		late := func(ctx context.Context, sent attempt) (*answer, error) {
 			time.Sleep(cascadeRoute().Objective + time.Second)
-			return answerWith(answer{Status: 200, Signed: true, Stream: true, Confidence: 90}, firstEvent, io.EOF)(ctx, r)
+			return answerWith(answer{Status: 200, Signed: true, Stream: true, Confidence: 90}, firstEvent, io.EOF)(ctx, sent)
 		}
 		h := newHarness(t, cascadeRoute())
-		h.backend.answers = []func(context.Context, attempt) (*answer, error){func(ctx context.Context, r attempt) (*answer, error) {
-			if r.Model == "small" {
-				return lowConfidence(ctx, r)
+		h.backend.answers = []func(context.Context, attempt) (*answer, error){func(ctx context.Context, sent attempt) (*answer, error) {
+			if sent.Model == "small" {
+				return lowConfidence(ctx, sent)
 			}
-			return late(ctx, r)
+			return late(ctx, sent)
 		}}
 		stepUps := func(requests int) int {
 			before := len(h.backend.sends)
@@ -185,11 +185,11 @@
 func TestServerSilentOnSeveralAttemptsIsAbandonedWithinObjective(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const requests = 12
-		h := newHarness(t, streamRoute(relay.RetryResuming), func(ctx context.Context, r attempt) (*answer, error) {
-			if r.Server.ID == "s1" {
-				return neverAnswers(ctx, r)
+		h := newHarness(t, streamRoute(relay.RetryResuming), func(ctx context.Context, sent attempt) (*answer, error) {
+			if sent.Server.ID == "s1" {
+				return neverAnswers(ctx, sent)
 			}
-			return streamAnswer(firstEvent, io.EOF)(ctx, r)
+			return streamAnswer(firstEvent, io.EOF)(ctx, sent)
 		})
 		var inTime atomic.Int32
 		var group sync.WaitGroup
@@ -280,5 +280,5 @@
 func TestOnlyServerAnswersAreCountedInTallies(t *testing.T) {
 	h := newHarness(t, plainRoute(relay.RetryAlways), failsWith(carry.ErrAnswerLost), answerWith(answer{Status: 500, Signed: true}, "", io.EOF), answerOK("done"))
 	assert.NilError(t, h.serve(t.Context()))
-	assert.DeepEqual(t, h.carrier.Tallies(), []relay.Tally{{Service: "app", Release: "v1", Runs: 2, Failed: 1}})
+	assert.DeepEqual(t, h.dispatcher.Tallies(), []relay.Tally{{Service: "app", Release: "v1", Runs: 2, Failed: 1}})
 }
--- a/io/carry/confidence.go
+++ b/io/carry/confidence.go
@@ -22,20 +22,20 @@
 // this instance; both are indexes in the route's models.
 func (h *requestHandler[H]) confidenceGain(smaller, larger int) relay.ConfidenceGain {
 	models := h.admitted.Route.Models
-	return h.carrier.confidenceGains.Get()[modelPair{models[smaller], models[larger]}]
+	return h.dispatcher.confidenceGains.Get()[modelPair{models[smaller], models[larger]}]
 }
 
 // learnConfidenceGain adds the answer's confidence to the decision. If a smaller model's answer was
 // discarded, it also records how much more confident the current model is, unless the response has
 // already started.
-func (a *attempt[H]) learnConfidenceGain(answer *Answer[H]) {
+func (a *attemptHandler[H]) learnConfidenceGain(answer *Answer[H]) {
 	a.decision.Confidence = answer.Confidence
 	if answer.Confidence < 0 || a.responseStarted || a.step <= a.discarded.step {
 		return
 	}
 	models := a.admitted.Route.Models
 	pair := modelPair{models[a.discarded.step], models[a.step]}
-	a.carrier.confidenceGains.Update(func(all map[modelPair]relay.ConfidenceGain) map[modelPair]relay.ConfidenceGain {
+	a.dispatcher.confidenceGains.Update(func(all map[modelPair]relay.ConfidenceGain) map[modelPair]relay.ConfidenceGain {
 		next := make(map[modelPair]relay.ConfidenceGain, len(all)+1)
 		maps.Copy(next, all)
 		next[pair] = all[pair].With(a.discarded.confidence, answer.Confidence)
--- a/io/carry/handler.go
+++ b/io/carry/handler.go
@@ -13,15 +13,15 @@
 	"endivehitch/io/clock"
 )
 
-// ErrTruncated is returned when a part of an answer was written and the rest could not be.
-var ErrTruncated = errors.New("answer was cut off")
+// ErrTruncated is returned when only a part of an answer could be written to the caller.
+var ErrTruncated = errors.New("answer was truncated")
 
 // requestHandler serves one request on its caller's goroutine, in one or more attempts.
 type requestHandler[H any] struct {
-	carrier  *Dispatcher[H]
-	job      Job[H]
-	admitted query.Admitted
-	writer   ResponseWriter[H]
+	dispatcher *Dispatcher[H]
+	job        Job[H]
+	admitted   query.Admitted
+	writer     ResponseWriter[H]
 
 	service  relay.ServiceName
 	attempts query.RequestAttempts
@@ -42,9 +42,9 @@
 }
 
 func (h *requestHandler[H]) serve(ctx context.Context) error {
-	c := h.carrier
+	d := h.dispatcher
 	h.service = query.SelectTarget(h.admitted.Route, h.requestHash())
-	c.countFirstAttempt(h.service)
+	d.countFirstAttempt(h.service)
 	for {
 		ending, done, err := h.tryOnce(ctx)
 		if done {
@@ -62,11 +62,11 @@
 	return xxhash.Sum64String(h.job.Request.ID)
 }
 
-// tryOnce selects a server and makes one attempt there; its results are those of attempt.send.
+// tryOnce selects a server and makes one attempt there; its results are those of attemptHandler.send.
 func (h *requestHandler[H]) tryOnce(ctx context.Context) (query.Ending, bool, error) {
-	c := h.carrier
-	state := c.config.Snapshot()
-	now := c.config.Now()
+	d := h.dispatcher
+	state := d.config.Snapshot()
+	now := d.config.Now()
 	choice, ok := h.selectServer(state, now)
 	if !ok {
 		return query.EndedUnsent, true, h.fail(h.noServerRefusal(ctx))
@@ -74,12 +74,12 @@
 	h.tried = append(h.tried, choice.Server.ID)
 	prefillTokens := h.countPrefillTokens(choice)
 	h.prepareDecision(state, choice, prefillTokens, now)
-	load := c.loads.startAttempt(choice.Server.ID, time.Duration(prefillTokens)*c.prefillRates.timePerToken(h.model()), now)
+	load := d.loads.startAttempt(choice.Server.ID, time.Duration(prefillTokens)*d.prefillRates.timePerToken(h.model()), now)
 	defer load.finish()
-	current := &attempt[H]{requestHandler: h, load: load, server: choice.Server, started: now, prefillTokens: prefillTokens}
+	current := &attemptHandler[H]{requestHandler: h, load: load, server: choice.Server, started: now, prefillTokens: prefillTokens}
 	ending, done, err := current.send(ctx)
 	// A session expires counted from the end of its last request, however long that took.
-	c.sessions.remember(h.service, h.job.Request.Session, choice.Server.Release, c.config.Now())
+	d.sessions.remember(h.service, h.job.Request.Session, choice.Server.Release, d.config.Now())
 	if !done {
 		h.attempts = h.attempts.With(ending)
 		if len(h.tried) > 0 && ending == query.EndedDropped {
@@ -93,20 +93,20 @@
 // selectServer selects a server for the next attempt, and assigns the request's session to its release.
 func (h *requestHandler[H]) selectServer(state relay.State, now time.Time) (query.Choice, bool) {
 	request := h.job.Request
-	lastRelease := h.carrier.sessions.release(h.service, request.Session, now)
-	want := query.Criteria{
-		Service: h.service, Tried: h.tried, PrefillTime: h.carrier.prefillRates.timePerToken(h.model()),
+	lastRelease := h.dispatcher.sessions.release(h.service, request.Session, now)
+	criteria := query.Criteria{
+		Service: h.service, Tried: h.tried, PrefillTime: h.dispatcher.prefillRates.timePerToken(h.model()),
 		Release: query.Release(state, h.service, request.Session, lastRelease, h.requestHash(), now),
 	}
 	if prefix, ok := request.Shared(); ok {
-		want.Shared = prefix.ID
+		criteria.Shared = prefix.ID
 		for _, part := range request.Prompt[:len(request.Prompt)-1] {
-			want.SharedTokens += part.Tokens
+			criteria.SharedTokens += part.Tokens
 		}
 	}
-	choice, ok := query.SelectServer(state, want, h.carrier.loads.Get, clock.Random{}, now)
+	choice, ok := query.SelectServer(state, criteria, h.dispatcher.loads.Get, clock.Random{}, now)
 	if ok {
-		h.carrier.sessions.remember(h.service, request.Session, choice.Server.Release, now)
+		h.dispatcher.sessions.remember(h.service, request.Session, choice.Server.Release, now)
 	}
 	return choice, ok
 }
@@ -136,7 +136,7 @@
 	if !ok {
 		return time.Hour
 	}
-	return at.Sub(h.carrier.config.Now())
+	return at.Sub(h.dispatcher.config.Now())
 }
 
 // checkRetry returns nil when another attempt is allowed, and otherwise the request's final error.
@@ -159,7 +159,7 @@
 		// No server has received the request, so the next attempt is not charged to the retry budget.
 		return nil
 	}
-	if !h.carrier.spendBudget(h.service, useRetry) {
+	if !h.dispatcher.spendBudget(h.service, useRetry) {
 		refusal := query.FinalRefusal(ending, h.attempts, left)
 		refusal.Detail = "the retry budget is spent"
 		return h.fail(refusal)
@@ -167,16 +167,16 @@
 	return nil
 }
 
-// callerGoneRefusal returns the final answer of a request whose connection was closed. An instance that
+// callerGoneRefusal returns the final refusal of a request whose connection was closed. An instance that
 // leaves closes the connections of requests that did not finish within its grace period.
 func (h *requestHandler[H]) callerGoneRefusal() relay.Refusal {
-	if h.carrier.config.Snapshot().Leaving {
+	if h.dispatcher.config.Snapshot().Leaving {
 		return relay.Refusal{Reason: relay.ReasonCallerLeft, Detail: "the connection was closed while the instance was leaving"}
 	}
 	return relay.Refusal{Reason: relay.ReasonCallerLeft, Detail: "the caller closed its connection"}
 }
 
-// noServerRefusal returns the final answer when there is no server left to try.
+// noServerRefusal returns the final refusal when there is no server left to try.
 func (h *requestHandler[H]) noServerRefusal(ctx context.Context) relay.Refusal {
 	if h.attempts.All == 0 {
 		return relay.Refusal{Reason: relay.ReasonNoServer, NotRun: true, RetryAfter: time.Second, Detail: "no server of " + string(h.service)}
@@ -195,7 +195,7 @@
 	}
 	decision.Elapsed = h.elapsed()
 	decision.Route, decision.Account, decision.Request = h.admitted.Route.Name, h.admitted.Account.Name, h.job.Request.ID
-	h.carrier.config.Recorder.Record(decision)
+	h.dispatcher.config.Recorder.Record(decision)
 	if h.responseStarted {
 		return fmt.Errorf("%w: %w", ErrTruncated, refusal)
 	}
@@ -203,12 +203,12 @@
 }
 
 func (h *requestHandler[H]) elapsed() time.Duration {
-	return h.carrier.config.Now().Sub(h.job.Request.Arrived)
+	return h.dispatcher.config.Now().Sub(h.job.Request.Arrived)
 }
 
 // prepareDecision stores the inputs of the server's selection, for the records about this attempt.
 func (h *requestHandler[H]) prepareDecision(state relay.State, choice query.Choice, prefillTokens int, now time.Time) {
-	load := h.carrier.loads.Get(choice.Server.ID)
+	load := h.dispatcher.loads.Get(choice.Server.ID)
 	h.decision = Decision{
 		Request: h.job.Request.ID, Route: h.admitted.Route.Name, Account: h.admitted.Account.Name,
 		Server: choice.Server.ID, Release: choice.Server.Release, Model: h.model(), Candidates: choice.Candidates,
@@ -219,10 +219,10 @@
 	}
 }
 
-// record passes a decision about the current attempt to the recorder.
-func (h *requestHandler[H]) record(what DecisionKind, reason string, status int, detail string) {
+// record passes a decision of the kind about the current attempt to the recorder.
+func (h *requestHandler[H]) record(kind DecisionKind, reason string, status int, detail string) {
 	decision := h.decision
-	decision.Kind, decision.Reason, decision.Status, decision.Detail = what, reason, status, detail
+	decision.Kind, decision.Reason, decision.Status, decision.Detail = kind, reason, status, detail
 	decision.Elapsed = h.elapsed()
-	h.carrier.config.Recorder.Record(decision)
+	h.dispatcher.config.Recorder.Record(decision)
 }
--- a/io/carry/harness_test.go
+++ b/io/carry/harness_test.go
@@ -26,16 +26,16 @@
 type scriptedBackend struct {
 	mu      sync.Mutex
 	sends   []attempt
-	answers []func(ctx context.Context, r attempt) (*answer, error)
+	answers []func(ctx context.Context, sent attempt) (*answer, error)
 }
 
 // Send gives the next answer; the last one is given for all further sends.
-func (s *scriptedBackend) Send(ctx context.Context, r attempt) (*answer, error) {
+func (s *scriptedBackend) Send(ctx context.Context, sent attempt) (*answer, error) {
 	s.mu.Lock()
 	next := s.answers[min(len(s.sends), len(s.answers)-1)]
-	s.sends = append(s.sends, r)
+	s.sends = append(s.sends, sent)
 	s.mu.Unlock()
-	return next(ctx, r)
+	return next(ctx, sent)
 }
 
 type responseWriter struct {
@@ -65,24 +65,24 @@
 	r.kinds = append(r.kinds, d.Kind)
 }
 
-// harness runs a carrier with three servers of one service against a scripted backend.
+// harness runs a dispatcher for three servers of one service on a scripted backend.
 type harness struct {
-	t        *testing.T
-	backend  *scriptedBackend
-	writer   *responseWriter
-	recorder *recorder
-	carrier  *carry.Dispatcher[head]
+	t          *testing.T
+	backend    *scriptedBackend
+	writer     *responseWriter
+	recorder   *recorder
+	dispatcher *carry.Dispatcher[head]
 }
 
-func plainRoute(repeat relay.RetryRule) relay.Route {
+func plainRoute(rule relay.RetryRule) relay.Route {
 	return relay.Route{
-		Name: "r", Host: "h", Prefix: "/", Repeat: repeat, Attempts: 3, Timeout: 10 * time.Second,
+		Name: "r", Host: "h", Prefix: "/", Repeat: rule, Attempts: 3, Timeout: 10 * time.Second,
 		Objective: time.Second, Open: true, Targets: []relay.Target{{Service: "app", Weight: 1}},
 	}
 }
 
-func streamRoute(repeat relay.RetryRule) relay.Route {
-	r := plainRoute(repeat)
+func streamRoute(rule relay.RetryRule) relay.Route {
+	r := plainRoute(rule)
 	r.Stream, r.Gap, r.Objective = true, time.Second, 2*time.Second
 	return r
 }
@@ -100,7 +100,7 @@
 	s := relay.New(relay.Member{Name: "n"}).WithFeed(f, time.Now(), 0)
 	h := &harness{t: t, backend: &scriptedBackend{answers: answers}, writer: new(responseWriter), recorder: new(recorder)}
 	var err error
-	h.carrier, err = carry.New(carry.Config[head]{
+	h.dispatcher, err = carry.New(carry.Config[head]{
 		Backend: h.backend, Snapshot: func() relay.State { return s }, Now: time.Now, Recorder: h.recorder,
 		RetryLimits: func() carry.RetryLimits {
 			return carry.RetryLimits{Window: 10 * time.Second, Ratio: 0.9, Allowance: 30}
@@ -116,7 +116,7 @@
 }
 
 func (h *harness) serveTo(ctx context.Context, w *responseWriter) error {
-	return h.carrier.Serve(ctx, carry.Job[head]{
+	return h.dispatcher.Serve(ctx, carry.Job[head]{
 		Request: relay.Request{ID: "q", Host: "h", Path: "/x", Arrived: time.Now(), CallerTimeout: 8 * time.Second},
 	}, w)
 }
@@ -133,9 +133,9 @@
 func (h *harness) assertNoServerTwice() {
 	h.t.Helper()
 	seen := make(map[relay.ServerID]bool)
-	for _, r := range h.backend.sends {
-		assert.Assert(h.t, !seen[r.Server.ID], "server %s received the request twice", r.Server.ID)
-		seen[r.Server.ID] = true
+	for _, sent := range h.backend.sends {
+		assert.Assert(h.t, !seen[sent.Server.ID], "server %s received the request twice", sent.Server.ID)
+		seen[sent.Server.ID] = true
 	}
 }
 
@@ -145,9 +145,9 @@
 
 // answerWith answers with the head and the body, and ends the body with the error.
 func answerWith(a answer, body string, endErr error) func(context.Context, attempt) (*answer, error) {
-	return func(_ context.Context, r attempt) (*answer, error) {
+	return func(_ context.Context, sent attempt) (*answer, error) {
 		b := a
-		b.Head = head{name: string(r.Server.ID)}
+		b.Head = head{name: string(sent.Server.ID)}
 		if b.Confidence == 0 {
 			b.Confidence = -1
 		}
--- a/io/carry/ports.go
+++ b/io/carry/ports.go
@@ -17,12 +17,12 @@
 	ErrAnswerLost = errors.New("answer was lost")
 )
 
-// Attempt is one attempt to send a request to a server; H is the front end's type of message heads.
+// Attempt is a request as it is to be sent to one server; H is the front end's type of message heads.
 type Attempt[H any] struct {
 	Server  relay.Server
 	Request relay.Request
 	Account relay.Account
-	// Head and Body are the request's as the caller sent them.
+	// Head and Body are those of the caller's request, unchanged.
 	Head H
 	Body []byte
 	// TimeLeft is how long the server may take.
@@ -57,14 +57,14 @@
 	Confidence int
 	// Length is the body's length in bytes; negative means not stated.
 	Length int64
-	// Body returns io.EOF only after the complete body; closing it earlier cancels the run.
+	// Body returns io.EOF only after the complete body; closing it earlier cancels the attempt.
 	Body io.ReadCloser
 }
 
 // Backend sends requests to backend servers.
 type Backend[H any] interface {
-	// Send returns once the answer's head has been read; the error wraps ErrUnsent or ErrLost.
-	Send(ctx context.Context, r Attempt[H]) (*Answer[H], error)
+	// Send returns once the answer's head has been read; the error wraps ErrUnsent or ErrAnswerLost.
+	Send(ctx context.Context, attempt Attempt[H]) (*Answer[H], error)
 }
 
 // ResponseWriter writes the answer to the caller.
@@ -75,7 +75,7 @@
 	Write(b []byte) error
 }
 
-// Job is one request for a Carrier to serve.
+// Job is one request for a Dispatcher to serve.
 type Job[H any] struct {
 	Request relay.Request
 	Head    H
--- a/io/carry/session_test.go
+++ b/io/carry/session_test.go
@@ -43,13 +43,13 @@
 		c, err := carry.New(carry.Config[head]{
 			RetryLimits: func() carry.RetryLimits { return carry.RetryLimits{Window: time.Second} },
 			Backend: &scriptedBackend{answers: []func(context.Context, attempt) (*answer, error){
-				func(ctx context.Context, r attempt) (*answer, error) {
+				func(ctx context.Context, sent attempt) (*answer, error) {
 					time.Sleep(requestTime)
-					return streamAnswer(firstEvent, io.EOF)(ctx, r)
+					return streamAnswer(firstEvent, io.EOF)(ctx, sent)
 				},
-				func(ctx context.Context, r attempt) (*answer, error) {
-					assert.Check(t, r.Server.Release == "v1", "the session must stay on v1, but moved to %s", r.Server.Release)
-					return streamAnswer(firstEvent, io.EOF)(ctx, r)
+				func(ctx context.Context, sent attempt) (*answer, error) {
+					assert.Check(t, sent.Server.Release == "v1", "the session must stay on v1, but moved to %s", sent.Server.Release)
+					return streamAnswer(firstEvent, io.EOF)(ctx, sent)
 				},
 			}},
 			Snapshot: func() relay.State { return s }, Now: time.Now, Recorder: new(recorder), SessionLifetime: lifetime,
--- a/io/carry/throttle.go
+++ b/io/carry/throttle.go
@@ -9,5 +9,5 @@
 		return
 	}
 	inTime := responseStarted && h.elapsed() <= h.admitted.Route.Objective
-	h.carrier.throttles.Cell(h.service).Update(func(t relay.Throttle) relay.Throttle { return t.WithAnswer(inTime) })
+	h.dispatcher.throttles.Cell(h.service).Update(func(t relay.Throttle) relay.Throttle { return t.WithAnswer(inTime) })
 }
--- a/io/carry/watchdog.go
+++ b/io/carry/watchdog.go
@@ -25,9 +25,9 @@
 }
 
 // startWatchdog starts a watchdog for the attempt.
-func (a *attempt[H]) startWatchdog(ctx context.Context, cancel context.CancelCauseFunc) *watchdog {
+func (a *attemptHandler[H]) startWatchdog(ctx context.Context, cancel context.CancelCauseFunc) *watchdog {
 	w := &watchdog{
-		now: a.carrier.config.Now, lastActivity: a.started, responseStarted: a.responseStarted,
+		now: a.dispatcher.config.Now, lastActivity: a.started, responseStarted: a.responseStarted,
 		cancelAttempt: func() { cancel(errSilenceTimeout) },
 	}
 	w.check = func(responseStarted bool, silent time.Duration) (time.Duration, bool) {
@@ -42,17 +42,17 @@
 
 // checkSilence reports whether to cancel the attempt after it was silent for the time, or else returns the
 // time until the next check. A true result has been charged to the retry budget.
-func (a *attempt[H]) checkSilence(ctx context.Context, responseStarted bool, silent time.Duration) (time.Duration, bool) {
+func (a *attemptHandler[H]) checkSilence(ctx context.Context, responseStarted bool, silent time.Duration) (time.Duration, bool) {
 	left := a.timeLeft(ctx)
 	if !query.MayRetry(a.admitted.Route, query.EndedSlow, a.attempts.With(query.EndedSlow), left) {
 		return left + time.Second, false
 	}
-	now := a.carrier.config.Now()
+	now := a.dispatcher.config.Now()
 	remaining := query.SilenceTimeout(a.admitted.Route, responseStarted, a.load.isOnlyAttempt(), a.load.silence(now), silent)
 	if remaining > 0 {
 		return remaining, false
 	}
-	if !a.carrier.spendBudget(a.service, useRetry) {
+	if !a.dispatcher.spendBudget(a.service, useRetry) {
 		return noBudgetPause, false
 	}
 	return 0, true
