--- a/io/feeds/doc.go
+++ b/io/feeds/doc.go
@@ -1,8 +1,8 @@
 // Package feeds synchronizes the control state with the platform's store, and keeps this instance
 // registered there.
 //
-// A Follower applies the store's changes to the Control loop. In each failure domain only a few
-// instances, its readers, read the store themselves; the others get the changes from them through
-// Peers. While the store is unreachable, every instance pulls changes from other instances. Offer
-// serves such calls, and Net makes them. A Registry holds the lease on this instance's entry.
+// A Follower applies the store's changes to the state of the Control loop. In each failure domain only
+// a few instances, its readers, read the store themselves; the others get the changes from them through
+// Peers. While the store is unreachable, every instance pulls changes from other instances. PeerClient
+// makes such calls, and RegisterMethods serves them. A Registry keeps this instance's entry and its lease.
 package feeds
--- a/io/feeds/follow.go
+++ b/io/feeds/follow.go
@@ -45,8 +45,8 @@
 	Control Control
 	// Seeds returns the addresses of other instances from the settings; they may be stale.
 	Seeds func() []string
-	// Grace is how long after an outage of the store a server is kept whose entry the store has lost,
-	// since a live server writes its entry again.
+	// Grace is how long after an outage of the store the state keeps a server whose entry the store has
+	// lost, since a live server writes its entry again.
 	Grace time.Duration
 	Now   func() time.Time
 }
@@ -54,7 +54,8 @@
 // Follower keeps the control state up to date with the store.
 type Follower struct {
 	config Config
-	// suspectedUntil holds readers that failed, and until when they are not asked; only Run uses it.
+	// suspectedUntil holds the readers that failed, each with the time until which it is not asked; only
+	// Run uses it.
 	suspectedUntil map[relay.MemberName]time.Time
 	// storeConfirmed is set while the store answered this instance's last call. Until then calls don't
 	// wait for changes, because a lost call that waits would be noticed too late. Only Run uses it.
@@ -71,7 +72,7 @@
 	return &Follower{config: c, suspectedUntil: make(map[relay.MemberName]time.Time)}, nil
 }
 
-// Run follows the store, directly or through its readers, until the context ends.
+// Run follows the store, directly or through readers, until the context ends.
 func (f *Follower) Run(ctx context.Context) error {
 	pause := minStoreRetryPause
 	for {
@@ -134,8 +135,8 @@
 	return f.applyFeed(ctx, feed, "store", true)
 }
 
-// readFromPeer applies the changes that another instance has read. One that fails, or can't reach the
-// store, is suspected for a while; one that has too many changes to send is bypassed this time.
+// readFromPeer applies the changes that another instance has read. An instance that fails, or can't reach
+// the store, is suspected for a while; if it has too many changes to send, they are read from the store.
 func (f *Follower) readFromPeer(ctx context.Context, s relay.State, peer relay.Member) error {
 	limited, cancel := context.WithTimeout(ctx, peerLongPoll+peerTimeout)
 	defer cancel()
--- a/io/feeds/harness_test.go
+++ b/io/feeds/harness_test.go
@@ -199,7 +199,7 @@
 	f.mu.Lock()
 	f.instances[self.Address] = i
 	f.mu.Unlock()
-	follow, err := feeds.New(feeds.Config{
+	follower, err := feeds.New(feeds.Config{
 		Seeds: func() []string { return nil }, Store: s, Peers: f, Control: l, Grace: graceTime, Now: time.Now,
 	})
 	assert.NilError(f.t, err)
@@ -209,7 +209,7 @@
 			continue
 		}
 	}()
-	for _, run := range []func(context.Context) error{follow.Run, follow.RunPeers, follow.Tick} {
+	for _, run := range []func(context.Context) error{follower.Run, follower.RunPeers, follower.Tick} {
 		go func() { assert.Check(f.t, run(ctx)) }()
 	}
 	return i
--- a/io/feeds/peers.go
+++ b/io/feeds/peers.go
@@ -92,8 +92,8 @@
 }
 
 // Since requests the changes after a revision from the instance at the address.
-func (n PeerClient) Since(ctx context.Context, address string, request Ask) (relay.Feed, error) {
-	feed, err := sinceMethod.Call(ctx, n.Client, instanceAt(address), request)
+func (c PeerClient) Since(ctx context.Context, address string, request Ask) (relay.Feed, error) {
+	feed, err := sinceMethod.Call(ctx, c.Client, instanceAt(address), request)
 	if err == nil && feed.Revision == 0 {
 		return relay.Feed{}, errNoState
 	}
@@ -101,13 +101,13 @@
 }
 
 // Tallies requests the tallies of the instance at the address.
-func (n PeerClient) Tallies(ctx context.Context, address string) ([]relay.Tally, error) {
-	return tallyMethod.Call(ctx, n.Client, instanceAt(address), tallyArgs{})
+func (c PeerClient) Tallies(ctx context.Context, address string) ([]relay.Tally, error) {
+	return tallyMethod.Call(ctx, c.Client, instanceAt(address), tallyArgs{})
 }
 
 // OrderAges requests the ages of the roll-out orders from the instance at the address.
-func (n PeerClient) OrderAges(ctx context.Context, address string) ([]relay.OrderAge, error) {
-	return orderMethod.Call(ctx, n.Client, instanceAt(address), orderArgs{})
+func (c PeerClient) OrderAges(ctx context.Context, address string) ([]relay.OrderAge, error) {
+	return orderMethod.Call(ctx, c.Client, instanceAt(address), orderArgs{})
 }
 
 var errNoState = errors.New("instance has no control state yet")
--- a/io/feeds/ports.go
+++ b/io/feeds/ports.go
@@ -26,15 +26,15 @@
 	// Snapshot reads a full snapshot of the store.
 	Snapshot(ctx context.Context) (relay.Feed, error)
 	// Changes returns the changes after the revision, and waits up to the time for the first of them; the
-	// error may wrap ErrForgotten.
+	// error wraps ErrHistoryDropped when the store no longer has them.
 	Changes(ctx context.Context, after int64, wait time.Duration) (relay.Feed, error)
 }
 
-// Leaser holds leases and the instance's entry, which is removed with its lease.
+// Leaser manages leases, and writes the instance's entry, which is removed with its lease.
 type Leaser interface {
 	// Acquire acquires a lease with the lifetime, and returns its ID.
 	Acquire(ctx context.Context, lifetime time.Duration) (int64, error)
-	// Renew renews the lease; the error wraps ErrLapsed when it has expired.
+	// Renew renews the lease; the error wraps ErrLeaseExpired when it has expired.
 	Renew(ctx context.Context, lease int64) error
 	// Release ends the lease before it expires.
 	Release(ctx context.Context, lease int64) error
@@ -55,7 +55,7 @@
 // Peers requests changes from other instances.
 type Peers interface {
 	// Since requests the changes after a revision from the instance at the address.
-	Since(ctx context.Context, address string, a Ask) (relay.Feed, error)
+	Since(ctx context.Context, address string, request Ask) (relay.Feed, error)
 }
 
 // Control is the control loop that owns the state.
