--- a/io/rolls/ages.go
+++ b/io/rolls/ages.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// retryPause is the pause after an instance that did not answer, and maxAsked bounds how many of the
-	// instances are asked.
-	retryPause = 100 * time.Millisecond
-	maxAsked   = 8
+	// askPause is the pause after an instance that did not answer, before the next one is asked.
+	askPause = 100 * time.Millisecond
+	// maxAsked bounds how many instances are asked for the age of an order.
+	maxAsked = 8
 )
 
 // AgeSource requests the ages of roll-out orders from other instances.
 type AgeSource interface {
-	// OrderAges requests them from the instance at the address.
+	// OrderAges requests the ages from the instance at the address.
 	OrderAges(ctx context.Context, address string) ([]relay.OrderAge, error)
 }
 
@@ -54,14 +54,15 @@
 // newestOrder returns the revision of the newest order.
 func newestOrder(s relay.State) int64 {
 	newest := int64(0)
-	for _, p := range s.RollOuts() {
-		newest = max(newest, p.Order.Revision)
+	for _, rollOut := range s.RollOuts() {
+		newest = max(newest, rollOut.Order.Revision)
 	}
 	return newest
 }
 
-// askInstances asks instances in random order until no order of unknown age is left. After all instances
-// were lost none of them knows the age, which is then estimated by the start of the release's servers.
+// askInstances asks instances in random order until no order of unknown age is left. If all instances
+// were restarted, none of them knows the age, which is then estimated by the start of the release's
+// servers.
 func (l AgeLearner) askInstances(ctx context.Context) error {
 	members := l.Control.Snapshot().Members()
 	for n, i := range rand.Perm(len(members)) {
@@ -75,7 +76,7 @@
 		ages, err := l.orderAges(ctx, members[i])
 		if err != nil {
 			// The instance may have departed; the next one is asked.
-			clock.Passed(ctx, retryPause)
+			clock.Passed(ctx, askPause)
 			continue
 		}
 		if err := l.Control.Do(ctx, cmds.ApplyOrderAges{OrderAges: ages, From: string(members[i].Name)}); err != nil && ctx.Err() == nil {
--- a/io/rolls/ages_test.go
+++ b/io/rolls/ages_test.go
@@ -32,9 +32,9 @@
 	return ages, nil
 }
 
-// learnAge starts an AgeLearner during a roll-out, and returns the plan two seconds later and the time of
-// the start.
-func learnAge(t *testing.T, peers *fakePeers) (plan relay.RollOutState, started time.Time) {
+// learnAge starts an AgeLearner during a roll-out, and returns the roll-out's state two seconds later and
+// the time of the start.
+func learnAge(t *testing.T, peers *fakePeers) (rollOut relay.RollOutState, started time.Time) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -60,11 +60,11 @@
 		started = time.Now()
 		go func() { assert.Check(t, rolls.AgeLearner{Peers: peers, Control: control}.Run(ctx)) }()
 		time.Sleep(2 * time.Second)
-		plan, _ = control.Snapshot().RollOut("app")
+		rollOut, _ = control.Snapshot().RollOut("app")
 		cancel()
 		synctest.Wait()
 	})
-	return plan, started
+	return rollOut, started
 }
 
 func TestRestartedInstanceAsksUntilOneKnowsTheOrderAge(t *testing.T) {
@@ -72,15 +72,15 @@
 		"new": nil,
 		"old": {{Service: "app", Revision: 1, Age: 9 * time.Second}},
 	}}
-	p, started := learnAge(t, peers)
-	assert.Assert(t, p.AgeKnown)
-	age := started.Sub(p.OrderedAt)
+	rollOut, started := learnAge(t, peers)
+	assert.Assert(t, rollOut.AgeKnown)
+	age := started.Sub(rollOut.OrderedAt)
 	assert.Assert(t, age > 8*time.Second && age <= 9*time.Second, "age of the order is %v", age)
 }
 
 func TestEachInstanceIsAskedOnceWhenNoneKnowsTheOrderAge(t *testing.T) {
 	peers := &fakePeers{}
-	p, _ := learnAge(t, peers)
-	assert.Assert(t, !p.AgeKnown)
+	rollOut, _ := learnAge(t, peers)
+	assert.Assert(t, !rollOut.AgeKnown)
 	assert.Equal(t, peers.asked.Load(), int64(3))
 }
--- a/io/rolls/runner.go
+++ b/io/rolls/runner.go
@@ -20,10 +20,11 @@
 	dutyLeaseTTL      = 2 * time.Second
 	dutyRenewInterval = 700 * time.Millisecond
 	// judgeInterval is the time between two judgements of a roll-out.
-	judgeInterval      = 400 * time.Millisecond
+	judgeInterval = 400 * time.Millisecond
+	// askTimeout bounds the time in which other instances must answer.
 	askTimeout         = 400 * time.Millisecond
 	maxConcurrentCalls = 16
-	// pauseBetweenHolds is the pause before the duty is tried or taken again.
+	// pauseBetweenHolds is the pause after an attempt to hold the duty, whether it succeeded or not.
 	pauseBetweenHolds = 300 * time.Millisecond
 )
 
@@ -38,8 +39,8 @@
 	Write(ctx context.Context, p relay.Progress, duty, revision int64) error
 }
 
-// Peers requests tallies from other instances.
-type Peers interface {
+// TallySource requests tallies from other instances.
+type TallySource interface {
 	// Tallies requests the tallies of the instance at the address.
 	Tallies(ctx context.Context, address string) ([]relay.Tally, error)
 }
@@ -47,7 +48,7 @@
 // Runner takes the duty of an open roll-out and judges the roll-out while it holds the duty.
 type Runner struct {
 	Store   Store
-	Peers   Peers
+	Peers   TallySource
 	Control feeds.Control
 	// OwnTallies returns this instance's tallies.
 	OwnTallies func() []relay.Tally
@@ -62,9 +63,9 @@
 func (r Runner) Run(ctx context.Context) error {
 	for {
 		s, changed := r.Control.Watch()
-		plan, open := findOpenPlan(s)
+		rollOut, open := findOpenRollOut(s)
 		if open {
-			_, open = query.Vacant(s, plan.Order.Service)
+			_, open = query.Vacant(s, rollOut.Order.Service)
 		}
 		if !open || !s.StoreUnreachableSince.IsZero() {
 			select {
@@ -74,11 +75,11 @@
 			}
 			continue
 		}
-		turn, _ := query.Vacant(s, plan.Order.Service)
-		if r.waitTurn(ctx, turn, plan.Order.Service) {
+		turn, _ := query.Vacant(s, rollOut.Order.Service)
+		if r.waitTurn(ctx, turn, rollOut.Order.Service) {
 			continue
 		}
-		err := r.holdDuty(ctx, plan)
+		err := r.holdDuty(ctx, rollOut)
 		if err != nil && ctx.Err() == nil && !errors.Is(err, feeds.ErrConflict) {
 			r.OnError(err)
 		}
@@ -88,30 +89,30 @@
 	}
 }
 
-// waitTurn waits for this instance's turn to take the duty. It reports whether there is nothing left to
-// take: another instance took the duty meanwhile, the roll-out ended, or the context did.
+// waitTurn waits until it is this instance's turn to take the duty. It reports whether there is nothing
+// left to take: another instance took the duty meanwhile, the roll-out ended, or the context did.
 func (r Runner) waitTurn(ctx context.Context, turn time.Duration, service relay.ServiceName) bool {
 	if !clock.Passed(ctx, turn) {
 		return true
 	}
 	s := r.Control.Snapshot()
-	plan, ok := s.RollOut(service)
+	rollOut, ok := s.RollOut(service)
 	_, vacant := query.Vacant(s, service)
-	return !vacant || !ok || plan.Phase().IsFinal()
+	return !vacant || !ok || rollOut.Phase().IsFinal()
 }
 
-// findOpenPlan returns a roll-out that has not ended.
-func findOpenPlan(s relay.State) (relay.RollOutState, bool) {
-	for _, p := range s.RollOuts() {
-		if p.Order.Target != "" && !p.Phase().IsFinal() {
-			return p, true
+// findOpenRollOut returns a roll-out that has not ended.
+func findOpenRollOut(s relay.State) (relay.RollOutState, bool) {
+	for _, rollOut := range s.RollOuts() {
+		if rollOut.Order.Target != "" && !rollOut.Phase().IsFinal() {
+			return rollOut, true
 		}
 	}
 	return relay.RollOutState{}, false
 }
 
 // holdDuty takes the duty and judges the roll-out until it has ended or the duty is lost.
-func (r Runner) holdDuty(ctx context.Context, plan relay.RollOutState) error {
+func (r Runner) holdDuty(ctx context.Context, rollOut relay.RollOutState) error {
 	lease, err := r.Store.Acquire(ctx, dutyLeaseTTL)
 	if err != nil {
 		return fmt.Errorf("acquire lease of the duty: %w", err)
@@ -121,7 +122,7 @@
 			r.OnError(fmt.Errorf("release lease of the duty: %w", err))
 		}
 	}()
-	service := plan.Order.Service
+	service := rollOut.Order.Service
 	token, err := r.Store.TakeDuty(ctx, relay.Duty{Service: service, Holder: r.Control.Snapshot().Self.Name}, lease)
 	if err != nil {
 		return fmt.Errorf("take the duty: %w", err)
@@ -149,16 +150,16 @@
 func (r Runner) judge(ctx context.Context, service relay.ServiceName, token int64) (bool, error) {
 	tallies := r.collectTallies(ctx)
 	s := r.Control.Snapshot()
-	plan, ok := s.RollOut(service)
-	if !ok || plan.Phase().IsFinal() {
+	rollOut, ok := s.RollOut(service)
+	if !ok || rollOut.Phase().IsFinal() {
 		return true, nil
 	}
-	phase, detail := query.Judge(s, plan, tallies, r.Now())
-	if phase == plan.Phase() {
+	phase, detail := query.Judge(s, rollOut, tallies, r.Now())
+	if phase == rollOut.Phase() {
 		return false, nil
 	}
-	progress := relay.Progress{Service: service, Target: plan.Order.Target, Phase: phase}
-	if err := r.Store.Write(ctx, progress, token, plan.ProgressRevision); err != nil {
+	progress := relay.Progress{Service: service, Target: rollOut.Order.Target, Phase: phase}
+	if err := r.Store.Write(ctx, progress, token, rollOut.ProgressRevision); err != nil {
 		return false, fmt.Errorf("record progress of the roll-out of %s: %w", service, err)
 	}
 	r.OnPhaseChange(progress, detail)
