--- a/io/conns/conns.go
+++ b/io/conns/conns.go
@@ -81,8 +81,8 @@
 	return &Conn{Conn: raw, Reader: bufio.NewReaderSize(raw, p.config.ReadBufferBytes), key: key}, nil
 }
 
-// Put keeps the connection idle for the lifetime, for the next request. It closes the connection when the
-// lifetime is not positive, the limit on idle connections is reached, or the pool is closed.
+// Put keeps the connection idle for the next request, for at most the lifetime. It closes the connection
+// when the lifetime is not positive, the limit on idle connections is reached, or the pool is closed.
 func (p *Pool) Put(c *Conn, lifetime time.Duration) {
 	c.Reused = true
 	c.expires = p.config.Now().Add(lifetime)
@@ -100,7 +100,7 @@
 // Retain closes the idle connections of servers that are no longer wanted, and the expired ones.
 func (p *Pool) Retain(isWanted func(Key) bool) {
 	now := p.config.Now()
-	var expired []*Conn
+	var discarded []*Conn
 	p.mu.Lock()
 	for key, list := range p.idle {
 		kept := list[:0]
@@ -109,7 +109,7 @@
 				kept = append(kept, c)
 				continue
 			}
-			expired = append(expired, c)
+			discarded = append(discarded, c)
 		}
 		if len(kept) == 0 {
 			delete(p.idle, key)
@@ -118,7 +118,7 @@
 		p.idle[key] = kept
 	}
 	p.mu.Unlock()
-	for _, c := range expired {
+	for _, c := range discarded {
 		_ = c.Close()
 	}
 }
@@ -131,8 +131,8 @@
 	p.Retain(func(Key) bool { return false })
 }
 
-// popIdle removes and returns the most recently used idle connection, since the others are closer to
-// their expiry, or nil when there is none.
+// popIdle removes and returns an idle connection, or nil when there is none. It takes the most recently
+// used one, since the others are closer to their expiry.
 func (p *Pool) popIdle(key Key) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/io/conns/conns_test.go
+++ b/io/conns/conns_test.go
@@ -65,7 +65,7 @@
 	assert.Assert(t, !h.get(t, false).Reused)
 }
 
-func TestFreshConnectionIsNotReused(t *testing.T) {
+func TestForcedNewConnectionIsNotReused(t *testing.T) {
 	h := newHarness(t)
 	h.pool.Put(h.get(t, false), time.Second)
 	assert.Assert(t, !h.get(t, true).Reused)
