--- a/io/event/split.go
+++ b/io/event/split.go
@@ -5,18 +5,19 @@
 	"errors"
 )
 
-// ErrTooLong is returned for an event that exceeds the splitter's limit.
+// ErrTooLong is returned when the incomplete event at the end exceeds the splitter's limit.
 var ErrTooLong = errors.New("event exceeds the size limit")
 
 // Splitter buffers the bytes of a stream and returns complete events; create it with NewSplitter.
 type Splitter struct {
+	// maxBytes bounds the length of partial.
 	maxBytes int
 	// partial holds the bytes after the last complete event.
 	partial     []byte
 	lastEventID string
 }
 
-// NewSplitter returns a splitter for events of at most maxBytes.
+// NewSplitter returns a splitter that buffers at most maxBytes of an incomplete event.
 func NewSplitter(maxBytes int) *Splitter {
 	return &Splitter{maxBytes: maxBytes}
 }
