--- a/io/carry/budget.go
+++ b/io/carry/budget.go
@@ -7,13 +7,14 @@
 	"endivehitch/core/relay"
 )
 
-// RetryLimits limits the attempts of the whole fleet beyond each request's first.
+// RetryLimits limits, separately for each service, the attempts of the whole fleet beyond each request's
+// first.
 type RetryLimits struct {
 	// Window is the length of the sliding window in which the limits apply.
 	Window time.Duration
 	// Ratio is how many further attempts each request allows.
 	Ratio float64
-	// Allowance is how many further attempts the whole fleet may make on top.
+	// Allowance is how many further attempts the whole fleet may make in addition.
 	Allowance float64
 }
 
@@ -36,8 +37,8 @@
 	stepUpShare = 0.65
 )
 
-// budgetLimits returns one instance's limits: the full ratio, since it applies to the instance's own
-// requests, and an equal part of the fleet's allowance.
+// budgetLimits returns this instance's part of the limits, reduced to fleetLimitShare: the ratio applies
+// to the instance's own requests, and the fleet's allowance is divided by the number of instances.
 func (d *Dispatcher[H]) budgetLimits() policy.QuotaConfig {
 	instances := max(1, len(d.config.Snapshot().Members()))
 	limits := d.config.RetryLimits()
--- a/io/carry/carry.go
+++ b/io/carry/carry.go
@@ -50,7 +50,8 @@
 	Reason string
 	// Status is the status of the server's answer; zero means that there is none.
 	Status int
-	// Confidence is the model's confidence in its answer, where it stated one.
+	// Confidence is the model's confidence in its answer; negative means not stated, and it is zero until
+	// there is an answer.
 	Confidence int
 	// Revision is the store revision of the control state that the decision is based on.
 	Revision int64
@@ -75,7 +76,7 @@
 	Snapshot func() relay.State
 	Now      func() time.Time
 	Recorder Recorder
-	// RetryLimits returns the limits on retries and step-ups.
+	// RetryLimits returns the limits on retries and step-ups that are in force.
 	RetryLimits func() RetryLimits
 	// SessionLifetime is the idle time after which a session expires.
 	SessionLifetime time.Duration
--- a/io/carry/handler.go
+++ b/io/carry/handler.go
@@ -25,7 +25,7 @@
 
 	service  relay.ServiceName
 	attempts query.RequestAttempts
-	// tried holds the servers that were already asked, which are not selected again.
+	// tried holds the servers that are not selected again, since they were asked already.
 	tried []relay.ServerID
 	// step is the index of the current model in the route's models, which start with the smallest.
 	step int
--- a/io/carry/tally.go
+++ b/io/carry/tally.go
@@ -34,7 +34,8 @@
 	usualTimes map[usualTimeKey]policy.DecayingMean
 }
 
-// add counts an attempt. An attempt that failed or was slow does not change the usual time.
+// add counts an attempt. An attempt counts as slow only once the usual time rests on enough answers. One
+// that failed or was slow does not change the usual time.
 func (t *tallies) add(server relay.Server, kind usualTimeKey, failed bool, took time.Duration, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/io/feeds/follow.go
+++ b/io/feeds/follow.go
@@ -16,7 +16,7 @@
 
 const (
 	// storeLongPoll is how long the store may hold a call that waits for changes. A store that stops
-	// answering is noticed only after that time.
+	// answering is detected only after that time.
 	storeLongPoll = 2 * time.Second
 	// storeCoalescePause is the pause between calls to the store, so that changes in quick succession
 	// are read in one call.
@@ -57,8 +57,9 @@
 	// suspectedUntil holds the readers that failed, each with the time until which it is not asked; only
 	// Run uses it.
 	suspectedUntil map[relay.MemberName]time.Time
-	// storeConfirmed is set while the store answered this instance's last call. Until then calls don't
-	// wait for changes, because a lost call that waits would be noticed too late. Only Run uses it.
+	// storeConfirmed is set if the last call went to the store and was answered. Otherwise the next call
+	// to the store doesn't wait for changes, because the loss of a waiting call would be detected too late.
+	// Only Run uses it.
 	storeConfirmed bool
 	// peerCalls counts the calls to readers, which are asked in turn; only Run uses it.
 	peerCalls int
--- a/io/rolls/ages.go
+++ b/io/rolls/ages.go
@@ -25,7 +25,8 @@
 	OrderAges(ctx context.Context, address string) ([]relay.OrderAge, error)
 }
 
-// AgeLearner finds out the age of roll-out orders that were given before this instance started.
+// AgeLearner finds out the age of roll-out orders that were given while this instance was not running or
+// not connected to the store.
 type AgeLearner struct {
 	Peers   AgeSource
 	Control feeds.Control
--- a/io/rolls/doc.go
+++ b/io/rolls/doc.go
@@ -4,6 +4,6 @@
 //
 // A Runner on each instance tries to take the duty of an open roll-out. The one that holds it collects
 // the tallies of all instances through its TallySource, and records in the Store whether the roll-out is
-// under way, completed or reverted. An AgeLearner asks other instances, through its AgeSource, for the age
-// of roll-out orders that were given before this instance started.
+// under way, completed or reverted. An AgeLearner asks other instances, through its AgeSource, for the ages
+// of roll-out orders that this instance can only estimate.
 package rolls
--- a/io/rolls/runner.go
+++ b/io/rolls/runner.go
@@ -101,7 +101,7 @@
 	return !vacant || !ok || rollOut.Phase().IsFinal()
 }
 
-// findOpenRollOut returns a roll-out that has not ended.
+// findOpenRollOut returns a roll-out that has not ended; with several open ones, it returns any of them.
 func findOpenRollOut(s relay.State) (relay.RollOutState, bool) {
 	for _, rollOut := range s.RollOuts() {
 		if rollOut.Order.Target != "" && !rollOut.Phase().IsFinal() {
