--- a/io/carry/budget.go
+++ b/io/carry/budget.go
@@ -7,13 +7,14 @@
 	"endivehitch/core/relay"
 )
 
-// RetryLimits limits the attempts of the whole fleet beyond each request's first.
+// RetryLimits limits, separately for each service, the attempts of the whole fleet beyond each request's
+// first.
 type RetryLimits struct {
 	// Window is the length of the sliding window in which the limits apply.
 	Window time.Duration
 	// Ratio is how many further attempts each request allows.
 	Ratio float64
-	// Allowance is how many further attempts the whole fleet may make on top.
+	// Allowance is how many further attempts the whole fleet may make in addition.
 	Allowance float64
 }
 
@@ -36,11 +37,11 @@
 	stepUpShare = 0.65
 )
 
-// budgetLimits returns one instance's limits: the full ratio, since it applies to the instance's own
-// requests, and an equal part of the fleet's allowance.
-func (c *Dispatcher[H]) budgetLimits() policy.QuotaConfig {
-	instances := max(1, len(c.config.Snapshot().Members()))
-	limits := c.config.RetryLimits()
+// budgetLimits returns this instance's part of the limits, reduced to fleetLimitShare: the ratio applies
+// to the instance's own requests, and the fleet's allowance is divided by the number of instances.
+func (d *Dispatcher[H]) budgetLimits() policy.QuotaConfig {
+	instances := max(1, len(d.config.Snapshot().Members()))
+	limits := d.config.RetryLimits()
 	return policy.QuotaConfig{
 		Window: limits.Window, Ratio: limits.Ratio * fleetLimitShare,
 		Allowance: limits.Allowance * fleetLimitShare / float64(instances), Optional: stepUpShare,
@@ -48,18 +49,18 @@
 }
 
 // spendBudget reports whether the service's budget allows a further attempt, and if so counts it.
-func (c *Dispatcher[H]) spendBudget(service relay.ServiceName, use budgetUse) bool {
-	bounds, now := c.budgetLimits(), c.config.Now()
-	return c.retryBudgets.Cell(service).TryUpdate(func(q policy.Quota) (policy.Quota, bool) {
+func (d *Dispatcher[H]) spendBudget(service relay.ServiceName, use budgetUse) bool {
+	limits, now := d.budgetLimits(), d.config.Now()
+	return d.retryBudgets.Cell(service).TryUpdate(func(q policy.Quota) (policy.Quota, bool) {
 		if use == useStepUp {
-			return q.WithOptional(bounds, now)
+			return q.WithOptional(limits, now)
 		}
-		return q.WithExtra(bounds, now)
+		return q.WithExtra(limits, now)
 	})
 }
 
 // countFirstAttempt counts the first attempt of a request, which adds Ratio to the budget.
-func (c *Dispatcher[H]) countFirstAttempt(service relay.ServiceName) {
-	bounds, now := c.budgetLimits(), c.config.Now()
-	c.retryBudgets.Cell(service).Update(func(q policy.Quota) policy.Quota { return q.WithFirst(bounds, now) })
+func (d *Dispatcher[H]) countFirstAttempt(service relay.ServiceName) {
+	limits, now := d.budgetLimits(), d.config.Now()
+	d.retryBudgets.Cell(service).Update(func(q policy.Quota) policy.Quota { return q.WithFirst(limits, now) })
 }
