--- a/core/cmds/exposure_measure_test.go
+++ b/core/cmds/exposure_measure_test.go
@@ -66,7 +66,7 @@
 // rollOutTests returns the tests of a roll-out as the commands set them up.
 func (c scenario) rollOutTests() detector {
 	r := document().RollOuts[0]
-	tests := initialState().RollOutTests(r).Tests
+	tests := initialState().RollOutTests(r).Sequential
 	return func(bad bool) bool {
 		failed := 0
 		if bad {
--- a/core/cmds/rollout_start.go
+++ b/core/cmds/rollout_start.go
@@ -20,7 +20,7 @@
 		return s, logRefusal(c.Name, "no such roll-out")
 	}
 	for _, k := range []value.VersionKey{r.FromKey(), r.ToKey()} {
-		if _, known := s.Version(k); !known || s.Withdrawn(k) {
+		if _, known := s.Version(k); !known || s.IsWithdrawn(k) {
 			return s, logRefusal(c.Name, "version "+string(k)+" is not in service")
 		}
 	}
--- a/core/cmds/rollout_test.go
+++ b/core/cmds/rollout_test.go
@@ -103,10 +103,10 @@
 	s, _ = applyAll(s, testTime, ratings(1, 0), cmds.AdvanceRollOut{Name: rollOut}, cmds.AdvanceRollOut{Name: rollOut})
 	half := newVersionSessions(t, s, "gates", "")
 	assert.Assert(t, half > 420 && half < 580, "%d", half)
-	assert.Equal(t, len(query.Due(s, testTime)), 0)
+	assert.Equal(t, len(query.DueSteps(s, testTime)), 0)
 
 	later := testTime.Add(time.Hour)
-	assert.DeepEqual(t, query.Due(s, later), []query.DueStep{{RollOut: rollOut, Stage: 1}})
+	assert.DeepEqual(t, query.DueSteps(s, later), []query.DueStep{{RollOut: rollOut, Stage: 1}})
 	s, _ = applyAll(s, later, cmds.AdvanceRollOut{Name: rollOut, Stage: 1})
 	assert.Equal(t, phaseOf(s), value.PhaseDone)
 	assert.Equal(t, newVersionSessions(t, s, "gates", ""), 1000)
@@ -161,7 +161,7 @@
 	d.Models[0].Versions[1] = d.Models[0].Versions[1].WithWithdrawn(true)
 	s = install(s, d, 2)
 	assert.Equal(t, newVersionSessions(t, s, "gates", newKey), 0)
-	due := query.Due(s, testTime)
+	due := query.DueSteps(s, testTime)
 	assert.Equal(t, due[0].Withdraw, newKey)
 	s, _ = applyAll(s, testTime, cmds.WithdrawVersion{Version: due[0].Withdraw, Reason: due[0].Reason})
 	assert.Equal(t, phaseOf(s), value.PhaseWithdrawn)
@@ -174,8 +174,8 @@
 	other, _ := applyAll(initialState(), testTime, cmds.InstallProgress{Progress: p})
 	assert.Equal(t, newVersionSessions(t, other, "gates", ""), newVersionSessions(t, s, "gates", ""))
 	resumed, _ := applyAll(other, testTime, ratings(5, 0))
-	assert.Equal(t, query.Due(resumed, testTime)[0].Withdraw, value.VersionKey(""))
-	due := query.Due(other, testTime.Add(7*time.Hour))
+	assert.Equal(t, query.DueSteps(resumed, testTime)[0].Withdraw, value.VersionKey(""))
+	due := query.DueSteps(other, testTime.Add(7*time.Hour))
 	assert.Equal(t, due[0].Reason, value.ReasonOverdue)
 
 	d := document()
@@ -203,6 +203,6 @@
 		s, _ = applyAll(s, start, cmds.StartRollOut{Name: rollOut}, ratings(10, 40))
 		owner, ok := query.Owner(s, query.Slot(string(newKey)))
 		assert.Assert(t, ok)
-		assert.Equal(t, s.Withdrawn(newKey), owner.ID == self)
+		assert.Equal(t, s.IsWithdrawn(newKey), owner.ID == self)
 	}
 }
--- a/core/cmds/tick.go
+++ b/core/cmds/tick.go
@@ -37,7 +37,7 @@
 
 // applyTimeouts removes the instance or moves it to the state that follows, if its time-out is over.
 func (c Tick) applyTimeouts(s state.State, i value.Instance, now time.Time) (state.State, []state.Effect) {
-	if c.Timing.IsForgettable(i, now) {
+	if c.Timing.IsRemovable(i, now) {
 		return s.WithoutInstance(i.ID), nil
 	}
 	next, ok := c.Timing.Expired(i, s.Instances().Len(), now)
--- a/core/fleet/lease.go
+++ b/core/fleet/lease.go
@@ -70,7 +70,7 @@
 // before it ends in the store. A renewal that is answered after the holder's term has ended does not make
 // the lease valid again.
 func (h HeldLease) WithRenewal(r LeaseRule, sentAt time.Time, granted time.Duration, now time.Time) HeldLease {
-	if !h.Valid(now) {
+	if !h.IsValid(now) {
 		return h
 	}
 	h.sentAt = sentAt
@@ -84,8 +84,8 @@
 	return h
 }
 
-// Valid reports whether the holder may act.
-func (h HeldLease) Valid(now time.Time) bool {
+// IsValid reports whether the holder may act.
+func (h HeldLease) IsValid(now time.Time) bool {
 	return h.Remaining(now) > 0
 }
 
--- a/core/fleet/lease_test.go
+++ b/core/fleet/lease_test.go
@@ -14,11 +14,11 @@
 	sent := time.Unix(1000, 0)
 	lease := fleet.NewHeldLease(rule, 5, sent)
 	end := sent.Add(rule.Length - rule.Margin)
-	assert.Assert(t, lease.Valid(end.Add(-1)))
-	assert.Assert(t, !lease.Valid(end))
+	assert.Assert(t, lease.IsValid(end.Add(-1)))
+	assert.Assert(t, !lease.IsValid(end))
 	assert.Assert(t, lease.CanSendOrder(rule, end.Add(-rule.MaxOrderTime-1)))
 	assert.Assert(t, !lease.CanSendOrder(rule, end.Add(-rule.MaxOrderTime)))
-	assert.Assert(t, !lease.WithEnd().Valid(sent))
+	assert.Assert(t, !lease.WithEnd().IsValid(sent))
 }
 
 func TestRenewalExtendsTheTermFromItsSendTimeUnlessLate(t *testing.T) {
@@ -29,5 +29,5 @@
 	renewed := lease.WithRenewal(rule, renewal, rule.Length, renewal.Add(time.Second))
 	assert.Equal(t, renewed.Remaining(renewal), rule.Length-rule.Margin)
 	late := lease.WithRenewal(rule, renewal, rule.Length, sent.Add(rule.Length))
-	assert.Assert(t, !late.Valid(renewal.Add(rule.Length-rule.Margin-1)))
+	assert.Assert(t, !late.IsValid(renewal.Add(rule.Length-rule.Margin-1)))
 }
--- a/core/fleet/member.go
+++ b/core/fleet/member.go
@@ -133,7 +133,7 @@
 	return instance.State, false
 }
 
-// IsForgettable reports whether the instance may be removed from the membership list.
-func (t Timing) IsForgettable(instance value.Instance, now time.Time) bool {
+// IsRemovable reports whether the instance may be removed from the membership list.
+func (t Timing) IsRemovable(instance value.Instance, now time.Time) bool {
 	return instance.State == value.InstanceGone && !instance.Listed && now.Sub(instance.Since) >= t.Retention
 }
--- a/core/policy/backoff.go
+++ b/core/policy/backoff.go
@@ -5,16 +5,16 @@
 // Backoff is an exponential backoff with jitter: each failure doubles the upper bound of the delay
 // before the next attempt, up to a limit.
 type Backoff struct {
-	// First is the upper bound of the first delay.
-	First time.Duration
-	// Limit caps the upper bound.
-	Limit    time.Duration
+	// InitialDelay is the upper bound of the first delay.
+	InitialDelay time.Duration
+	// MaxDelay caps the upper bound.
+	MaxDelay time.Duration
 	failures int
 }
 
 // WithFailure returns the backoff after one more failure.
 func (b Backoff) WithFailure() Backoff {
-	if b.ceiling() < b.Limit {
+	if b.ceiling() < b.MaxDelay {
 		b.failures++
 	}
 	return b
@@ -45,5 +45,5 @@
 }
 
 func (b Backoff) ceiling() time.Duration {
-	return min(b.First<<b.failures, b.Limit)
+	return min(b.InitialDelay<<b.failures, b.MaxDelay)
 }
--- a/core/policy/quantile.go
+++ b/core/policy/quantile.go
@@ -10,8 +10,8 @@
 
 // QuantileConfig sets which quantile is estimated, and how fast the estimate adapts.
 type QuantileConfig struct {
-	// Of is the share of samples below the quantile, from 0 to 1.
-	Of float64
+	// Level is the share of samples below the quantile, from 0 to 1.
+	Level float64
 	// Step is the relative change that one sample may cause, from 0 to 1.
 	Step float64
 	// MinSamples is how many samples are needed for an estimate.
@@ -25,9 +25,9 @@
 	case q.samples == 0:
 		q.estimate = x
 	case x > q.estimate:
-		q.estimate *= 1 + c.Step*c.Of
+		q.estimate *= 1 + c.Step*c.Level
 	default:
-		q.estimate *= 1 - c.Step*(1-c.Of)
+		q.estimate *= 1 - c.Step*(1-c.Level)
 	}
 	q.samples++
 	return q
--- a/core/query/audit.go
+++ b/core/query/audit.go
@@ -20,8 +20,8 @@
 	Unknown []value.RequestID
 }
 
-// Clean reports whether every answered request has exactly one bill and no other request has any.
-func (a Audit) Clean() bool {
+// IsClean reports whether every answered request has exactly one bill and no other request has any.
+func (a Audit) IsClean() bool {
 	return len(a.Missing) == 0 && len(a.Duplicated) == 0 && len(a.Unknown) == 0
 }
 
--- a/core/query/cascade.go
+++ b/core/query/cascade.go
@@ -23,7 +23,7 @@
 		if p.Reason != value.ReasonBestEffort && cost >= p.CostMicros {
 			continue
 		}
-		quality := state.CascadeLower(c.kind.Judge, first, second)
+		quality := state.CascadeLowerBound(c.kind.Judge, first, second)
 		if quality < c.kind.QualityTarget || c.cascadeLatency(cascade) > remaining {
 			continue
 		}
--- a/core/query/duration.go
+++ b/core/query/duration.go
@@ -36,7 +36,7 @@
 
 var (
 	historySmoothing     = policy.DecayingMeanConfig{HalfLife: time.Minute, MaxWeight: 32}
-	medianDurationConfig = policy.QuantileConfig{Of: 0.5, Step: 0.05, MinSamples: 20}
+	medianDurationConfig = policy.QuantileConfig{Level: 0.5, Step: 0.05, MinSamples: 20}
 )
 
 // FirstTokenSmoothing configures the average of a backend server's time to first token.
--- a/core/query/hedge.go
+++ b/core/query/hedge.go
@@ -24,7 +24,7 @@
 )
 
 // firstTokenQuantile configures the estimate of the time to first token for hedging.
-var firstTokenQuantile = policy.QuantileConfig{Of: hedgeQuantile, Step: quantileStep, MinSamples: quantileMinSamples}
+var firstTokenQuantile = policy.QuantileConfig{Level: hedgeQuantile, Step: quantileStep, MinSamples: quantileMinSamples}
 
 // HedgeDelay returns how long to wait for the first token before a hedged attempt starts; zero
 // means that the request is not hedged.
--- a/core/query/limit.go
+++ b/core/query/limit.go
@@ -15,13 +15,13 @@
 	shortReserve = 0.25
 )
 
-// LimiterFor returns how the instance limits its concurrent requests at each server of the pool, and
+// LimiterConfigFor returns how the instance limits its concurrent requests at each server of the pool, and
 // false if the pool sets no limit.
 //
 // The pool's limit applies to one server. Each live instance starts with an equal part of it and
 // adapts to the observed latency, so that an instance with more demand uses capacity that others
 // leave free.
-func LimiterFor(s state.State, p value.PoolName) (policy.LimiterConfig, bool) {
+func LimiterConfigFor(s state.State, p value.PoolName) (policy.LimiterConfig, bool) {
 	pool, ok := s.Pool(p)
 	if !ok || pool.MaxInFlight <= 0 {
 		return policy.LimiterConfig{}, false
@@ -43,7 +43,7 @@
 
 // HasCapacity reports whether the server has capacity for one more request of this instance.
 func HasCapacity(s state.State, p value.PoolName, l value.Load, long bool) bool {
-	c, bounded := LimiterFor(s, p)
+	c, bounded := LimiterConfigFor(s, p)
 	if !bounded {
 		return true
 	}
@@ -55,7 +55,7 @@
 	if l.InFlight >= limit {
 		return false
 	}
-	return !long || l.Long < maxLong(limit)
+	return !long || l.LongInFlight < maxLong(limit)
 }
 
 // maxLong returns how many long requests may run at once at a server with the given limit.
--- a/core/query/placement.go
+++ b/core/query/placement.go
@@ -110,7 +110,7 @@
 			continue
 		}
 		for _, k := range b.Versions {
-			if !p.state.Withdrawn(k) || p.isLastCarrierForSessions(k) {
+			if !p.state.IsWithdrawn(k) || p.isLastCarrierForSessions(k) {
 				continue
 			}
 			orders = append(orders, p.unload(b, k, ReasonWithdrawn))
@@ -175,7 +175,7 @@
 }
 
 func (p *planner) needOf(k value.VersionKey, v value.Version) (need, bool) {
-	if p.state.Withdrawn(k) {
+	if p.state.IsWithdrawn(k) {
 		return need{}, false
 	}
 	carriers := p.plannedCarriers(k)
--- a/core/query/plan.go
+++ b/core/query/plan.go
@@ -20,9 +20,9 @@
 	Quality float64
 }
 
-// Cascade reports whether the judge has to accept the first version's answer before the caller gets
+// IsCascade reports whether the judge has to accept the first version's answer before the caller gets
 // it.
-func (p Plan) Cascade() bool {
+func (p Plan) IsCascade() bool {
 	return len(p.Versions) > 1
 }
 
@@ -95,7 +95,7 @@
 	p = c.considerExploration(p)
 	p = c.applyStage(p)
 	p.Candidates = len(c.set.Candidates)
-	if c.request.Pinned != "" && c.state.Withdrawn(c.request.Pinned) {
+	if c.request.Pinned != "" && c.state.IsWithdrawn(c.request.Pinned) {
 		p.Reason = value.ReasonVersionRetired
 	}
 	return p, true
--- a/core/query/plan_test.go
+++ b/core/query/plan_test.go
@@ -127,8 +127,8 @@
 
 	inSession := request("draft", 1)
 	inSession.Session = "s"
-	assert.Assert(t, !choose(t, s, inSession, start).Cascade(), "a cascade would change the version of a session")
-	assert.Assert(t, !choose(t, s, request("reorder", 1), start).Cascade(), "a kind that is not idempotent must not use a cascade")
+	assert.Assert(t, !choose(t, s, inSession, start).IsCascade(), "a cascade would change the version of a session")
+	assert.Assert(t, !choose(t, s, request("reorder", 1), start).IsCascade(), "a kind that is not idempotent must not use a cascade")
 }
 
 func TestExplorationShareIsBounded(t *testing.T) {
--- a/core/query/rollout.go
+++ b/core/query/rollout.go
@@ -18,9 +18,9 @@
 	Reason   value.Reason
 }
 
-// Due returns the steps that are due in the document's roll-outs, including those that another
+// DueSteps returns the steps that are due in the document's roll-outs, including those that another
 // instance has begun and not finished.
-func Due(s state.State, now time.Time) []DueStep {
+func DueSteps(s state.State, now time.Time) []DueStep {
 	var due []DueStep
 	for _, r := range s.Config.Document.RollOuts {
 		p := s.Position(r)
@@ -40,11 +40,11 @@
 
 // rollbackReason returns why the roll-out has to be rolled back, or an empty reason.
 func rollbackReason(s state.State, r value.RollOut, p value.Progress, now time.Time) value.Reason {
-	if s.Withdrawn(r.ToKey()) {
+	if s.IsWithdrawn(r.ToKey()) {
 		return value.ReasonOperator
 	}
 	_, notDue := steps.Advance(r, p, steps.StageMeasurements{Ratings: s.RollOutTests(r).Ratings}, now)
-	if notDue != nil && steps.Overdue(r, p, now) {
+	if notDue != nil && steps.IsOverdue(r, p, now) {
 		return value.ReasonOverdue
 	}
 	return ""
--- a/core/query/route.go
+++ b/core/query/route.go
@@ -61,7 +61,7 @@
 
 // IsWithdrawn reports whether the target's version has been withdrawn, so that it receives no new work.
 func IsWithdrawn(s state.State, t Target) bool {
-	return t.Version != "" && s.Withdrawn(t.Version)
+	return t.Version != "" && s.IsWithdrawn(t.Version)
 }
 
 // sampleSize is how many random servers are compared. Two remove most of the imbalance of a random
@@ -99,9 +99,9 @@
 	return s.PoolServers(service.Pool)
 }
 
-// ChooseServer returns the given server as the choice for the target, and false if it cannot take
+// CheckServer returns the given server as the choice for the target, and false if it cannot take
 // the target now.
-func ChooseServer(s state.State, t Target, b value.BackendServer, loads LoadLookup, now time.Time) (Choice, bool) {
+func CheckServer(s state.State, t Target, b value.BackendServer, loads LoadLookup, now time.Time) (Choice, bool) {
 	if b.State != value.ServerLive || !servesTarget(s, t, b) {
 		return Choice{}, false
 	}
@@ -160,7 +160,7 @@
 // time to first token and the queue length. The queue length in the server's own report counts less
 // the older it is, because reports arrive late.
 func expectedWait(l value.Load, now time.Time) float64 {
-	estimate := max(l.FirstToken.MeanAt(estimateHalfLife, now), l.OldestWait(now), minEstimate)
+	estimate := max(l.TimeToFirstByte.MeanAt(estimateHalfLife, now), l.OldestWait(now), minEstimate)
 	queue := float64(l.InFlight + 1)
 	if l.ReportedQueue > 0 {
 		age := now.Sub(l.ReportedAt)
--- a/core/query/route_test.go
+++ b/core/query/route_test.go
@@ -116,7 +116,7 @@
 		}
 		loads[c.Server.ID] = loads[c.Server.ID].WithStart(true, noon)
 	}
-	assert.Equal(t, loads["s0"].Long+loads["s1"].Long, 2*24)
+	assert.Equal(t, loads["s0"].LongInFlight+loads["s1"].LongInFlight, 2*24)
 	_, err := query.Route(s, query.Target{Version: routedVersion}, loads.get, rnd, noon)
 	assert.NilError(t, err)
 }
--- a/core/query/settle.go
+++ b/core/query/settle.go
@@ -9,17 +9,17 @@
 const (
 	// OutcomeApplied means that the change led to the record in force.
 	OutcomeApplied Outcome = "Applied"
-	// OutcomeOvertaken means that the change took effect and a later one has replaced it.
-	OutcomeOvertaken Outcome = "Overtaken"
+	// OutcomeSuperseded means that the change took effect and a later one has replaced it.
+	OutcomeSuperseded Outcome = "Overtaken"
 	// OutcomeOpen means that the change has not taken effect and still can.
 	OutcomeOpen Outcome = "Open"
 	// OutcomeConflict means that another change replaced the revision that this one expected.
 	OutcomeConflict Outcome = "Conflict"
-	// OutcomeBehind means that the record is older than the revision that the change expects.
-	OutcomeBehind Outcome = "Behind"
-	// OutcomeForgotten means that the change history no longer reaches back to the revision that
+	// OutcomeStaleRecord means that the record is older than the revision that the change expects.
+	OutcomeStaleRecord Outcome = "Behind"
+	// OutcomeBeyondHistory means that the change history no longer reaches back to the revision that
 	// the change expects.
-	OutcomeForgotten Outcome = "Forgotten"
+	OutcomeBeyondHistory Outcome = "Forgotten"
 )
 
 // OutcomeOf returns the outcome of a change, given the current record.
@@ -29,7 +29,7 @@
 // from an older state.
 func OutcomeOf(current value.CurrentRecord, change value.Change) Outcome {
 	if current.Revision < change.Expect {
-		return OutcomeBehind
+		return OutcomeStaleRecord
 	}
 	if current.Revision == change.Expect {
 		return OutcomeOpen
@@ -42,11 +42,11 @@
 	}
 	for _, c := range current.History {
 		if c.ID == change.ID {
-			return OutcomeOvertaken
+			return OutcomeSuperseded
 		}
 		if c.Expect == change.Expect {
 			return OutcomeConflict
 		}
 	}
-	return OutcomeForgotten
+	return OutcomeBeyondHistory
 }
--- a/core/query/settle_test.go
+++ b/core/query/settle_test.go
@@ -20,12 +20,12 @@
 		want    query.Outcome
 	}{
 		{"applied", value.CurrentRecord{Revision: 8, Change: mine}, query.OutcomeApplied},
-		{"applied and replaced by a later change", value.CurrentRecord{Revision: 9, Change: later, History: []value.Change{mine}}, query.OutcomeOvertaken},
+		{"applied and replaced by a later change", value.CurrentRecord{Revision: 9, Change: later, History: []value.Change{mine}}, query.OutcomeSuperseded},
 		{"not applied yet", value.CurrentRecord{Revision: 7, Change: value.Change{ID: "before", Expect: 5}}, query.OutcomeOpen},
 		{"another change with the same digest applied", value.CurrentRecord{Revision: 8, Change: other}, query.OutcomeConflict},
 		{"another change applied and replaced by a later one", value.CurrentRecord{Revision: 9, Change: later, History: []value.Change{other}}, query.OutcomeConflict},
-		{"record read from an older state", value.CurrentRecord{Revision: 5}, query.OutcomeBehind},
-		{"change history too short", value.CurrentRecord{Revision: 9, Change: later}, query.OutcomeForgotten},
+		{"record read from an older state", value.CurrentRecord{Revision: 5}, query.OutcomeStaleRecord},
+		{"change history too short", value.CurrentRecord{Revision: 9, Change: later}, query.OutcomeBeyondHistory},
 	}
 	for _, c := range cases {
 		assert.Equal(t, query.OutcomeOf(c.current, mine), c.want, c.name)
--- a/core/query/stage.go
+++ b/core/query/stage.go
@@ -23,7 +23,7 @@
 		p.Versions = slices.Clone(p.Versions)
 		p.Versions[step] = c.set.Candidates[replacement.Candidate].Key
 		p.Reason = value.ReasonStage
-		if !p.Cascade() {
+		if !p.IsCascade() {
 			p.CostMicros = c.cost(replacement.Candidate)
 			p.Quality = c.lowerBound(replacement.Candidate)
 		}
--- a/core/query/status.go
+++ b/core/query/status.go
@@ -12,10 +12,10 @@
 	Instance value.Instance
 	// Lag is for how long the instance has known of a newer configuration than it has in force.
 	Lag time.Duration
-	// SinceLastSeen is the time since the last contact; zero for the instance itself and without any
+	// SinceLastContact is the time since the last contact; zero for the instance itself and without any
 	// contact. It can be long in a large fleet, where an instance receives the state of most others
 	// only through a few.
-	SinceLastSeen time.Duration
+	SinceLastContact time.Duration
 }
 
 // Fleet returns the status of each known instance, in the order of identifiers.
@@ -33,7 +33,7 @@
 		result.Lag = now.Sub(i.LaggingSince)
 	}
 	if !i.LastContact.IsZero() && i.ID != s.Self.ID {
-		result.SinceLastSeen = now.Sub(i.LastContact)
+		result.SinceLastContact = now.Sub(i.LastContact)
 	}
 	return result
 }
--- a/core/relay/cmds/ages.go
+++ b/core/relay/cmds/ages.go
@@ -22,7 +22,7 @@
 	for name, rollOut := range updated.RollOuts() {
 		if before, _ := state.RollOut(name); rollOut.AgeKnown && !before.AgeKnown {
 			decisions = append(decisions, relay.RecordDecision{
-				What: "RollOutAgeLearned", Subject: string(name), Revision: rollOut.Order.Revision,
+				Event: "RollOutAgeLearned", Subject: string(name), Revision: rollOut.Order.Revision,
 				Detail: c.From + " age " + now.Sub(rollOut.OrderedAt).Round(time.Millisecond).String(),
 			})
 		}
--- a/core/relay/cmds/cmds_test.go
+++ b/core/relay/cmds/cmds_test.go
@@ -15,7 +15,7 @@
 func namesOf(effects []relay.Effect) []string {
 	var names []string
 	for _, e := range effects {
-		names = append(names, e.(relay.RecordDecision).What)
+		names = append(names, e.(relay.RecordDecision).Event)
 	}
 	return names
 }
--- a/core/relay/cmds/feed.go
+++ b/core/relay/cmds/feed.go
@@ -24,7 +24,7 @@
 	var decisions []relay.Effect
 	if c.FromStore && !state.StoreUnreachableSince.IsZero() {
 		decisions = append(decisions, relay.RecordDecision{
-			What: "StoreRegained", Revision: state.Revision, Detail: "after " + now.Sub(state.StoreUnreachableSince).Round(time.Millisecond).String(),
+			Event: "StoreRegained", Revision: state.Revision, Detail: "after " + now.Sub(state.StoreUnreachableSince).Round(time.Millisecond).String(),
 		})
 		state = state.WithStoreRecovered(now)
 	}
@@ -46,11 +46,11 @@
 	var decisions []relay.Effect
 	if after.ConfigRevision != before.ConfigRevision {
 		decisions = append(decisions, relay.RecordDecision{
-			What: "ConfigInstalled", Subject: fmt.Sprint(after.Config.Version), Revision: after.ConfigRevision, Detail: c.From,
+			Event: "ConfigInstalled", Subject: fmt.Sprint(after.Config.Version), Revision: after.ConfigRevision, Detail: c.From,
 		})
 	}
 	if c.Feed.Whole {
-		return append(decisions, relay.RecordDecision{What: "ImageRead", Revision: after.Revision, Detail: c.From})
+		return append(decisions, relay.RecordDecision{Event: "ImageRead", Revision: after.Revision, Detail: c.From})
 	}
 	for _, change := range c.Feed.Changes {
 		if decision, ok := decisionOf(change); ok && change.Revision > before.Revision {
@@ -65,17 +65,17 @@
 func decisionOf(change relay.Change) (relay.RecordDecision, bool) {
 	switch entry := change.Entry; {
 	case change.Gone:
-		return relay.RecordDecision{What: "EntryGone", Subject: change.Key}, true
+		return relay.RecordDecision{Event: "EntryGone", Subject: change.Key}, true
 	case entry.Server != nil && entry.Server.Draining:
-		return relay.RecordDecision{What: "ServerDraining", Subject: string(entry.Server.ID)}, true
+		return relay.RecordDecision{Event: "ServerDraining", Subject: string(entry.Server.ID)}, true
 	case entry.Server != nil:
-		return relay.RecordDecision{What: "ServerReady", Subject: string(entry.Server.ID), Detail: " " + string(entry.Server.Service) + " " + string(entry.Server.Release)}, true
+		return relay.RecordDecision{Event: "ServerReady", Subject: string(entry.Server.ID), Detail: " " + string(entry.Server.Service) + " " + string(entry.Server.Release)}, true
 	case entry.RollOut != nil:
-		return relay.RecordDecision{What: "RollOutOrdered", Subject: string(entry.RollOut.Service), Detail: " " + string(entry.RollOut.Target)}, true
+		return relay.RecordDecision{Event: "RollOutOrdered", Subject: string(entry.RollOut.Service), Detail: " " + string(entry.RollOut.Target)}, true
 	case entry.Progress != nil:
-		return relay.RecordDecision{What: "RollOutProgress", Subject: string(entry.Progress.Service), Detail: fmt.Sprintf(" %s phase %d", entry.Progress.Target, entry.Progress.Phase)}, true
+		return relay.RecordDecision{Event: "RollOutProgress", Subject: string(entry.Progress.Service), Detail: fmt.Sprintf(" %s phase %d", entry.Progress.Target, entry.Progress.Phase)}, true
 	case entry.Duty != nil:
-		return relay.RecordDecision{What: "RollOutHolder", Subject: string(entry.Duty.Service), Detail: " " + string(entry.Duty.Holder)}, true
+		return relay.RecordDecision{Event: "RollOutHolder", Subject: string(entry.Duty.Service), Detail: " " + string(entry.Duty.Holder)}, true
 	}
 	var none relay.RecordDecision
 	return none, false
--- a/core/relay/cmds/leave.go
+++ b/core/relay/cmds/leave.go
@@ -18,5 +18,5 @@
 	if state.Leaving {
 		return state, nil
 	}
-	return state.WithLeaving(now, now.Add(c.Within)), []relay.Effect{relay.RecordDecision{What: "Leaving", Subject: string(state.Self.Name), Revision: state.Revision}}
+	return state.WithLeaving(now, now.Add(c.Within)), []relay.Effect{relay.RecordDecision{Event: "Leaving", Subject: string(state.Self.Name), Revision: state.Revision}}
 }
--- a/core/relay/cmds/tick.go
+++ b/core/relay/cmds/tick.go
@@ -14,9 +14,9 @@
 // within the grace period after it, and logs how many.
 func (Tick) Apply(state relay.State, now time.Time) (relay.State, []relay.Effect) {
 	updated := state.WithoutExpired(now)
-	if expired := state.Missing() - updated.Missing(); expired > 0 {
+	if expired := state.MissingEntries() - updated.MissingEntries(); expired > 0 {
 		return updated, []relay.Effect{relay.RecordDecision{
-			What: "ServersGone", Revision: state.Revision, Detail: strconv.Itoa(expired) + " entries were not written again after the store outage",
+			Event: "ServersGone", Revision: state.Revision, Detail: strconv.Itoa(expired) + " entries were not written again after the store outage",
 		}}
 	}
 	return updated, nil
--- a/core/relay/cmds/unreachable.go
+++ b/core/relay/cmds/unreachable.go
@@ -17,5 +17,5 @@
 	if !state.StoreUnreachableSince.IsZero() {
 		return state, nil
 	}
-	return state.WithStoreUnreachable(now), []relay.Effect{relay.RecordDecision{What: "StoreLost", Revision: state.Revision, Detail: c.Cause}}
+	return state.WithStoreUnreachable(now), []relay.Effect{relay.RecordDecision{Event: "StoreLost", Revision: state.Revision, Detail: c.Cause}}
 }
--- a/core/relay/effect.go
+++ b/core/relay/effect.go
@@ -7,8 +7,8 @@
 
 // RecordDecision asks for a log line about a change of the control state.
 type RecordDecision struct {
-	// What names the decision, such as ServerReady.
-	What string
+	// Event names the decision, such as ServerReady.
+	Event string
 	// Subject identifies the record that the decision is about, or is empty.
 	Subject string
 	// Revision is the store revision that led to the decision.
--- a/core/relay/load.go
+++ b/core/relay/load.go
@@ -12,8 +12,8 @@
 	Running int
 	Waiting int
 	Slots   int
-	// Pace is how long work takes at present, in percent of the usual time; 0 means not reported.
-	Pace int
+	// DurationPercent is how long work takes at present, in percent of the usual time; 0 means not reported.
+	DurationPercent int
 }
 
 // Load is what one instance has observed of one backend server.
--- a/core/relay/query/admit.go
+++ b/core/relay/query/admit.go
@@ -61,7 +61,7 @@
 	return !deadline.IsZero() && !deadline.After(state.LeavesBy)
 }
 
-// Ready reports whether the instance should receive new connections.
-func Ready(state relay.State) bool {
+// IsReady reports whether the instance should receive new connections.
+func IsReady(state relay.State) bool {
 	return state.Config.Version != 0 && !state.Leaving
 }
--- a/core/relay/query/duty.go
+++ b/core/relay/query/duty.go
@@ -11,9 +11,9 @@
 // takeOverDelay is the time between the attempts of two instances to take over a vacant duty.
 const takeOverDelay = 250 * time.Millisecond
 
-// Vacant reports whether no instance holds the duty for the service's roll-out, and how long this
+// TakeoverDelay reports whether no instance holds the duty for the service's roll-out, and how long this
 // one waits before it tries to take it; the waits differ, so that instances try one after another.
-func Vacant(state relay.State, service relay.ServiceName) (time.Duration, bool) {
+func TakeoverDelay(state relay.State, service relay.ServiceName) (time.Duration, bool) {
 	if _, held := state.Duty(service); held {
 		return 0, false
 	}
--- a/core/relay/query/escalation.go
+++ b/core/relay/query/escalation.go
@@ -13,10 +13,10 @@
 	Step int
 	// Confidence is the model's confidence in its answer, from 0 to 100; negative if not reported.
 	Confidence int
-	// Sends counts the request's attempts, this one included.
-	Sends RequestAttempts
-	// Left is the time left until the request's deadline.
-	Left time.Duration
+	// Attempts counts the request's attempts, this one included.
+	Attempts RequestAttempts
+	// TimeLeft is the time left until the request's deadline.
+	TimeLeft time.Duration
 	// Throttle is the present value of the service's relay.Throttle, from 0 to 1.
 	Throttle float64
 }
@@ -53,10 +53,10 @@
 // largest. Without a larger model, a reported confidence, a further attempt and enough time, the
 // answer is not dropped.
 func StepUp(route relay.Route, answer ObservedAnswer, gains GainLookup) (int, bool) {
-	if answer.Step >= len(route.Models)-1 || answer.Confidence < 0 || answer.Sends.Run >= route.Attempts {
+	if answer.Step >= len(route.Models)-1 || answer.Confidence < 0 || answer.Attempts.Run >= route.Attempts {
 		return 0, false
 	}
-	if answer.Left < route.Objective/2 {
+	if answer.TimeLeft < route.Objective/2 {
 		return 0, false
 	}
 	largest := len(route.Models) - 1
--- a/core/relay/query/query_test.go
+++ b/core/relay/query/query_test.go
@@ -100,7 +100,7 @@
 
 func TestStepUpNeedsLowConfidenceTimeAndAttempts(t *testing.T) {
 	route := relay.Route{Models: []relay.ModelName{"s", "m", "l"}, Attempts: 3, Objective: time.Second}
-	answer := query.ObservedAnswer{Confidence: 10, Sends: query.RequestAttempts{All: 1, Run: 1}, Left: 5 * time.Second, Throttle: 1}
+	answer := query.ObservedAnswer{Confidence: 10, Attempts: query.RequestAttempts{All: 1, Run: 1}, TimeLeft: 5 * time.Second, Throttle: 1}
 	untried := func(int, int) relay.ConfidenceGain { return relay.ConfidenceGain{} }
 	next, ok := query.StepUp(route, answer, untried)
 	assert.Assert(t, ok)
@@ -115,8 +115,8 @@
 	refuse("larger models are throttled", func(a *query.ObservedAnswer) { a.Throttle = 0.1 })
 	refuse("no confidence reported", func(a *query.ObservedAnswer) { a.Confidence = -1 })
 	refuse("already the largest model", func(a *query.ObservedAnswer) { a.Step = 2 })
-	refuse("no attempt left", func(a *query.ObservedAnswer) { a.Sends.Run = 3 })
-	refuse("no time left", func(a *query.ObservedAnswer) { a.Left = 100 * time.Millisecond })
+	refuse("no attempt left", func(a *query.ObservedAnswer) { a.Attempts.Run = 3 })
+	refuse("no time left", func(a *query.ObservedAnswer) { a.TimeLeft = 100 * time.Millisecond })
 	refuse("confidence not low enough for the largest model, which alone is left", func(a *query.ObservedAnswer) { a.Step, a.Confidence = 1, 45 })
 }
 
@@ -127,7 +127,7 @@
 		helps, useless = helps.With(40, 60), useless.With(40, 40)
 	}
 	ask := func(confidence int, g relay.ConfidenceGain) (int, bool) {
-		answer := query.ObservedAnswer{Confidence: confidence, Sends: query.RequestAttempts{All: 1, Run: 1}, Left: 5 * time.Second, Throttle: 1}
+		answer := query.ObservedAnswer{Confidence: confidence, Attempts: query.RequestAttempts{All: 1, Run: 1}, TimeLeft: 5 * time.Second, Throttle: 1}
 		return query.StepUp(route, answer, func(int, int) relay.ConfidenceGain { return g })
 	}
 	for _, c := range []struct {
@@ -150,14 +150,14 @@
 	for _, m := range state.Members() {
 		own := state
 		own.Self = m
-		delay, vacant := query.Vacant(own, "engine")
+		delay, vacant := query.TakeoverDelay(own, "engine")
 		assert.Assert(t, vacant)
 		assert.Assert(t, !delays[delay])
 		delays[delay] = true
 	}
 	assert.Assert(t, delays[0])
 	held := stateOf(relay.Entry{Duty: &relay.Duty{Service: "engine", Holder: "A"}})
-	_, vacant := query.Vacant(held, "engine")
+	_, vacant := query.TakeoverDelay(held, "engine")
 	assert.Assert(t, !vacant)
 }
 
@@ -212,7 +212,7 @@
 
 func TestReadyOnlyWithConfigurationAndWhileNotLeaving(t *testing.T) {
 	state := stateOf(relay.Entry{Config: &relay.Config{Version: 1}})
-	assert.Assert(t, query.Ready(state))
-	assert.Assert(t, !query.Ready(state.WithLeaving(now, now.Add(time.Second))))
-	assert.Assert(t, !query.Ready(relay.New(relay.Member{})))
+	assert.Assert(t, query.IsReady(state))
+	assert.Assert(t, !query.IsReady(state.WithLeaving(now, now.Add(time.Second))))
+	assert.Assert(t, !query.IsReady(relay.New(relay.Member{})))
 }
--- a/core/relay/query/server.go
+++ b/core/relay/query/server.go
@@ -235,8 +235,8 @@
 	if s.now.Before(server.ColdUntil) {
 		factor *= warmUpFactor
 	}
-	if load.Report.Pace > 0 && s.now.Sub(load.Reported) < reportLifetime {
-		factor *= math.Max(1, float64(load.Report.Pace)/normalPace)
+	if load.Report.DurationPercent > 0 && s.now.Sub(load.Reported) < reportLifetime {
+		factor *= math.Max(1, float64(load.Report.DurationPercent)/normalPace)
 	}
 	return factor
 }
--- a/core/relay/state.go
+++ b/core/relay/state.go
@@ -131,13 +131,13 @@
 	return s.members
 }
 
-// Missing returns how many removed entries are still in use because their grace period runs.
-func (s State) Missing() int {
+// MissingEntries returns how many removed entries are still in use because their grace period runs.
+func (s State) MissingEntries() int {
 	return len(s.missing)
 }
 
-// Since returns the changes after the revision, or a full snapshot if the history lacks it.
-func (s State) Since(revision int64) Feed {
+// ChangesSince returns the changes after the revision, or a full snapshot if the history lacks it.
+func (s State) ChangesSince(revision int64) Feed {
 	if revision < s.historyStart || revision > s.Revision || revision == 0 {
 		return Feed{Whole: true, Changes: slices.Collect(maps.Values(s.entries)), Revision: s.Revision}
 	}
--- a/core/state/candidates.go
+++ b/core/state/candidates.go
@@ -104,7 +104,7 @@
 		}
 		for _, v := range model.Versions {
 			key := model.Key(v.Name)
-			if s.Withdrawn(key) {
+			if s.IsWithdrawn(key) {
 				continue
 			}
 			candidates = append(candidates, s.newCandidate(k, key, v))
@@ -199,15 +199,15 @@
 		}
 		return 1
 	})
-	if index == maxCascades || CascadeLower(k.Judge, candidates[priced.First].freshBound, candidates[priced.Second].freshBound) < k.QualityTarget {
+	if index == maxCascades || CascadeLowerBound(k.Judge, candidates[priced.First].freshBound, candidates[priced.Second].freshBound) < k.QualityTarget {
 		return best
 	}
 	best = slices.Insert(best, index, priced)
 	return best[:min(len(best), maxCascades)]
 }
 
-// CascadeLower returns the lower bound of a cascade's quality, from the estimates of its steps.
-func CascadeLower(j value.Judge, first, second policy.Bound) float64 {
+// CascadeLowerBound returns the lower bound of a cascade's quality, from the estimates of its steps.
+func CascadeLowerBound(j value.Judge, first, second policy.Bound) float64 {
 	return j.Quality(first.Mean, second.Mean) -
 		j.QualityMargin(first.Mean, second.Mean, first.Mean-first.Lower, second.Mean-second.Lower)
 }
--- a/core/state/quality.go
+++ b/core/state/quality.go
@@ -59,8 +59,8 @@
 	return s.quality.estimates.Get(estimateKeyOf(k, v))
 }
 
-// Withdrawn reports whether the version is withdrawn, by the document or by a command.
-func (s State) Withdrawn(k value.VersionKey) bool {
+// IsWithdrawn reports whether the version is withdrawn, by the document or by a command.
+func (s State) IsWithdrawn(k value.VersionKey) bool {
 	v, known := s.versions.Get(k)
 	return known && v.Withdrawn
 }
--- a/core/state/rollout.go
+++ b/core/state/rollout.go
@@ -79,5 +79,5 @@
 // new version is chosen by its own estimate.
 func (s State) isOldVersionWithdrawn(p value.Progress) bool {
 	r, ok := s.RollOut(p.Name)
-	return ok && p.Phase == value.PhaseStaged && s.Withdrawn(r.FromKey())
+	return ok && p.Phase == value.PhaseStaged && s.IsWithdrawn(r.FromKey())
 }
--- a/core/state/rollout_limits.go
+++ b/core/state/rollout_limits.go
@@ -18,8 +18,8 @@
 
 // RollOutTests holds the tests of a roll-out's new version with the trials observed so far.
 type RollOutTests struct {
-	// Tests are the sequential tests of the roll-out's limits.
-	Tests policy.SequentialTest[value.Reason]
+	// Sequential are the sequential tests of the roll-out's limits.
+	Sequential policy.SequentialTest[value.Reason]
 	// Ratings counts the ratings of the stage in force.
 	Ratings int
 	// Epoch is the roll-out's epoch in which Ratings were counted.
@@ -31,9 +31,9 @@
 func (s State) RollOutTests(r value.RollOut) RollOutTests {
 	tests, ok := s.quality.rollOutTests.Get(r.Name)
 	limits := limitsOf(r)
-	if !ok || !slices.Equal(tests.Tests.Config().Limits, limits) {
+	if !ok || !slices.Equal(tests.Sequential.Config().Limits, limits) {
 		config := policy.SequentialTestConfig[value.Reason]{Limits: limits, FalseAlarm: falseAlarmProbability, Horizon: changeHorizonTrials}
-		tests = RollOutTests{Tests: config.New()}
+		tests = RollOutTests{Sequential: config.New()}
 	}
 	if p := s.Position(r); p.Epoch != tests.Epoch {
 		tests.Epoch = p.Epoch
@@ -52,7 +52,7 @@
 // WithAttemptCounts returns a state in which the roll-out's tests count the attempts of its new version.
 func (s State) WithAttemptCounts(r value.RollOut, counts value.AttemptCounts) State {
 	tests := s.RollOutTests(r)
-	tests.Tests = tests.Tests.
+	tests.Sequential = tests.Sequential.
 		With(value.ReasonErrorRate, counts.Total, counts.Failed).
 		With(value.ReasonSlowRate, counts.Total, counts.Slow).
 		With(value.ReasonCostlyRate, counts.Total, counts.Costly)
@@ -62,7 +62,7 @@
 // WithRollOutRating returns a state in which the roll-out's tests count a rating of its new version.
 func (s State) WithRollOutRating(r value.RollOut, rating value.Rating) State {
 	tests := s.RollOutTests(r)
-	tests.Tests = tests.Tests.WithWeighted(value.ReasonQuality, !rating.Accepted, s.ratingWeight(rating))
+	tests.Sequential = tests.Sequential.WithWeighted(value.ReasonQuality, !rating.Accepted, s.ratingWeight(rating))
 	tests.Ratings++
 	return s.withRollOutTests(r, tests)
 }
--- a/core/steps/steps.go
+++ b/core/steps/steps.go
@@ -105,8 +105,8 @@
 	return p.WithPhase(phase, string(reason), now), nil
 }
 
-// Overdue reports whether the stage has lasted longer than its plan allows.
-func Overdue(r value.RollOut, p value.Progress, now time.Time) bool {
+// IsOverdue reports whether the stage has lasted longer than its plan allows.
+func IsOverdue(r value.RollOut, p value.Progress, now time.Time) bool {
 	if p.Phase != value.PhaseStaged || p.Stage >= len(r.Stages) {
 		return false
 	}
--- a/core/value/kind.go
+++ b/core/value/kind.go
@@ -25,8 +25,8 @@
 	return len(priorities)
 }
 
-// Valid reports whether the priority is one of the defined ones.
-func (p Priority) Valid() bool {
+// IsValid reports whether the priority is one of the defined ones.
+func (p Priority) IsValid() bool {
 	return p.Rank() < len(priorities)
 }
 
--- a/core/value/load.go
+++ b/core/value/load.go
@@ -13,12 +13,12 @@
 type Load struct {
 	// InFlight counts this instance's own requests at the server.
 	InFlight int
-	// Long counts those of them that are expected to take long.
-	Long int
+	// LongInFlight counts those of them that are expected to take long.
+	LongInFlight int
 	// WaitingSince holds the start times of the attempts that wait for the first part, oldest first.
 	WaitingSince []time.Time
-	// FirstToken is the decaying mean of the time to the first part, scaled to a typical request.
-	FirstToken policy.DecayingMean
+	// TimeToFirstByte is the decaying mean of the time to the first part, scaled to a typical request.
+	TimeToFirstByte policy.DecayingMean
 	// Failures counts consecutive failures since the latest first part or ejection.
 	Failures int
 	// Ejections counts consecutive ejections since the server last recovered.
@@ -37,7 +37,7 @@
 func (l Load) WithStart(long bool, at time.Time) Load {
 	l.InFlight++
 	if long {
-		l.Long++
+		l.LongInFlight++
 	}
 	l.WaitingSince = append(slices.Clip(l.WaitingSince), at)
 	return l
@@ -47,7 +47,7 @@
 func (l Load) WithEnd(long bool, started time.Time) Load {
 	l.InFlight = max(0, l.InFlight-1)
 	if long {
-		l.Long = max(0, l.Long-1)
+		l.LongInFlight = max(0, l.LongInFlight-1)
 	}
 	return l.withoutWaiting(started)
 }
@@ -56,7 +56,7 @@
 // delay is the time that it took, scaled to a typical request.
 func (l Load) WithFirstByte(c policy.DecayingMeanConfig, started, at time.Time, delay time.Duration) Load {
 	l = l.withoutWaiting(started)
-	l.FirstToken = l.FirstToken.With(c, delay, at)
+	l.TimeToFirstByte = l.TimeToFirstByte.With(c, delay, at)
 	l.Failures = 0
 	return l
 }
--- a/core/value/request.go
+++ b/core/value/request.go
@@ -11,8 +11,8 @@
 	QualityBest   QualityClass = "Best"
 )
 
-// Valid reports whether the class is one of the defined ones.
-func (q QualityClass) Valid() bool {
+// IsValid reports whether the class is one of the defined ones.
+func (q QualityClass) IsValid() bool {
 	return q == QualityTarget || q == QualityBest
 }
 
@@ -37,10 +37,10 @@
 	MaxTokens int
 	// Prefix identifies the beginning of the prompt, for prefix-cache locality; zero means none.
 	Prefix uint64
-	// Question is a hash of the request's content. Requests with the same hash may share one attempt, and
+	// RequestHash is a hash of the request's content. Requests with the same hash may share one attempt, and
 	// an idempotency key that is reused with another hash is refused; zero means none.
-	Question uint64
-	Stream   bool
+	RequestHash uint64
+	Stream      bool
 }
 
 // WithPinned returns a copy whose session is pinned to the version.
--- a/io/admin/admin_test.go
+++ b/io/admin/admin_test.go
@@ -188,7 +188,7 @@
 	assert.NilError(t, err)
 	stored, err := query.FetchConfig(t.Context(), c, trial)
 	assert.NilError(t, err)
-	assert.Equal(t, stored.Standing.Change, one.Change)
+	assert.Equal(t, stored.Current.Change, one.Change)
 	assert.Equal(t, conf.Digest(stored.Bytes), one.Change.Digest)
 }
 
--- a/io/admin/cmds/apply_test.go
+++ b/io/admin/cmds/apply_test.go
@@ -51,15 +51,15 @@
 	return cmds.Apply(b.t.Context(), b.Config, who, o)
 }
 
-func (b fixture) setFaults(f fakes.Faults) {
+func (b fixture) setFaults(f fakes.StoreFaults) {
 	b.t.Helper()
-	assert.NilError(b.t, b.store.Set(f))
+	assert.NilError(b.t, b.store.SetFaults(f))
 }
 
 // load removes the injected faults and returns the environment's record.
 func (b fixture) load(e value.Environment) conf.Record {
 	b.t.Helper()
-	b.setFaults(fakes.Faults{})
+	b.setFaults(fakes.StoreFaults{})
 	r, err := conf.Load(b.t.Context(), b.store, e)
 	assert.NilError(b.t, err)
 	return r
@@ -69,7 +69,7 @@
 	withFixture(t, func(t *testing.T, b fixture) {
 		first, err := b.apply("asha", "base", 0, "base")
 		assert.NilError(t, err)
-		b.setFaults(fakes.Faults{Delay: 10 * time.Millisecond})
+		b.setFaults(fakes.StoreFaults{Delay: 10 * time.Millisecond})
 		errs := make(chan error, 2)
 		for _, who := range []string{"asha", "mette"} {
 			go func() {
@@ -85,7 +85,7 @@
 		var conflict value.ChangeConflict
 		assert.Assert(t, errorAs(conflicting, &conflict), "%v", conflicting)
 		assert.Assert(t, conflict.Attempted.Who != conflict.Current.Change.Who)
-		winner := b.load(trial).Standing.Change
+		winner := b.load(trial).Current.Change
 		assert.Equal(t, conflict.Current.Change, winner)
 		for _, text := range []string{"by-asha", "by-mette", "asha", "mette", winner.Digest[:12], conflict.Attempted.Digest[:12]} {
 			assert.Assert(t, strings.Contains(conflict.Error(), text), "%s lacks %s", conflict, text)
@@ -95,17 +95,17 @@
 
 func TestApplyResolvesALostStoreAnswerByReading(t *testing.T) {
 	withFixture(t, func(t *testing.T, b fixture) {
-		b.setFaults(fakes.Faults{LostAnswers: 1})
+		b.setFaults(fakes.StoreFaults{LostAnswers: 1})
 		got, err := b.apply("asha", "one", 0, "one")
 		assert.NilError(t, err)
 		assert.Equal(t, b.store.Writes(), int64(1))
-		assert.Equal(t, b.load(trial).Standing.Revision, got.Revision)
+		assert.Equal(t, b.load(trial).Current.Revision, got.Revision)
 	})
 }
 
 func TestApplyReportsItsChangeSupersededAfterALostStoreAnswer(t *testing.T) {
 	withFixture(t, func(t *testing.T, b fixture) {
-		b.setFaults(fakes.Faults{LostAnswers: 1})
+		b.setFaults(fakes.StoreFaults{LostAnswers: 1})
 		done := make(chan error, 1)
 		go func() {
 			got, err := b.apply("asha", "one", 0, "one")
@@ -118,31 +118,31 @@
 		synctest.Wait()
 		applied, err := conf.Load(t.Context(), b.store, trial)
 		assert.NilError(t, err)
-		_, err = b.apply("mette", "two", applied.Standing.Revision, "two")
+		_, err = b.apply("mette", "two", applied.Current.Revision, "two")
 		assert.NilError(t, err)
 		assert.NilError(t, <-done)
-		assert.Equal(t, b.load(trial).Standing.Change.Who, "mette")
+		assert.Equal(t, b.load(trial).Current.Change.Who, "mette")
 	})
 }
 
 func TestStoreDownBeforeTheWriteIsUnavailableAndAfterItIsUnknown(t *testing.T) {
 	withFixture(t, func(t *testing.T, b fixture) {
-		b.setFaults(fakes.Faults{Down: true})
+		b.setFaults(fakes.StoreFaults{Down: true})
 		_, err := b.apply("asha", "one", 0, "one")
 		assert.ErrorType(t, err, value.ChangeUnavailable{})
-		assert.Equal(t, b.load(trial).Standing.Revision, int64(0))
+		assert.Equal(t, b.load(trial).Current.Revision, int64(0))
 
-		b.setFaults(fakes.Faults{LostAnswers: 1})
+		b.setFaults(fakes.StoreFaults{LostAnswers: 1})
 		done := make(chan error, 1)
 		go func() {
 			_, err := b.apply("asha", "two", 0, "two")
 			done <- err
 		}()
 		synctest.Wait()
-		b.setFaults(fakes.Faults{Down: true})
+		b.setFaults(fakes.StoreFaults{Down: true})
 		assert.ErrorType(t, <-done, value.ChangeUnknown{})
 
-		current := b.load(trial).Standing
+		current := b.load(trial).Current
 		again, err := b.apply("asha", "two", 0, "two")
 		assert.NilError(t, err)
 		assert.Equal(t, again.Revision, current.Revision, "the retried order changes nothing")
@@ -151,7 +151,7 @@
 
 func TestChangeAppliedAfterItsCallerTimedOutIsNotAppliedAgain(t *testing.T) {
 	withFixture(t, func(t *testing.T, b fixture) {
-		b.setFaults(fakes.Faults{Delay: 10 * time.Second})
+		b.setFaults(fakes.StoreFaults{Delay: 10 * time.Second})
 		ctx, cancel := context.WithTimeout(t.Context(), 15*time.Second)
 		defer cancel()
 		o := cmds.ApplyOrder{Environment: trial, Change: "late", Document: document(t, "late")}
@@ -160,8 +160,8 @@
 		time.Sleep(time.Minute)
 		got, err := b.apply("asha", "late", 0, "late")
 		assert.NilError(t, err)
-		assert.Equal(t, len(b.load(trial).Standing.History), 0, "the change took effect once")
-		assert.Equal(t, got.Revision, b.load(trial).Standing.Revision)
+		assert.Equal(t, len(b.load(trial).Current.History), 0, "the change took effect once")
+		assert.Equal(t, got.Revision, b.load(trial).Current.Revision)
 	})
 }
 
@@ -169,7 +169,7 @@
 	withFixture(t, func(t *testing.T, b fixture) {
 		one, err := b.apply("asha", "one", 0, "one")
 		assert.NilError(t, err)
-		b.setFaults(fakes.Faults{Stale: true})
+		b.setFaults(fakes.StoreFaults{Stale: true})
 		two, err := b.apply("asha", "two", one.Revision, "two")
 		assert.NilError(t, err)
 		_, err = b.apply("mette", "three", one.Revision, "three")
--- a/io/admin/cmds/promote.go
+++ b/io/admin/cmds/promote.go
@@ -51,12 +51,12 @@
 	// If this is a retry of an order that took effect, its outcome is returned. Checked like a new
 	// order it would be refused, since the document is already in force.
 	w := &writer{request: writeRequest{change: change}}
-	switch query.OutcomeOf(to.Standing, change) {
-	case query.OutcomeApplied, query.OutcomeOvertaken:
-		r := w.settle(to.Standing)
+	switch query.OutcomeOf(to.Current, change) {
+	case query.OutcomeApplied, query.OutcomeSuperseded:
+		r := w.settle(to.Current)
 		return r.applied, r.err
 	}
-	digest, err := query.Promote(from.Standing, to.Standing, o.Digest)
+	digest, err := query.Promote(from.Current, to.Current, o.Digest)
 	if err != nil {
 		return value.AppliedChange{}, fmt.Errorf("promote from %s to %s: %w", o.From, o.To, err)
 	}
--- a/io/admin/cmds/promote_test.go
+++ b/io/admin/cmds/promote_test.go
@@ -57,17 +57,17 @@
 	withFixture(t, func(t *testing.T, b fixture) {
 		_, err := b.apply("asha", "one", 0, "one")
 		assert.NilError(t, err)
-		b.setFaults(fakes.Faults{LostAnswers: 1})
+		b.setFaults(fakes.StoreFaults{LostAnswers: 1})
 		done := make(chan error, 1)
 		go func() {
 			_, err := b.promote("p1", 0, "")
 			done <- err
 		}()
 		synctest.Wait()
-		b.setFaults(fakes.Faults{Down: true})
+		b.setFaults(fakes.StoreFaults{Down: true})
 		assert.ErrorType(t, <-done, value.ChangeUnknown{})
 		writes := b.store.Writes()
-		b.setFaults(fakes.Faults{})
+		b.setFaults(fakes.StoreFaults{})
 		_, err = b.promote("p1", 0, "")
 		assert.NilError(t, err, "the retried order is not refused as already in force")
 		assert.Equal(t, b.store.Writes(), writes)
--- a/io/admin/cmds/rollout.go
+++ b/io/admin/cmds/rollout.go
@@ -113,7 +113,7 @@
 		Reason: value.ReasonUnknownRollOut,
 		Detail: fmt.Sprintf("the document of %s has no roll-out %q", o.Environment, o.Name),
 	}
-	if record.Standing.Revision == 0 {
+	if record.Current.Revision == 0 {
 		return value.RollOut{}, unknown
 	}
 	accepted, err := record.Accepted()
--- a/io/admin/cmds/rollout_test.go
+++ b/io/admin/cmds/rollout_test.go
@@ -37,7 +37,7 @@
 		assert.Equal(t, reasonOf(t, err), value.ReasonWrongPhase)
 		_, err = b.rollOut(steps.Order{Verb: steps.VerbStart})
 		assert.NilError(t, err)
-		b.setFaults(fakes.Faults{Delay: 10 * time.Millisecond})
+		b.setFaults(fakes.StoreFaults{Delay: 10 * time.Millisecond})
 		errs := make(chan error, 2)
 		for range 2 {
 			go func() {
@@ -59,7 +59,7 @@
 		assert.NilError(t, err)
 		_, err = b.rollOut(steps.Order{Verb: steps.VerbStart})
 		assert.NilError(t, err)
-		b.setFaults(fakes.Faults{Delay: 10 * time.Millisecond})
+		b.setFaults(fakes.StoreFaults{Delay: 10 * time.Millisecond})
 		done := make(chan error, 2)
 		go func() {
 			_, err := b.rollOut(steps.Order{Verb: steps.VerbWithdraw})
@@ -82,22 +82,22 @@
 	withFixture(t, func(t *testing.T, b fixture) {
 		_, err := b.apply("asha", "one", 0, "one")
 		assert.NilError(t, err)
-		b.setFaults(fakes.Faults{LostAnswers: 1})
+		b.setFaults(fakes.StoreFaults{LostAnswers: 1})
 		p, err := b.rollOut(steps.Order{Verb: steps.VerbStart})
 		assert.NilError(t, err)
 		assert.DeepEqual(t, p, b.loadProgress())
 		assert.Equal(t, p.Epoch, int64(2), "the order took effect once")
 
-		b.setFaults(fakes.Faults{LostAnswers: 1})
+		b.setFaults(fakes.StoreFaults{LostAnswers: 1})
 		done := make(chan error, 1)
 		go func() {
 			_, err := b.rollOut(steps.Order{Verb: steps.VerbWithdraw})
 			done <- err
 		}()
 		synctest.Wait()
-		b.setFaults(fakes.Faults{Down: true})
+		b.setFaults(fakes.StoreFaults{Down: true})
 		assert.ErrorType(t, <-done, value.ChangeUnknown{})
-		b.setFaults(fakes.Faults{})
+		b.setFaults(fakes.StoreFaults{})
 		assert.Equal(t, b.loadProgress().Phase, value.PhaseWithdrawn)
 	})
 }
--- a/io/admin/cmds/write.go
+++ b/io/admin/cmds/write.go
@@ -18,7 +18,7 @@
 const maxAttempts = 6
 
 // retryBackoff is the wait between two attempts.
-var retryBackoff = policy.Backoff{First: 100 * time.Millisecond, Limit: 2 * time.Second}
+var retryBackoff = policy.Backoff{InitialDelay: 100 * time.Millisecond, MaxDelay: 2 * time.Second}
 
 // Config configures the commands.
 type Config struct {
@@ -89,9 +89,9 @@
 	if err != nil {
 		return toRefusal(err)
 	}
-	w.current = record.Standing
-	if query.OutcomeOf(record.Standing, w.request.change) != query.OutcomeOpen {
-		return w.settle(record.Standing)
+	w.current = record.Current
+	if query.OutcomeOf(record.Current, w.request.change) != query.OutcomeOpen {
+		return w.settle(record.Current)
 	}
 	data, err := record.WithChange(w.request.data, w.request.change).Encode()
 	if err != nil {
@@ -110,11 +110,11 @@
 			return &result{err: value.ChangeRefused{Reason: value.ReasonKeyReused, Detail: "change " + string(change.ID) + " was about another document"}}
 		}
 		return &result{applied: value.AppliedChange{Change: current.Change, Revision: current.Revision}}
-	case query.OutcomeOvertaken:
+	case query.OutcomeSuperseded:
 		return &result{applied: value.AppliedChange{Change: change, Revision: current.Revision, Superseded: true}}
 	case query.OutcomeConflict:
 		return &result{err: value.ChangeConflict{Attempted: change, Current: current}}
-	case query.OutcomeForgotten:
+	case query.OutcomeBeyondHistory:
 		return w.unknownOutcome(current)
 	}
 	return nil
@@ -149,14 +149,14 @@
 // settleConflict returns the change's result, judged by the entry that the key-value service
 // reported when it refused the compare-and-swap.
 func (w *writer) settleConflict(conflict plat.Conflict) *result {
-	record, err := conf.DecodeRecord(conflict.Present)
+	record, err := conf.DecodeRecord(conflict.Current)
 	if err != nil {
 		return toRefusal(err)
 	}
-	if r := w.settle(record.Standing); r != nil {
+	if r := w.settle(record.Current); r != nil {
 		return r
 	}
-	return &result{err: value.ChangeConflict{Attempted: w.request.change, Current: record.Standing}}
+	return &result{err: value.ChangeConflict{Attempted: w.request.change, Current: record.Current}}
 }
 
 // toRefusal returns a refusal as the final result. For any other error it returns nil, as reading
--- a/io/admin/query/audit.go
+++ b/io/admin/query/audit.go
@@ -47,7 +47,7 @@
 // requests.
 func AuditRoute(store plat.Reader) route.Route {
 	return route.New(http.MethodPost, auditPath, func(ctx context.Context, w wireAnswered) (wireAudit, error) {
-		segments, err := bills.Read(ctx, store)
+		segments, err := bills.ReadSegments(ctx, store)
 		if err != nil {
 			return wireAudit{}, value.ChangeUnavailable{Detail: err.Error()}
 		}
--- a/io/admin/query/config.go
+++ b/io/admin/query/config.go
@@ -36,12 +36,12 @@
 		if err != nil {
 			return wireRecord{}, value.ChangeUnavailable{Detail: err.Error()}
 		}
-		if record.Standing.Revision == 0 {
+		if record.Current.Revision == 0 {
 			return wireRecord{}, value.ChangeRefused{Reason: value.ReasonNothingStored, Detail: "no document was accepted in " + string(w.Environment)}
 		}
-		change := record.Standing.Change
+		change := record.Current.Change
 		return wireRecord{
-			Revision: record.Standing.Revision,
+			Revision: record.Current.Revision,
 			Change:   change.ID,
 			Who:      change.Who,
 			At:       change.At,
@@ -60,5 +60,5 @@
 		return conf.Record{}, err
 	}
 	change := value.Change{ID: w.Change, Who: w.Who, At: w.At, Expect: w.Expect, Digest: w.Digest}
-	return conf.Record{Bytes: w.Document, Standing: value.CurrentRecord{Revision: w.Revision, Change: change}}, nil
+	return conf.Record{Bytes: w.Document, Current: value.CurrentRecord{Revision: w.Revision, Change: change}}, nil
 }
--- a/io/admin/query/status.go
+++ b/io/admin/query/status.go
@@ -82,7 +82,7 @@
 			Revision:      f.Instance.Revision,
 			Digest:        f.Instance.Digest,
 			Lag:           f.Lag.String(),
-			SinceLastSeen: f.SinceLastSeen.String(),
+			SinceLastSeen: f.SinceLastContact.String(),
 		})
 	}
 	for _, p := range s.RollOuts {
@@ -116,5 +116,5 @@
 		return query.InstanceStatus{}, fmt.Errorf("decode time since %s was last seen: %w", w.ID, err)
 	}
 	i := value.Instance{ID: w.ID, FailureDomain: w.FailureDomain, State: w.State, Revision: w.Revision, Digest: w.Digest}
-	return query.InstanceStatus{Instance: i, Lag: lag, SinceLastSeen: sinceLastSeen}, nil
+	return query.InstanceStatus{Instance: i, Lag: lag, SinceLastContact: sinceLastSeen}, nil
 }
--- a/io/bills/bench_test.go
+++ b/io/bills/bench_test.go
@@ -27,7 +27,7 @@
 		name   string
 		adjust func(*bills.Config)
 	}{
-		{"single", func(c *bills.Config) { c.Caller = nil; c.SegmentBytes = 1 }},
+		{"single", func(c *bills.Config) { c.Caller = nil; c.MaxSegmentBytes = 1 }},
 		{"grouped", func(c *bills.Config) { c.Caller = nil }},
 		{"copies", func(*bills.Config) {}},
 	}
@@ -35,12 +35,12 @@
 		for _, w := range ways {
 			harness := newHarness(b)
 			harness.adjust = func(c *bills.Config) {
-				c.Backlog, c.HeldEntries, c.SegmentBytes = 1<<20, 1<<20, 256<<10
-				c.Patience = time.Minute
+				c.MaxBacklog, c.MaxHeldEntries, c.MaxSegmentBytes = 1<<20, 1<<20, 256<<10
+				c.StoreTimeout = time.Minute
 				w.adjust(c)
 			}
-			harness.setFaults(fakes.Faults{}.WithDelay(storeLatency))
-			harness.mesh.Set(func(_, _ value.Instance) fakes.Fate { return fakes.Fate{Delay: peerLatency} })
+			harness.setFaults(fakes.StoreFaults{}.WithDelay(storeLatency))
+			harness.mesh.SetDelivery(func(_, _ value.Instance) fakes.Delivery { return fakes.Delivery{Delay: peerLatency} })
 			a := harness.biller("a")
 			harness.biller("b")
 			harness.biller("c")
@@ -49,7 +49,7 @@
 			for i := range callers {
 				group.Go(func() {
 					for n := range each {
-						assert.Check(b, a.Keep(context.Background(), bill(i*each+n)))
+						assert.Check(b, a.Store(context.Background(), bill(i*each+n)))
 					}
 				})
 			}
@@ -72,11 +72,11 @@
 func storedBytes(b *testing.B) float64 {
 	b.Helper()
 	harness := newHarness(b)
-	harness.adjust = func(c *bills.Config) { c.SegmentBytes = 256 << 10 }
+	harness.adjust = func(c *bills.Config) { c.MaxSegmentBytes = 256 << 10 }
 	a := harness.biller("a")
 	harness.biller("b")
 	for i := range 500 {
-		assert.NilError(b, a.Keep(context.Background(), bill(i)))
+		assert.NilError(b, a.Store(context.Background(), bill(i)))
 	}
 	assert.NilError(b, a.Flush(context.Background()))
 	l, err := harness.store.List(context.Background(), "bills/")
@@ -110,33 +110,33 @@
 	b.Helper()
 	harness := newHarness(b)
 	harness.adjust = func(c *bills.Config) {
-		c.Flush = noFlush
-		c.Backlog, c.HeldEntries = 1<<20, 1<<20
-		c.Copies = 1
+		c.FlushInterval = noFlush
+		c.MaxBacklog, c.MaxHeldEntries = 1<<20, 1<<20
+		c.MinCopies = 1
 	}
 	a := harness.biller("a")
 	harness.biller("b")
 	setPartitioned := func(partitioned bool) {
-		harness.mesh.Set(func(_, to value.Instance) fakes.Fate {
-			return fakes.Fate{Delay: peerLatency, Unsent: partitioned && to.ID == "b"}
+		harness.mesh.SetDelivery(func(_, to value.Instance) fakes.Delivery {
+			return fakes.Delivery{Delay: peerLatency, Unsent: partitioned && to.ID == "b"}
 		})
 	}
 	setPartitioned(false)
 	// The holder is unreachable for the last bills, and the store is down, so that they stay in the
 	// tail.
-	harness.setFaults(fakes.Faults{}.WithDown(true))
+	harness.setFaults(fakes.StoreFaults{}.WithDown(true))
 	for i := range tail - missed {
-		assert.NilError(b, a.Keep(context.Background(), bill(i)))
+		assert.NilError(b, a.Store(context.Background(), bill(i)))
 	}
 	setPartitioned(true)
 	cancelled, cancel := context.WithCancel(context.Background())
 	cancel()
 	for i := tail - missed; i < tail; i++ {
 		// The bill is added to the tail, and Keep doesn't wait until it is safe.
-		_ = a.Keep(cancelled, bill(i))
+		_ = a.Store(cancelled, bill(i))
 	}
 	before, start := a.port.Sent().Bytes, time.Now()
 	setPartitioned(false)
-	assert.NilError(b, a.Keep(context.Background(), bill(tail-1)))
+	assert.NilError(b, a.Store(context.Background(), bill(tail-1)))
 	return a.port.Sent().Bytes - before, time.Since(start)
 }
--- a/io/bills/bills.go
+++ b/io/bills/bills.go
@@ -25,26 +25,26 @@
 	// Holders returns the instances that are to store copies. They stay the same as long as the fleet
 	// does.
 	Holders func() []value.Instance
-	// Gone reports whether the holders should write the rest of the instance's chain, because the
+	// NeedsTakeover reports whether the holders should write the rest of the instance's chain, because the
 	// instance has departed or is about to.
-	Gone func(value.InstanceID) bool
-	// Copies is the number of holders that must have a bill before Keep returns.
-	Copies int
-	// Flush returns the time between two flushes; it may change with the size of the fleet.
-	Flush func() time.Duration
-	// Patience limits how long Keep waits.
-	Patience time.Duration
-	// Timeout limits each call to a holder or the store.
-	Timeout time.Duration
-	// Backlog is the maximum number of entries in the tail of this instance. While it is reached,
+	NeedsTakeover func(value.InstanceID) bool
+	// MinCopies is the number of holders that must have a bill before Keep returns.
+	MinCopies int
+	// FlushInterval returns the time between two flushes; it may change with the size of the fleet.
+	FlushInterval func() time.Duration
+	// StoreTimeout limits how long Keep waits.
+	StoreTimeout time.Duration
+	// CallTimeout limits each call to a holder or the store.
+	CallTimeout time.Duration
+	// MaxBacklog is the maximum number of entries in the tail of this instance. While it is reached,
 	// further bills are refused.
-	Backlog int
-	// SegmentBytes is the maximum size of a segment and of a message to a holder.
-	SegmentBytes int
-	// HeldEntries is the maximum number of entries held for each other instance.
-	HeldEntries int
-	Backoff     policy.Backoff
-	Seed        uint64
+	MaxBacklog int
+	// MaxSegmentBytes is the maximum size of a segment and of a message to a holder.
+	MaxSegmentBytes int
+	// MaxHeldEntries is the maximum number of entries held for each other instance.
+	MaxHeldEntries int
+	Backoff        policy.Backoff
+	Seed           uint64
 }
 
 func (c Config) check() error {
@@ -53,14 +53,14 @@
 		return errors.New("bills: instance has no identifier")
 	case c.Store == nil:
 		return errors.New("bills: no store")
-	case c.Holders == nil || c.Gone == nil:
+	case c.Holders == nil || c.NeedsTakeover == nil:
 		return errors.New("bills: functions Holders and Gone are required")
-	case c.Copies < 1 || c.Backlog < 1 || c.HeldEntries < 1:
+	case c.MinCopies < 1 || c.MaxBacklog < 1 || c.MaxHeldEntries < 1:
 		return errors.New("bills: Copies, Backlog and HeldEntries must be positive")
-	case c.Flush == nil || c.Patience <= 0 || c.Timeout <= 0:
+	case c.FlushInterval == nil || c.StoreTimeout <= 0 || c.CallTimeout <= 0:
 		return errors.New("bills: Flush is required, and Patience and Timeout must be positive")
-	case c.SegmentBytes < 1 || c.SegmentBytes > plat.ValueLimit:
-		return fmt.Errorf("bills: segment size of %d bytes is out of range", c.SegmentBytes)
+	case c.MaxSegmentBytes < 1 || c.MaxSegmentBytes > plat.ValueLimit:
+		return fmt.Errorf("bills: segment size of %d bytes is out of range", c.MaxSegmentBytes)
 	}
 	return nil
 }
@@ -127,16 +127,16 @@
 // Run flushes the tail of this instance and the tails of departed instances until the context ends.
 func (b *Biller) Run(ctx context.Context) {
 	// The first delay is random, so that the instances don't write at the same times.
-	delay := b.randomDelay(b.config.Flush())
+	delay := b.randomDelay(b.config.FlushInterval())
 	for {
-		if !clock.Passed(ctx, delay) {
+		if !clock.WaitFully(ctx, delay) {
 			return
 		}
 		// Entries that a failed flush did not write are written by the next flush.
 		_ = b.Flush(ctx)
 		_ = b.takeOverTails(ctx)
 		b.startSenders()
-		delay = b.config.Flush()
+		delay = b.config.FlushInterval()
 	}
 }
 
@@ -150,20 +150,20 @@
 	b.background.Wait()
 }
 
-// Keep stores the bill and returns once it survives the loss of this instance; the error is a
+// Store stores the bill and returns once it survives the loss of this instance; the error is a
 // value.Refusal.
 //
 // A bill whose wait ends too early stays in the tail and is still stored later, because its attempt
 // has taken place. Only a bill that finds the backlog full is not added to the tail.
-func (b *Biller) Keep(ctx context.Context, bill value.Bill) error {
+func (b *Biller) Store(ctx context.Context, bill value.Bill) error {
 	sequence, err := b.addToTail(bill)
 	if err != nil {
 		return err
 	}
-	if b.startSenders() < b.config.Copies {
+	if b.startSenders() < b.config.MinCopies {
 		b.flushSoon()
 	}
-	ctx, cancel := context.WithTimeout(ctx, b.config.Patience)
+	ctx, cancel := context.WithTimeout(ctx, b.config.StoreTimeout)
 	defer cancel()
 	for {
 		safe, progress := b.lastSafe()
@@ -178,20 +178,20 @@
 	}
 }
 
-// Unsafe returns the number of bills that would be lost with this instance.
-func (b *Biller) Unsafe() int {
+// UnsafeCount returns the number of bills that would be lost with this instance.
+func (b *Biller) UnsafeCount() int {
 	safe, _ := b.lastSafe()
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return int(max(b.tail.Last()-safe, 0))
 }
 
-// Ready reports whether the backlog has capacity for a further bill. Otherwise new requests must be
+// HasCapacity reports whether the backlog has capacity for a further bill. Otherwise new requests must be
 // refused.
-func (b *Biller) Ready() bool {
+func (b *Biller) HasCapacity() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.tail.Len() < b.config.Backlog
+	return b.tail.Len() < b.config.MaxBacklog
 }
 
 // newRefusal returns the refusal of a request whose bill could not be stored.
@@ -207,7 +207,7 @@
 	if n, ok := b.tail.Find(bill.Request); ok {
 		return n, nil
 	}
-	if b.tail.Len() >= b.config.Backlog {
+	if b.tail.Len() >= b.config.MaxBacklog {
 		return 0, newRefusal("too many bills wait to be kept")
 	}
 	b.tail = b.tail.With(bill)
@@ -223,7 +223,7 @@
 	for _, h := range b.holders {
 		acked = append(acked, h.acked)
 	}
-	return max(b.tail.Flushed(), nthHighest(acked, b.config.Copies)), b.progress
+	return max(b.tail.Flushed(), nthHighest(acked, b.config.MinCopies)), b.progress
 }
 
 // notifyProgress wakes the goroutines that wait for bills to become safe; it is called with the
--- a/io/bills/bills_test.go
+++ b/io/bills/bills_test.go
@@ -18,7 +18,7 @@
 func keep(t *testing.T, b biller, from, to int) {
 	t.Helper()
 	for i := from; i < to; i++ {
-		assert.NilError(t, b.Keep(t.Context(), bill(i)))
+		assert.NilError(t, b.Store(t.Context(), bill(i)))
 	}
 }
 
@@ -29,12 +29,12 @@
 		harness.biller("b")
 		harness.biller("c")
 		keep(t, a, 0, 100)
-		assert.Equal(t, a.Unsafe(), 0)
+		assert.Equal(t, a.UnsafeCount(), 0)
 		harness.kill(a, "a")
 		assert.Equal(t, len(harness.audit(100).Missing), 100, "nothing has been flushed yet")
 		time.Sleep(3 * flushInterval)
 		got := harness.audit(100)
-		assert.Assert(t, got.Clean(), "%+v", got)
+		assert.Assert(t, got.IsClean(), "%+v", got)
 	})
 }
 
@@ -46,27 +46,27 @@
 		a := harness.biller("a")
 		harness.biller("b")
 		keep(t, a, 0, 10)
-		harness.setFaults(fakes.Faults{}.WithDown(true))
+		harness.setFaults(fakes.StoreFaults{}.WithDown(true))
 		harness.kill(a, "a")
 		time.Sleep(3 * flushInterval)
 		harness.mu.Lock()
 		delete(harness.gone, "a")
 		harness.mu.Unlock()
 		time.Sleep(10 * time.Minute)
-		harness.setFaults(fakes.Faults{})
+		harness.setFaults(fakes.StoreFaults{})
 		time.Sleep(2 * flushInterval)
 		got := harness.audit(10)
-		assert.Assert(t, got.Clean(), "%+v", got)
+		assert.Assert(t, got.IsClean(), "%+v", got)
 	})
 }
 
 func TestConcurrentFlushByOwnerAndHoldersStoresEachBillOnce(t *testing.T) {
-	for name, f := range map[string]fakes.Faults{
+	for name, f := range map[string]fakes.StoreFaults{
 		"store healthy":                  {},
-		"answers of the store lost":      fakes.Faults{}.WithLostAnswers(5),
-		"store slow":                     fakes.Faults{}.WithDelay(700 * time.Millisecond),
-		"store slower than call timeout": fakes.Faults{}.WithDelay(1500 * time.Millisecond),
-		"reads of the store stale":       fakes.Faults{}.WithStale(true),
+		"answers of the store lost":      fakes.StoreFaults{}.WithLostAnswers(5),
+		"store slow":                     fakes.StoreFaults{}.WithDelay(700 * time.Millisecond),
+		"store slower than call timeout": fakes.StoreFaults{}.WithDelay(1500 * time.Millisecond),
+		"reads of the store stale":       fakes.StoreFaults{}.WithStale(true),
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -81,14 +81,14 @@
 				harness.gone["a"] = true
 				harness.mu.Unlock()
 				for i := 60; i < 200; i++ {
-					assert.NilError(t, a.Keep(t.Context(), bill(i)))
+					assert.NilError(t, a.Store(t.Context(), bill(i)))
 					time.Sleep(100 * time.Millisecond)
 				}
-				harness.setFaults(fakes.Faults{})
+				harness.setFaults(fakes.StoreFaults{})
 				time.Sleep(3 * flushInterval)
 				assert.NilError(t, a.Flush(t.Context()))
 				got := harness.audit(200)
-				assert.Assert(t, got.Clean(), "missing %d, doubled %d, unknown %d", len(got.Missing), len(got.Duplicated), len(got.Unknown))
+				assert.Assert(t, got.IsClean(), "missing %d, doubled %d, unknown %d", len(got.Missing), len(got.Duplicated), len(got.Unknown))
 				assert.Equal(t, len(got.Charges), 200)
 			})
 		})
@@ -100,24 +100,24 @@
 		harness := newHarness(t)
 		a := harness.biller("a")
 		harness.biller("b")
-		harness.setFaults(fakes.Faults{}.WithDown(true))
+		harness.setFaults(fakes.StoreFaults{}.WithDown(true))
 		for i := range 100 {
 			keep(t, a, i, i+1)
 			time.Sleep(500 * time.Millisecond)
 		}
-		harness.setFaults(fakes.Faults{})
+		harness.setFaults(fakes.StoreFaults{})
 		time.Sleep(2 * flushInterval)
 		got := harness.audit(100)
-		assert.Assert(t, got.Clean(), "%+v", got)
+		assert.Assert(t, got.IsClean(), "%+v", got)
 	})
 }
 
 func TestKeepSucceedsThroughStoreWhileHoldersAreUnreachable(t *testing.T) {
-	for name, f := range map[string]fakes.Faults{
+	for name, f := range map[string]fakes.StoreFaults{
 		"store healthy":             {},
-		"answers of the store lost": fakes.Faults{}.WithLostAnswers(3),
-		"store slow":                fakes.Faults{}.WithDelay(700 * time.Millisecond),
-		"reads of the store stale":  fakes.Faults{}.WithStale(true),
+		"answers of the store lost": fakes.StoreFaults{}.WithLostAnswers(3),
+		"store slow":                fakes.StoreFaults{}.WithDelay(700 * time.Millisecond),
+		"reads of the store stale":  fakes.StoreFaults{}.WithStale(true),
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -127,9 +127,9 @@
 				harness.setPartitioned(true)
 				harness.setFaults(f)
 				keep(t, a, 0, 5)
-				harness.setFaults(fakes.Faults{})
+				harness.setFaults(fakes.StoreFaults{})
 				got := harness.audit(5)
-				assert.Assert(t, got.Clean(), "%+v", got)
+				assert.Assert(t, got.IsClean(), "%+v", got)
 			})
 		})
 	}
@@ -138,29 +138,29 @@
 func TestKeepFailsWhileStoreAndHoldersAreUnreachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		harness := newHarness(t)
-		harness.adjust = func(c *bills.Config) { c.Backlog = 3 }
+		harness.adjust = func(c *bills.Config) { c.MaxBacklog = 3 }
 		a := harness.biller("a")
 		harness.biller("b")
 		harness.setPartitioned(true)
-		harness.setFaults(fakes.Faults{}.WithDown(true))
+		harness.setFaults(fakes.StoreFaults{}.WithDown(true))
 		for i := range 3 {
-			assert.Assert(t, a.Ready())
-			err := a.Keep(t.Context(), bill(i))
+			assert.Assert(t, a.HasCapacity())
+			err := a.Store(t.Context(), bill(i))
 			var refusal value.Refusal
 			assert.Assert(t, errors.As(err, &refusal), "%v", err)
 			assert.Equal(t, refusal.Reason, value.ReasonBillNotStored)
 			assert.Assert(t, !refusal.NotRun)
 		}
-		assert.Assert(t, !a.Ready(), "the backlog is bounded")
-		assert.ErrorContains(t, a.Keep(t.Context(), bill(3)), "too many bills")
-		assert.Equal(t, a.Unsafe(), 3)
+		assert.Assert(t, !a.HasCapacity(), "the backlog is bounded")
+		assert.ErrorContains(t, a.Store(t.Context(), bill(3)), "too many bills")
+		assert.Equal(t, a.UnsafeCount(), 3)
 		harness.setPartitioned(false)
-		harness.setFaults(fakes.Faults{})
+		harness.setFaults(fakes.StoreFaults{})
 		time.Sleep(2 * flushInterval)
-		assert.Equal(t, a.Unsafe(), 0)
-		assert.Assert(t, a.Ready())
+		assert.Equal(t, a.UnsafeCount(), 0)
+		assert.Assert(t, a.HasCapacity())
 		got := harness.audit(3)
-		assert.Assert(t, got.Clean(), "%+v", got)
+		assert.Assert(t, got.IsClean(), "%+v", got)
 	})
 }
 
@@ -174,7 +174,7 @@
 		keep(t, a, 0, 1)
 		late := bill(1).WithCost(999)
 		late.At = late.At.Add(time.Minute)
-		assert.NilError(t, b.Keep(t.Context(), late))
+		assert.NilError(t, b.Store(t.Context(), late))
 		time.Sleep(2 * flushInterval)
 		got := harness.audit(2)
 		assert.Equal(t, len(got.Charges), 2)
@@ -199,25 +199,25 @@
 		keep(t, a, 20, 40)
 		time.Sleep(3 * flushInterval)
 		got := harness.audit(40)
-		assert.Assert(t, got.Clean(), "%+v", got)
+		assert.Assert(t, got.IsClean(), "%+v", got)
 	})
 }
 
 func TestReconnectedHolderReceivesOnlyMissingEntries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		harness := newHarness(t)
-		harness.adjust = func(c *bills.Config) { c.Flush = noFlush }
+		harness.adjust = func(c *bills.Config) { c.FlushInterval = noFlush }
 		a := harness.biller("a")
 		harness.biller("b")
 		harness.biller("c")
 		keep(t, a, 0, 400)
 		// Keep waits for one holder only; the other receives its copy a little later.
 		synctest.Wait()
-		dropToB := func(_, to value.Instance) fakes.Fate { return fakes.Fate{Unsent: to.ID == "b"} }
-		harness.mesh.Set(dropToB)
+		dropToB := func(_, to value.Instance) fakes.Delivery { return fakes.Delivery{Unsent: to.ID == "b"} }
+		harness.mesh.SetDelivery(dropToB)
 		keep(t, a, 400, 420)
 		before := a.port.Sent()
-		harness.mesh.Set(func(_, _ value.Instance) fakes.Fate { return fakes.Fate{} })
+		harness.mesh.SetDelivery(func(_, _ value.Instance) fakes.Delivery { return fakes.Delivery{} })
 		time.Sleep(5 * time.Second)
 		keep(t, a, 420, 421)
 		synctest.Wait()
--- a/io/bills/copy.go
+++ b/io/bills/copy.go
@@ -104,7 +104,7 @@
 		h.sending = false
 		return wireCopy{}, false
 	}
-	entries := b.tail.Since(h.acked, b.config.SegmentBytes)
+	entries := b.tail.Since(h.acked, b.config.MaxSegmentBytes)
 	return wireCopy{Owner: b.config.Self.ID, Flushed: b.tail.Flushed(), Entries: entries}, true
 }
 
@@ -114,18 +114,18 @@
 	b.mu.Lock()
 	d := b.config.Backoff.Delay(b.rnd)
 	b.mu.Unlock()
-	clock.Passed(b.ctx, d)
+	clock.WaitFully(b.ctx, d)
 	b.mu.Lock()
 	h.sending = false
 	b.mu.Unlock()
-	if b.Unsafe() > 0 {
+	if b.UnsafeCount() > 0 {
 		b.startSenders()
 	}
 }
 
 // sendCopy sends the entries to the holder and returns its last sequence number.
 func (b *Biller) sendCopy(to value.Instance, c wireCopy) (int64, error) {
-	ctx, cancel := context.WithTimeout(b.ctx, b.config.Timeout)
+	ctx, cancel := context.WithTimeout(b.ctx, b.config.CallTimeout)
 	defer cancel()
 	reply, err := appendMethod.Call(ctx, b.config.Caller, to, c)
 	if err != nil {
@@ -152,7 +152,7 @@
 		held.tail = ledger.NewTail(c.Owner, c.Flushed)
 	}
 	t := held.tail.WithFlushed(c.Flushed)
-	if t.Len()+len(c.Entries) > b.config.HeldEntries {
+	if t.Len()+len(c.Entries) > b.config.MaxHeldEntries {
 		return wireHave{}, errHeldTailFull
 	}
 	t = t.WithCopies(c.Entries)
--- a/io/bills/flush.go
+++ b/io/bills/flush.go
@@ -25,7 +25,7 @@
 		if tail.Len() == 0 {
 			return nil
 		}
-		last, err := b.writeSegment(ctx, tail.Segment(b.config.SegmentBytes))
+		last, err := b.writeSegment(ctx, tail.Segment(b.config.MaxSegmentBytes))
 		if err != nil {
 			return err
 		}
@@ -68,7 +68,7 @@
 	if err != nil {
 		return 0, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, b.config.Timeout)
+	ctx, cancel := context.WithTimeout(ctx, b.config.CallTimeout)
 	defer cancel()
 	_, err = b.config.Store.Swap(ctx, plat.Swap{Key: segmentKey(s.Owner, s.First()), Value: body})
 	var conflict plat.Conflict
@@ -78,13 +78,13 @@
 		}
 		return s.Last(), nil
 	}
-	stored, err := decodeSegment(conflict.Present)
+	stored, err := decodeSegment(conflict.Current)
 	if err != nil {
 		return 0, err
 	}
 	if stored.Owner != s.Owner || stored.First() != s.First() {
 		return 0, fmt.Errorf("segment %s does not match its key: it starts at sequence number %d or has another owner",
-			conflict.Present.Key, stored.First())
+			conflict.Current.Key, stored.First())
 	}
 	return stored.Last(), nil
 }
@@ -106,7 +106,7 @@
 	defer b.mu.Unlock()
 	var list []ledger.Tail
 	for id, c := range b.heldTails {
-		c.orphan = c.orphan || b.config.Gone(id)
+		c.orphan = c.orphan || b.config.NeedsTakeover(id)
 		b.heldTails[id] = c
 		if c.orphan {
 			list = append(list, c.tail)
@@ -123,7 +123,7 @@
 	}
 	t = t.WithFlushed(last)
 	for t.Len() > 0 {
-		last, err := b.writeSegment(ctx, t.Segment(b.config.SegmentBytes))
+		last, err := b.writeSegment(ctx, t.Segment(b.config.MaxSegmentBytes))
 		if err != nil {
 			return err
 		}
@@ -141,7 +141,7 @@
 // lastStored returns the last sequence number of the owner's chain in the store, or zero where
 // there is no chain.
 func (b *Biller) lastStored(ctx context.Context, owner value.InstanceID) (int64, error) {
-	ctx, cancel := context.WithTimeout(ctx, b.config.Timeout)
+	ctx, cancel := context.WithTimeout(ctx, b.config.CallTimeout)
 	defer cancel()
 	l, err := b.config.Store.List(ctx, ownerPrefix(owner))
 	if err != nil {
@@ -157,8 +157,8 @@
 	return s.Last(), nil
 }
 
-// Read returns the segments of all instances that are in the store.
-func Read(ctx context.Context, r plat.Reader) ([]ledger.Segment, error) {
+// ReadSegments returns the segments of all instances that are in the store.
+func ReadSegments(ctx context.Context, r plat.Reader) ([]ledger.Segment, error) {
 	l, err := r.List(ctx, storePrefix)
 	if err != nil {
 		return nil, fmt.Errorf("read bills: %w", err)
--- a/io/bills/rig_test.go
+++ b/io/bills/rig_test.go
@@ -74,20 +74,20 @@
 			}
 			return others[:min(len(others), 2)]
 		},
-		Gone: func(id value.InstanceID) bool {
+		NeedsTakeover: func(id value.InstanceID) bool {
 			h.mu.Lock()
 			defer h.mu.Unlock()
 			return h.gone[id]
 		},
-		Copies:       1,
-		Flush:        func() time.Duration { return flushInterval },
-		Patience:     2 * time.Second,
-		Timeout:      time.Second,
-		Backlog:      1000,
-		SegmentBytes: 8 << 10,
-		HeldEntries:  1000,
-		Backoff:      policy.Backoff{First: 100 * time.Millisecond, Limit: time.Second},
-		Seed:         uint64(len(id)),
+		MinCopies:       1,
+		FlushInterval:   func() time.Duration { return flushInterval },
+		StoreTimeout:    2 * time.Second,
+		CallTimeout:     time.Second,
+		MaxBacklog:      1000,
+		MaxSegmentBytes: 8 << 10,
+		MaxHeldEntries:  1000,
+		Backoff:         policy.Backoff{InitialDelay: 100 * time.Millisecond, MaxDelay: time.Second},
+		Seed:            uint64(len(id)),
 	}
 	h.adjust(&c)
 	b, err := bills.New(c)
@@ -119,20 +119,20 @@
 	}
 }
 
-func (h *billsHarness) setFaults(f fakes.Faults) {
+func (h *billsHarness) setFaults(f fakes.StoreFaults) {
 	h.t.Helper()
-	assert.NilError(h.t, h.store.Set(f))
+	assert.NilError(h.t, h.store.SetFaults(f))
 }
 
 // setPartitioned makes every instance unreachable to the others, or reachable again.
 func (h *billsHarness) setPartitioned(partitioned bool) {
-	h.mesh.Set(func(_, _ value.Instance) fakes.Fate { return fakes.Fate{Unsent: partitioned} })
+	h.mesh.SetDelivery(func(_, _ value.Instance) fakes.Delivery { return fakes.Delivery{Unsent: partitioned} })
 }
 
 // audit reconciles the bills in the store with the answered requests 0 to n-1.
 func (h *billsHarness) audit(n int) query.Audit {
 	h.t.Helper()
-	segments, err := bills.Read(context.Background(), h.store)
+	segments, err := bills.ReadSegments(context.Background(), h.store)
 	assert.NilError(h.t, err)
 	var answered []value.RequestID
 	for i := range n {
--- a/io/bills/slope_test.go
+++ b/io/bills/slope_test.go
@@ -21,13 +21,13 @@
 			for b.Loop() {
 				harness := newHarness(b)
 				harness.adjust = func(c *bills.Config) {
-					c.Backlog, c.HeldEntries, c.SegmentBytes, c.Flush = 2*n, 2*n, 256<<10, noFlush
+					c.MaxBacklog, c.MaxHeldEntries, c.MaxSegmentBytes, c.FlushInterval = 2*n, 2*n, 256<<10, noFlush
 				}
 				owner := harness.biller("a")
 				harness.biller("b")
 				harness.biller("c")
 				for i := range n {
-					assert.NilError(b, owner.Keep(context.Background(), slopeBill(i)))
+					assert.NilError(b, owner.Store(context.Background(), slopeBill(i)))
 				}
 				before := harness.store.Writes()
 				assert.NilError(b, owner.Flush(context.Background()))
--- a/io/carry/attempt.go
+++ b/io/carry/attempt.go
@@ -133,8 +133,8 @@
 		return false
 	}
 	observed := query.ObservedAnswer{
-		Step: a.step, Confidence: answer.Confidence, Sends: a.attempts.With(query.EndedDropped),
-		Left: a.timeLeft(ctx), Throttle: a.dispatcher.throttles.Get(a.service).Value(),
+		Step: a.step, Confidence: answer.Confidence, Attempts: a.attempts.With(query.EndedDropped),
+		TimeLeft: a.timeLeft(ctx), Throttle: a.dispatcher.throttles.Get(a.service).Value(),
 	}
 	next, ok := query.StepUp(route, observed, a.confidenceGain)
 	if !ok || !a.dispatcher.spendBudget(a.service, useStepUp) {
--- a/io/carry/prefill.go
+++ b/io/carry/prefill.go
@@ -17,7 +17,7 @@
 )
 
 // timePerTokenConfig takes a low quantile, the time per token of attempts that hardly had to queue.
-var timePerTokenConfig = policy.QuantileConfig{Of: 0.2, Step: 0.1, MinSamples: 3}
+var timePerTokenConfig = policy.QuantileConfig{Level: 0.2, Step: 0.1, MinSamples: 3}
 
 // prefillRates estimates how long each model takes to process a prompt token.
 type prefillRates struct {
--- a/io/clock/clock.go
+++ b/io/clock/clock.go
@@ -20,8 +20,8 @@
 	}
 }
 
-// Passed waits like Wait, as the condition of a loop: it reports whether the duration passed before
+// WaitFully waits like Wait, as the condition of a loop: it reports whether the duration passed before
 // the context ended.
-func Passed(ctx context.Context, d time.Duration) bool {
+func WaitFully(ctx context.Context, d time.Duration) bool {
 	return Wait(ctx, d) == nil
 }
--- a/io/conf/keep.go
+++ b/io/conf/keep.go
@@ -13,11 +13,11 @@
 // retries later.
 const maxStoreAttempts = 4
 
-// KeepProgress stores a roll-out's progress if it supersedes the current record, and returns the
+// StoreProgress stores a roll-out's progress if it supersedes the current record, and returns the
 // record that is current afterwards.
 //
 // It is idempotent: a record that is already current stays in place.
-func KeepProgress(ctx context.Context, store plat.Store, e value.Environment, p value.Progress) (value.Progress, error) {
+func StoreProgress(ctx context.Context, store plat.Store, e value.Environment, p value.Progress) (value.Progress, error) {
 	return storeUnlessNewer(ctx, store, storeRequest[wireProgress]{
 		key:   RollOutKey(e, p.Name),
 		value: wireProgress(p),
@@ -27,9 +27,9 @@
 	}, func(w wireProgress) value.Progress { return value.Progress(w) })
 }
 
-// KeepWithdrawal stores a version's withdrawal unless there is one, since a withdrawal is final,
+// StoreWithdrawal stores a version's withdrawal unless there is one, since a withdrawal is final,
 // and returns the one that is current afterwards.
-func KeepWithdrawal(ctx context.Context, store plat.Store, e value.Environment, w value.Withdrawal) (value.Withdrawal, error) {
+func StoreWithdrawal(ctx context.Context, store plat.Store, e value.Environment, w value.Withdrawal) (value.Withdrawal, error) {
 	return storeUnlessNewer(ctx, store, storeRequest[wireWithdrawal]{
 		key:      WithdrawalKey(e, w.Version),
 		value:    wireWithdrawal(w),
--- a/io/conf/keep_test.go
+++ b/io/conf/keep_test.go
@@ -18,7 +18,7 @@
 	store := fakes.NewStore(inner)
 	keep := func(p value.Progress) value.Progress {
 		p.Name, p.Version = "r", "m/v"
-		stored, err := conf.KeepProgress(t.Context(), store, "trial", p)
+		stored, err := conf.StoreProgress(t.Context(), store, "trial", p)
 		assert.NilError(t, err)
 		return stored
 	}
@@ -26,7 +26,7 @@
 	assert.Equal(t, keep(staged).Epoch, int64(2))
 	assert.Equal(t, keep(value.Progress{Phase: value.PhaseStaged, Epoch: 1}).Epoch, int64(2), "older progress must not replace the current record")
 
-	assert.NilError(t, store.Set(fakes.Faults{LostAnswers: 1}))
+	assert.NilError(t, store.SetFaults(fakes.StoreFaults{LostAnswers: 1}))
 	before := store.Writes()
 	assert.Equal(t, keep(value.Progress{Phase: value.PhaseStaged, Epoch: 3}).Epoch, int64(3))
 	assert.Equal(t, store.Writes(), before+1, "a write whose answer was lost must be read back, not repeated")
@@ -40,7 +40,7 @@
 	store, err := plat.NewEmbedded(plat.EmbeddedConfig{Now: time.Now, History: 16})
 	assert.NilError(t, err)
 	for _, reason := range []value.Reason{value.ReasonQuality, value.ReasonOperator} {
-		stored, err := conf.KeepWithdrawal(t.Context(), store, "trial", value.Withdrawal{Version: "m/v", Reason: reason})
+		stored, err := conf.StoreWithdrawal(t.Context(), store, "trial", value.Withdrawal{Version: "m/v", Reason: reason})
 		assert.NilError(t, err)
 		assert.Equal(t, stored.Reason, value.ReasonQuality)
 	}
--- a/io/conf/record.go
+++ b/io/conf/record.go
@@ -15,8 +15,8 @@
 
 // Record is a document's bytes with the changes that led to it, as stored in the key-value service.
 type Record struct {
-	Bytes    []byte
-	Standing value.CurrentRecord
+	Bytes   []byte
+	Current value.CurrentRecord
 }
 
 // wireRecord is the record's format. It holds the document's bytes unchanged, so that their digest
@@ -38,19 +38,19 @@
 // WithChange returns the record that the change replaces this one by, with the bytes as its
 // document. The replaced record's change becomes the first of the change history.
 func (r Record) WithChange(data []byte, change value.Change) Record {
-	history := r.Standing.History
-	if r.Standing.Revision > 0 {
-		history = append([]value.Change{r.Standing.Change}, history...)
+	history := r.Current.History
+	if r.Current.Revision > 0 {
+		history = append([]value.Change{r.Current.Change}, history...)
 	}
 	history = history[:min(len(history), historyLength)]
-	return Record{Bytes: data, Standing: value.CurrentRecord{Change: change, History: history}}
+	return Record{Bytes: data, Current: value.CurrentRecord{Change: change, History: history}}
 }
 
 // Encode encodes the record for the key-value service.
 func (r Record) Encode() ([]byte, error) {
 	wire := wireRecord{
-		Change:   toWireChange(r.Standing.Change),
-		Trail:    convert(r.Standing.History, toWireChange),
+		Change:   toWireChange(r.Current.Change),
+		Trail:    convert(r.Current.History, toWireChange),
 		Document: r.Bytes,
 	}
 	data, err := json.Marshal(wire)
@@ -76,7 +76,7 @@
 	}
 	return Record{
 		Bytes: wire.Document,
-		Standing: value.CurrentRecord{
+		Current: value.CurrentRecord{
 			Revision: e.Revision,
 			Change:   fromWireChange(wire.Change),
 			History:  convert(wire.Trail, fromWireChange),
@@ -90,7 +90,7 @@
 	if err != nil {
 		return value.AcceptedDocument{}, fmt.Errorf("parse kept document: %w", err)
 	}
-	return value.AcceptedDocument{Document: d, Digest: r.Standing.Change.Digest, Revision: r.Standing.Revision}, nil
+	return value.AcceptedDocument{Document: d, Digest: r.Current.Change.Digest, Revision: r.Current.Revision}, nil
 }
 
 // Load reads the environment's record from the key-value service.
--- a/io/conf/rules.go
+++ b/io/conf/rules.go
@@ -48,7 +48,7 @@
 			return fmt.Sprintf("%q is no version: it must be written as model/version", s)
 		}
 	case "priority":
-		if !value.Priority(s).Valid() {
+		if !value.Priority(s).IsValid() {
 			return fmt.Sprintf("%q is no priority: Status, Interactive or Draft", s)
 		}
 	case "hash":
--- a/io/engine/errors.go
+++ b/io/engine/errors.go
@@ -21,25 +21,25 @@
 	return fmt.Sprintf("fencing token %d is stale: server has seen %d", s.Sent, s.Highest)
 }
 
-// BadStatus is the error of an answer whose status means that the call failed.
-type BadStatus struct {
+// StatusError is the error of an answer whose status means that the call failed.
+type StatusError struct {
 	Status int
 	Detail string
 }
 
 // Error gives the status and the start of the answer's body.
-func (b BadStatus) Error() string {
+func (b StatusError) Error() string {
 	return fmt.Sprintf("backend server answered %d: %s", b.Status, b.Detail)
 }
 
 // Permanent reports whether the request itself caused the failure, so that a retry at another server
 // would fail too.
-func (b BadStatus) Permanent() bool {
+func (b StatusError) Permanent() bool {
 	return b.Status >= http.StatusBadRequest && b.Status < http.StatusInternalServerError &&
 		b.Status != http.StatusTooManyRequests && b.Status != http.StatusRequestTimeout
 }
 
 // Overloaded reports whether the server refused the call for lack of capacity.
-func (b BadStatus) Overloaded() bool {
+func (b StatusError) Overloaded() bool {
 	return b.Status == http.StatusTooManyRequests || b.Status == http.StatusServiceUnavailable
 }
--- a/io/engine/http_test.go
+++ b/io/engine/http_test.go
@@ -59,17 +59,17 @@
 	for _, stream := range []bool{false, true} {
 		chat := &fakes.Chat{Name: "x"}
 		a, b := newAdapter(t, chat)
-		chat.Break(fakes.FaultAnother)
+		chat.SetFault(fakes.FaultWrongRequest)
 		_, err := a.Start(t.Context(), b, chatCall(stream))
 		assert.ErrorIs(t, err, engine.ErrMismatch)
-		chat.Break(fakes.FaultBusy)
+		chat.SetFault(fakes.FaultBusy)
 		_, err = a.Start(t.Context(), b, chatCall(stream))
-		var status engine.BadStatus
+		var status engine.StatusError
 		assert.Assert(t, errors.As(err, &status) && !status.Permanent())
-		chat.Break(fakes.FaultInvalid)
+		chat.SetFault(fakes.FaultInvalid)
 		_, err = a.Start(t.Context(), b, chatCall(stream))
 		assert.Assert(t, errors.As(err, &status) && status.Permanent())
-		chat.Break(fakes.FaultReset)
+		chat.SetFault(fakes.FaultReset)
 		_, err = a.Start(t.Context(), b, chatCall(stream))
 		assert.Assert(t, err != nil && !errors.Is(err, engine.ErrNotSent))
 	}
@@ -77,12 +77,12 @@
 
 func TestTruncatedStreamReturnsErrCutOff(t *testing.T) {
 	chat := &fakes.Chat{Name: "x"}
-	chat.Break(fakes.FaultCut)
+	chat.SetFault(fakes.FaultTruncate)
 	a, b := newAdapter(t, chat)
 	answer, err := a.Start(t.Context(), b, chatCall(true))
 	assert.NilError(t, err)
 	n, err := drain(t.Context(), answer)
-	assert.ErrorIs(t, err, engine.ErrCutOff)
+	assert.ErrorIs(t, err, engine.ErrTruncated)
 	assert.Assert(t, n > 0)
 }
 
@@ -117,9 +117,9 @@
 func TestStaleOrderIsRefusedAndLoadedVersionsAreListed(t *testing.T) {
 	chat := &fakes.Chat{Name: "x", Fencing: true}
 	a, b := newAdapter(t, chat)
-	load := engine.Order{Verb: engine.OrderLoad, Version: "m/v2", Fence: 7}
+	load := engine.Order{Verb: engine.OrderLoad, Version: "m/v2", FencingToken: 7}
 	assert.NilError(t, a.Send(t.Context(), b, load))
-	load.Fence = 6
+	load.FencingToken = 6
 	err := a.Send(t.Context(), b, load)
 	var stale engine.StaleTokenError
 	assert.Assert(t, errors.As(err, &stale))
@@ -127,7 +127,7 @@
 	loaded, err := a.Carried(t.Context(), b)
 	assert.NilError(t, err)
 	assert.DeepEqual(t, loaded, []value.VersionKey{"m/v2"})
-	err = a.Send(t.Context(), b, engine.Order{Verb: engine.OrderRole, Role: "prefill", Fence: 8})
+	err = a.Send(t.Context(), b, engine.Order{Verb: engine.OrderRole, Role: "prefill", FencingToken: 8})
 	assert.ErrorIs(t, err, engine.ErrUnsupported)
 }
 
--- a/io/engine/openai.go
+++ b/io/engine/openai.go
@@ -192,5 +192,5 @@
 	if err != nil {
 		detail = []byte(err.Error())
 	}
-	return BadStatus{Status: resp.StatusCode, Detail: string(detail)}
+	return StatusError{Status: resp.StatusCode, Detail: string(detail)}
 }
--- a/io/engine/order.go
+++ b/io/engine/order.go
@@ -46,7 +46,7 @@
 		return fmt.Errorf("address %s: %w", b.Address, err)
 	}
 	req.Header.Set("Content-Type", jsonType)
-	req.Header.Set(headerFencingToken, strconv.FormatInt(o.Fence, 10))
+	req.Header.Set(headerFencingToken, strconv.FormatInt(o.FencingToken, 10))
 	resp, err := h.pooled.Do(req)
 	if err != nil {
 		return fmt.Errorf("send order to %s: %w", b.ID, markNotSent(err))
@@ -62,7 +62,7 @@
 	highest, err := strconv.ParseInt(resp.Header.Get(headerHighestToken), 10, 64)
 	if resp.StatusCode == http.StatusConflict && err == nil {
 		_ = resp.Body.Close()
-		return StaleTokenError{Sent: o.Fence, Highest: highest}
+		return StaleTokenError{Sent: o.FencingToken, Highest: highest}
 	}
 	if resp.StatusCode != http.StatusOK {
 		return badStatus(resp)
--- a/io/engine/port.go
+++ b/io/engine/port.go
@@ -11,8 +11,8 @@
 // ErrNotSent is wrapped by the errors of calls of which the backend server received nothing.
 var ErrNotSent = errors.New("nothing was sent to the backend server")
 
-// ErrCutOff is wrapped by the errors of answers that ended before they were complete.
-var ErrCutOff = errors.New("answer cut off")
+// ErrTruncated is wrapped by the errors of answers that ended before they were complete.
+var ErrTruncated = errors.New("answer cut off")
 
 // ErrUnsupported is wrapped by the errors of operations that the backend server's protocol lacks.
 var ErrUnsupported = errors.New("not supported by the backend server")
@@ -73,8 +73,8 @@
 	Start(ctx context.Context, b value.BackendServer, c Call) (Answer, error)
 }
 
-// Report is the load that a backend server reports: its running and queued requests at a time.
-type Report struct {
+// LoadReport is the load that a backend server reports: its running and queued requests at a time.
+type LoadReport struct {
 	Server  value.ServerID
 	Running int
 	Queued  int
@@ -86,7 +86,7 @@
 type CacheEvent struct {
 	Server  value.ServerID
 	Prefix  uint64
-	Held    bool
+	Cached  bool
 	At      time.Time
 	Ordinal int64
 }
@@ -94,7 +94,7 @@
 // Reporter reads the reports of backend servers.
 type Reporter interface {
 	// Load returns the server's latest load report.
-	Load(ctx context.Context, b value.BackendServer) (Report, error)
+	Load(ctx context.Context, b value.BackendServer) (LoadReport, error)
 	// CacheEvents returns the events whose ordinals are greater than the given one.
 	CacheEvents(ctx context.Context, b value.BackendServer, afterOrdinal int64) ([]CacheEvent, error)
 }
@@ -114,17 +114,17 @@
 	Verb    OrderVerb
 	Version value.VersionKey
 	Role    string
-	// Fence is the fencing token; a server that checks it refuses a token lower than its highest so
+	// FencingToken is the fencing token; a server that checks it refuses a token lower than its highest so
 	// far.
-	Fence int64
+	FencingToken int64
 }
 
 // Commander sends orders to backend servers.
 type Commander interface {
 	// Send delivers the order; the error wraps a StaleTokenError if the server refuses the token.
 	Send(ctx context.Context, b value.BackendServer, o Order) error
-	// Carried returns the versions that the server has loaded.
-	Carried(ctx context.Context, b value.BackendServer) ([]value.VersionKey, error)
+	// LoadedVersions returns the versions that the server has loaded.
+	LoadedVersions(ctx context.Context, b value.BackendServer) ([]value.VersionKey, error)
 }
 
 // CacheMover transfers the KV cache of a running request between servers.
--- a/io/engine/report.go
+++ b/io/engine/report.go
@@ -25,12 +25,12 @@
 )
 
 // Load reads the server's gauges of running and waiting requests and adds them up over their labels.
-func (h *HTTP) Load(ctx context.Context, b value.BackendServer) (Report, error) {
+func (h *HTTP) Load(ctx context.Context, b value.BackendServer) (LoadReport, error) {
 	body, err := h.get(ctx, b, metricsPath)
 	if err != nil {
-		return Report{}, fmt.Errorf("read load of %s: %w", b.ID, err)
+		return LoadReport{}, fmt.Errorf("read load of %s: %w", b.ID, err)
 	}
-	r := Report{Server: b.ID, At: time.Now()}
+	r := LoadReport{Server: b.ID, At: time.Now()}
 	lines := bufio.NewScanner(strings.NewReader(string(body)))
 	for lines.Scan() {
 		name, n, ok := parseGauge(lines.Text())
--- a/io/engine/stream.go
+++ b/io/engine/stream.go
@@ -58,9 +58,9 @@
 		return Piece{Data: bytes.Clone(data)}, nil
 	}
 	if err := s.scanner.Err(); err != nil {
-		return Piece{}, fmt.Errorf("%w: %w", ErrCutOff, err)
+		return Piece{}, fmt.Errorf("%w: %w", ErrTruncated, err)
 	}
-	return Piece{}, fmt.Errorf("%w: stream ended without its end marker", ErrCutOff)
+	return Piece{}, fmt.Errorf("%w: stream ended without its end marker", ErrTruncated)
 }
 
 // readUsage takes the usage from an event that holds one.
@@ -69,7 +69,7 @@
 		Usage *wireUsage `json:"usage"`
 	}
 	if err := json.Unmarshal(data, &chunk); err != nil {
-		return fmt.Errorf("%w: decode event: %w", ErrCutOff, err)
+		return fmt.Errorf("%w: decode event: %w", ErrTruncated, err)
 	}
 	if chunk.Usage != nil {
 		s.usage = chunk.Usage.usage()
--- a/io/engine/whole.go
+++ b/io/engine/whole.go
@@ -57,7 +57,7 @@
 		err = nil
 	}
 	if err != nil {
-		return Piece{}, fmt.Errorf("%w: %w", ErrCutOff, err)
+		return Piece{}, fmt.Errorf("%w: %w", ErrTruncated, err)
 	}
 	return Piece{Data: buf[:n]}, nil
 }
@@ -67,13 +67,13 @@
 func (b *bodyAnswer) readAll() (Piece, error) {
 	body, err := io.ReadAll(b.resp.Body)
 	if err != nil {
-		return Piece{}, fmt.Errorf("%w: %w", ErrCutOff, err)
+		return Piece{}, fmt.Errorf("%w: %w", ErrTruncated, err)
 	}
 	var fields struct {
 		Usage wireUsage `json:"usage"`
 	}
 	if err := json.Unmarshal(body, &fields); err != nil {
-		return Piece{}, fmt.Errorf("%w: decode answer: %w", ErrCutOff, err)
+		return Piece{}, fmt.Errorf("%w: decode answer: %w", ErrTruncated, err)
 	}
 	b.usage = fields.Usage.usage()
 	b.done = true
--- a/io/fakes/answer.go
+++ b/io/fakes/answer.go
@@ -90,7 +90,7 @@
 	if isMiddle && fault == FaultStall {
 		<-a.callerGone
 	}
-	if isMiddle && fault == FaultCut {
+	if isMiddle && fault == FaultTruncate {
 		panic(http.ErrAbortHandler)
 	}
 	timer := time.NewTimer(wordTime)
--- a/io/fakes/chat.go
+++ b/io/fakes/chat.go
@@ -23,13 +23,13 @@
 
 // The faults of a stand-in backend server.
 const (
-	FaultNone    Fault = ""
-	FaultBusy    Fault = "Busy"    // answers 503 without running the request
-	FaultReset   Fault = "Reset"   // closes the connection before the answer
-	FaultCut     Fault = "Cut"     // closes the connection in the middle of the answer
-	FaultStall   Fault = "Stall"   // stops in the middle of the answer until the caller disconnects
-	FaultAnother Fault = "Another" // answers with the identifier of another request
-	FaultInvalid Fault = "Invalid" // answers 400
+	FaultNone         Fault = ""
+	FaultBusy         Fault = "Busy"    // answers 503 without running the request
+	FaultReset        Fault = "Reset"   // closes the connection before the answer
+	FaultTruncate     Fault = "Cut"     // closes the connection in the middle of the answer
+	FaultStall        Fault = "Stall"   // stops in the middle of the answer until the caller disconnects
+	FaultWrongRequest Fault = "Another" // answers with the identifier of another request
+	FaultInvalid      Fault = "Invalid" // answers 400
 )
 
 // Chat is a stand-in model server that answers chat completions with a few words; its zero value is
@@ -50,15 +50,15 @@
 	highestFence int64
 }
 
-// Runs returns how many attempts the server has started.
-func (c *Chat) Runs() int {
+// Attempts returns how many attempts the server has started.
+func (c *Chat) Attempts() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.attempts
 }
 
-// Break makes all further attempts fail in the given way; FaultNone ends this.
-func (c *Chat) Break(f Fault) {
+// SetFault makes all further attempts fail in the given way; FaultNone ends this.
+func (c *Chat) SetFault(f Fault) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.fault = f
@@ -130,7 +130,7 @@
 	case FaultReset:
 		c.endAttempt()
 		panic(http.ErrAbortHandler)
-	case FaultAnother:
+	case FaultWrongRequest:
 		w.Header().Set(headerRequestID, "another-request")
 	default:
 		w.Header().Set(headerRequestID, r.Header.Get(headerRequestID))
--- a/io/fakes/etcdtxn.go
+++ b/io/fakes/etcdtxn.go
@@ -77,7 +77,7 @@
 	}
 	var conflict plat.Conflict
 	if errors.As(err, &conflict) {
-		present := encodeListing(plat.Listing{Entries: []plat.Entry{conflict.Present}})
+		present := encodeListing(plat.Listing{Entries: []plat.Entry{conflict.Current}})
 		return etcdTxnResult{Responses: []etcdTxnResponse{{Range: &present}}}, nil
 	}
 	return etcdTxnResult{Header: etcdHeader{Revision: revision}, Succeeded: err == nil}, err
--- a/io/fakes/faults.go
+++ b/io/fakes/faults.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Faults is the set of faults of a Store; the zero value is a healthy service.
-type Faults struct {
+// StoreFaults is the set of faults of a Store; the zero value is a healthy service.
+type StoreFaults struct {
 	// Down fails every call before it takes effect and ends watches.
 	Down bool
 	// Refuse fails every call, as a service above its rate limit does; open watches continue.
@@ -18,31 +18,31 @@
 }
 
 // WithDown returns a copy that is down or not.
-func (f Faults) WithDown(down bool) Faults {
+func (f StoreFaults) WithDown(down bool) StoreFaults {
 	f.Down = down
 	return f
 }
 
 // WithRefuse returns a copy that refuses calls or not.
-func (f Faults) WithRefuse(refuse bool) Faults {
+func (f StoreFaults) WithRefuse(refuse bool) StoreFaults {
 	f.Refuse = refuse
 	return f
 }
 
 // WithDelay returns a copy that delays each call by d.
-func (f Faults) WithDelay(d time.Duration) Faults {
+func (f StoreFaults) WithDelay(d time.Duration) StoreFaults {
 	f.Delay = d
 	return f
 }
 
 // WithStale returns a copy whose reads are stale or not.
-func (f Faults) WithStale(stale bool) Faults {
+func (f StoreFaults) WithStale(stale bool) StoreFaults {
 	f.Stale = stale
 	return f
 }
 
 // WithLostAnswers returns a copy that loses the answers to the next n successful changes.
-func (f Faults) WithLostAnswers(n int) Faults {
+func (f StoreFaults) WithLostAnswers(n int) StoreFaults {
 	f.LostAnswers = n
 	return f
 }
--- a/io/fakes/mesh.go
+++ b/io/fakes/mesh.go
@@ -15,8 +15,8 @@
 	"endivehitch/io/peer"
 )
 
-// Fate is how a Mesh treats one message between instances; the zero value delivers it at once.
-type Fate struct {
+// Delivery is how a Mesh treats one message between instances; the zero value delivers it at once.
+type Delivery struct {
 	// Delay is the time before the message arrives.
 	Delay time.Duration
 	// Unsent makes a call fail before anything is sent, and drops a reply.
@@ -31,7 +31,7 @@
 
 // Mesh is an in-memory transport between instances.
 type Mesh struct {
-	fate  policy.Cell[func(from, to value.Instance) Fate]
+	fate  policy.Cell[func(from, to value.Instance) Delivery]
 	ports sync.Map
 	meter sizeMeter
 	// inFlight counts the calls that have not been handled completely.
@@ -56,9 +56,9 @@
 // frameOverhead is the estimated size of one message's net/rpc, TLS and TCP headers in bytes.
 const frameOverhead = 120
 
-// Set makes the function, which must be pure, decide the fate of each message from now on.
-func (m *Mesh) Set(fate func(from, to value.Instance) Fate) {
-	m.fate.Update(func(func(from, to value.Instance) Fate) func(from, to value.Instance) Fate { return fate })
+// SetDelivery makes the function, which must be pure, decide the fate of each message from now on.
+func (m *Mesh) SetDelivery(fate func(from, to value.Instance) Delivery) {
+	m.fate.Update(func(func(from, to value.Instance) Delivery) func(from, to value.Instance) Delivery { return fate })
 }
 
 // Join returns a port that receives the calls to the instance's peer address.
@@ -150,7 +150,7 @@
 	}
 }
 
-func (p *Port) deliver(from *Port, fate Fate, method string, args any, reply reflect.Type, answered chan<- meshReply) {
+func (p *Port) deliver(from *Port, fate Delivery, method string, args any, reply reflect.Type, answered chan<- meshReply) {
 	delay(fate.Delay)
 	p.waitWhilePaused()
 	r := p.invoke(method, args, reply)
@@ -198,10 +198,10 @@
 	p.sent.Update(func(t Traffic) Traffic { return Traffic{Messages: t.Messages + 1, Bytes: t.Bytes + size} })
 }
 
-func (m *Mesh) fateOf(from, to value.Instance) Fate {
+func (m *Mesh) fateOf(from, to value.Instance) Delivery {
 	fate := m.fate.Get()
 	if fate == nil {
-		return Fate{}
+		return Delivery{}
 	}
 	return fate(from, to)
 }
--- a/io/fakes/plain.go
+++ b/io/fakes/plain.go
@@ -7,9 +7,9 @@
 	"sync"
 )
 
-// Plain is a stand-in for a service that is no model, such as one that places reorders. It counts its
+// PlainService is a stand-in for a service that is no model, such as one that places reorders. It counts its
 // effects; its zero value is ready for use.
-type Plain struct {
+type PlainService struct {
 	// Name is part of each answer.
 	Name string
 
@@ -19,7 +19,7 @@
 }
 
 // Effects returns how often each request body has taken effect.
-func (p *Plain) Effects() map[string]int {
+func (p *PlainService) Effects() map[string]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	all := make(map[string]int, len(p.effects))
@@ -29,8 +29,8 @@
 	return all
 }
 
-// Break makes all further calls fail in the given way; only FaultBusy and FaultReset have an effect.
-func (p *Plain) Break(f Fault) {
+// SetFault makes all further calls fail in the given way; only FaultBusy and FaultReset have an effect.
+func (p *PlainService) SetFault(f Fault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.fault = f
@@ -38,7 +38,7 @@
 
 // ServeHTTP applies one effect for each call, except under FaultBusy; FaultReset closes the
 // connection after the effect.
-func (p *Plain) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (p *PlainService) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -56,7 +56,7 @@
 	}
 }
 
-func (p *Plain) applyEffect(body string) (Fault, int) {
+func (p *PlainService) applyEffect(body string) (Fault, int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.fault == FaultBusy {
--- a/io/fakes/store.go
+++ b/io/fakes/store.go
@@ -28,7 +28,7 @@
 // faultState is the faults in force, the entries that stale reads return, and a channel that is
 // closed when the faults change.
 type faultState struct {
-	faults       Faults
+	faults       StoreFaults
 	staleListing plat.Listing
 	changed      chan struct{}
 }
@@ -40,8 +40,8 @@
 	return s
 }
 
-// Set replaces the faults in force, and takes the copy of the store that stale reads return.
-func (s *Store) Set(f Faults) error {
+// SetFaults replaces the faults in force, and takes the copy of the store that stale reads return.
+func (s *Store) SetFaults(f StoreFaults) error {
 	listing, err := s.backing.List(context.Background(), "")
 	if err != nil {
 		return fmt.Errorf("list entries for stale reads: %w", err)
@@ -54,8 +54,8 @@
 	return nil
 }
 
-// LapseLeases makes every lease expire at once.
-func (s *Store) LapseLeases(ctx context.Context) error {
+// ExpireLeases makes every lease expire at once.
+func (s *Store) ExpireLeases(ctx context.Context) error {
 	var failed error
 	s.leases.Range(func(id, _ any) bool {
 		s.leases.Delete(id)
--- a/io/feeds/follow.go
+++ b/io/feeds/follow.go
@@ -83,7 +83,7 @@
 		}
 		if err == nil {
 			pause = minStoreRetryPause
-			if !clock.Passed(ctx, f.pauseAfterRead()) {
+			if !clock.WaitFully(ctx, f.pauseAfterRead()) {
 				return nil
 			}
 			continue
@@ -91,7 +91,7 @@
 		if err := f.apply(ctx, cmds.StoreUnreachable{Cause: err.Error()}); err != nil {
 			return err
 		}
-		if !clock.Passed(ctx, jitter(pause)) {
+		if !clock.WaitFully(ctx, jitter(pause)) {
 			return nil
 		}
 		pause = min(maxStoreRetryPause, pause*2)
@@ -181,8 +181,8 @@
 
 // Tick removes the servers whose grace period has ended, until the context ends.
 func (f *Follower) Tick(ctx context.Context) error {
-	for clock.Passed(ctx, tickInterval) {
-		if f.config.Control.Snapshot().Missing() == 0 {
+	for clock.WaitFully(ctx, tickInterval) {
+		if f.config.Control.Snapshot().MissingEntries() == 0 {
 			continue
 		}
 		if err := f.apply(ctx, cmds.Tick{}); err != nil {
@@ -206,7 +206,7 @@
 		}
 		address, ok := f.randomPeer(s)
 		if !ok || !f.pullFromPeer(ctx, address, s.Revision) {
-			if !clock.Passed(ctx, jitter(peerRetryPause)) {
+			if !clock.WaitFully(ctx, jitter(peerRetryPause)) {
 				return nil
 			}
 		}
--- a/io/feeds/harness_test.go
+++ b/io/feeds/harness_test.go
@@ -165,7 +165,7 @@
 	deadline := time.Now().Add(request.Wait)
 	for {
 		s, changed := i.loop.Watch()
-		feed := feeds.LimitFeed(s.Since(revision), request)
+		feed := feeds.LimitFeed(s.ChangesSince(revision), request)
 		feed.Away = !s.StoreUnreachableSince.IsZero()
 		if !s.StoreRecoveredAt.IsZero() {
 			feed.Back = time.Since(s.StoreRecoveredAt)
--- a/io/feeds/peers.go
+++ b/io/feeds/peers.go
@@ -48,7 +48,7 @@
 	for {
 		s, changed := control.Watch()
 		if s.Revision > request.Revision {
-			return withStoreStatus(s, LimitFeed(s.Since(request.Revision), request), now())
+			return withStoreStatus(s, LimitFeed(s.ChangesSince(request.Revision), request), now())
 		}
 		select {
 		case <-changed:
--- a/io/feeds/registry.go
+++ b/io/feeds/registry.go
@@ -40,7 +40,7 @@
 			r.OnError(err)
 			pause = jitter(memberRetryPause)
 		}
-		if !clock.Passed(ctx, pause) {
+		if !clock.WaitFully(ctx, pause) {
 			break
 		}
 	}
--- a/io/flow/cascade.go
+++ b/io/flow/cascade.go
@@ -40,7 +40,7 @@
 	// remaining holds the versions to try after the current one.
 	remaining []value.VersionKey
 	// callerWriter is the sink of the caller, which gets the accepted answer.
-	callerWriter Sink
+	callerWriter ResponseWriter
 	// buffer is nil while no answer is held back.
 	buffer *answerBuffer
 	// spentMicros is the cost of rejected answers and of verdicts, in micro-units of currency.
@@ -52,8 +52,8 @@
 	HeldAnswer
 }
 
-// Begin stores the head and the version.
-func (b *answerBuffer) Begin(head engine.Head, v value.VersionKey) error {
+// WriteHead stores the head and the version.
+func (b *answerBuffer) WriteHead(head engine.Head, v value.VersionKey) error {
 	b.Head = head
 	b.Version = v
 	return nil
@@ -73,7 +73,7 @@
 // firstVersion returns the first version to try. If the plan is a cascade, the version's answer
 // will be held back.
 func (e *execution) firstVersion(plan query.Plan) value.VersionKey {
-	if !plan.Cascade() || e.flow.Judge == nil {
+	if !plan.IsCascade() || e.flow.Judge == nil {
 		return plan.Last()
 	}
 	e.cascade.remaining = plan.Versions[1:]
@@ -119,7 +119,7 @@
 	buffer := e.cascade.buffer
 	e.cascade.buffer = nil
 	e.writer = e.cascade.callerWriter
-	if err := e.writer.Begin(buffer.Head, buffer.Version); err != nil {
+	if err := e.writer.WriteHead(buffer.Head, buffer.Version); err != nil {
 		return err
 	}
 	for _, p := range buffer.Pieces {
--- a/io/flow/cascade_test.go
+++ b/io/flow/cascade_test.go
@@ -69,7 +69,7 @@
 	ended   bool
 }
 
-func (r *versionRecorder) Begin(_ engine.Head, v value.VersionKey) error {
+func (r *versionRecorder) WriteHead(_ engine.Head, v value.VersionKey) error {
 	r.heads++
 	r.version = v
 	return nil
@@ -158,7 +158,7 @@
 			<-ctx.Done()
 			return true, ctx.Err()
 		}},
-		"first answer is cut off": {first: versionAnswer{pieces: []string{"half"}, err: engine.ErrCutOff}, judge: returnVerdict(true, nil), cost: 4000},
+		"first answer is cut off": {first: versionAnswer{pieces: []string{"half"}, err: engine.ErrTruncated}, judge: returnVerdict(true, nil), cost: 4000},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -182,6 +182,6 @@
 
 func TestAttemptsOfARolledOutVersionAreCountedOnce(t *testing.T) {
 	o := serveCascade(t, cheapAnswer, returnVerdict(false, nil))
-	assert.DeepEqual(t, o.flow.Drain(), []value.AttemptCounts{{Version: large, Total: 1, Costly: 1}})
-	assert.Equal(t, len(o.flow.Drain()), 0)
+	assert.DeepEqual(t, o.flow.TakeAttemptCounts(), []value.AttemptCounts{{Version: large, Total: 1, Costly: 1}})
+	assert.Equal(t, len(o.flow.TakeAttemptCounts()), 0)
 }
--- a/io/flow/flow.go
+++ b/io/flow/flow.go
@@ -16,7 +16,7 @@
 	Snapshot func() state.State
 	Runner   engine.Runner
 	Biller   Biller
-	Guard    Guard
+	Guard    IdempotencyGuard
 	// Judge assesses the answers of cascades; without it, no cascade is tried.
 	Judge Judge
 	// Record is called for each decision; it must not block.
@@ -91,7 +91,7 @@
 }
 
 // Serve answers the request and writes the answer to the sink; the error is a value.Refusal.
-func (f *Flow) Serve(ctx context.Context, j Job, sink Sink) (Result, error) {
+func (f *Flow) Serve(ctx context.Context, j Job, sink ResponseWriter) (Result, error) {
 	ctx, cancel := context.WithDeadline(ctx, j.Request.Deadline)
 	defer cancel()
 	e := newExecution(f, j, sink)
--- a/io/flow/gate.go
+++ b/io/flow/gate.go
@@ -148,7 +148,7 @@
 		return
 	}
 	a.grantWaiting(func(w *waiter) (grant, bool) {
-		choice, ok := query.ChooseServer(s, w.target, server, a.flow.loads.Load, a.flow.Now())
+		choice, ok := query.CheckServer(s, w.target, server, a.flow.loads.Load, a.flow.Now())
 		if !ok {
 			return grant{}, false
 		}
--- a/io/flow/leg.go
+++ b/io/flow/leg.go
@@ -32,7 +32,7 @@
 // isComplete reports whether the error marks the end of a complete answer. A connection that is cut
 // off may be an io.EOF too, joined with engine.ErrCutOff.
 func isComplete(err error) bool {
-	return errors.Is(err, io.EOF) && !errors.Is(err, engine.ErrCutOff)
+	return errors.Is(err, io.EOF) && !errors.Is(err, engine.ErrTruncated)
 }
 
 // end cancels the attempt and releases its slot; calls after the first do nothing.
@@ -145,7 +145,7 @@
 // isRequestFault reports whether the request itself caused the failure, so that a retry at another
 // server would fail too.
 func isRequestFault(err error) bool {
-	var status engine.BadStatus
+	var status engine.StatusError
 	return errors.As(err, &status) && status.Permanent()
 }
 
--- a/io/flow/local_test.go
+++ b/io/flow/local_test.go
@@ -14,8 +14,8 @@
 	byRequest map[value.RequestID]value.Bill
 }
 
-// Keep stores the bill once for each request.
-func (b *memoryBiller) Keep(_ context.Context, bill value.Bill) error {
+// Store stores the bill once for each request.
+func (b *memoryBiller) Store(_ context.Context, bill value.Bill) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.byRequest == nil {
@@ -36,12 +36,12 @@
 type memoryClaim struct {
 	guard   *memoryGuard
 	key     value.IdempotencyKey
-	stored  *flow.Stored
+	stored  *flow.StoredAnswer
 	inDoubt bool
 }
 
 // Claim grants the key to the first caller.
-func (g *memoryGuard) Claim(_ context.Context, r value.Request) (flow.Claim, *flow.Stored, error) {
+func (g *memoryGuard) Claim(_ context.Context, r value.Request) (flow.Claim, *flow.StoredAnswer, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.claims == nil {
@@ -61,7 +61,7 @@
 	return nil, nil, value.Refusal{Reason: value.ReasonStillRunning, Detail: "an earlier call with this key is running"}
 }
 
-func (c *memoryClaim) Finish(_ context.Context, s flow.Stored) error {
+func (c *memoryClaim) Finish(_ context.Context, s flow.StoredAnswer) error {
 	c.guard.mu.Lock()
 	defer c.guard.mu.Unlock()
 	c.stored = &s
@@ -75,7 +75,7 @@
 	return nil
 }
 
-func (c *memoryClaim) Doubt(context.Context) error {
+func (c *memoryClaim) MarkInDoubt(context.Context) error {
 	c.guard.mu.Lock()
 	defer c.guard.mu.Unlock()
 	c.inDoubt = true
--- a/io/flow/observe.go
+++ b/io/flow/observe.go
@@ -17,8 +17,8 @@
 	cells sync.Map
 }
 
-// Drain returns the outcomes counted since the last call, for an ObserveRuns command.
-func (f *Flow) Drain() []value.AttemptCounts {
+// TakeAttemptCounts returns the outcomes counted since the last call, for an ObserveRuns command.
+func (f *Flow) TakeAttemptCounts() []value.AttemptCounts {
 	var list []value.AttemptCounts
 	f.counters.cells.Range(func(_, c any) bool {
 		var runs value.AttemptCounts
@@ -53,9 +53,9 @@
 // was cut off, an error status that the server is responsible for and a time-out count. Otherwise a
 // caller that left, a connection error and a faulty request do not.
 func isVersionEvidence(ctx context.Context, err error) bool {
-	var status engine.BadStatus
+	var status engine.StatusError
 	switch {
-	case err == nil, errors.Is(err, engine.ErrCutOff):
+	case err == nil, errors.Is(err, engine.ErrTruncated):
 		return true
 	case errors.Is(ctx.Err(), context.Canceled), errors.Is(err, engine.ErrNotSent):
 		return false
--- a/io/flow/place.go
+++ b/io/flow/place.go
@@ -36,7 +36,7 @@
 	f := s.allocator.flow
 	control, now := f.Snapshot(), f.Now()
 	server := s.choice.Server
-	limits, bounded := query.LimiterFor(control, server.Pool)
+	limits, bounded := query.LimiterConfigFor(control, server.Pool)
 	normal := e.normalizeFirstToken(elapsed)
 	f.loads.Update(server.ID, func(l value.Load) value.Load {
 		if bounded {
@@ -56,7 +56,7 @@
 func (s *serverSlot) observeCancelled(e *execution, elapsed time.Duration) {
 	f := s.allocator.flow
 	normal := cancelledFactor * e.normalizeFirstToken(elapsed)
-	if normal <= f.loads.Load(s.choice.Server.ID).FirstToken.Mean {
+	if normal <= f.loads.Load(s.choice.Server.ID).TimeToFirstByte.Mean {
 		return
 	}
 	now := f.Now()
@@ -70,8 +70,8 @@
 func (s *serverSlot) observeFailure(e *execution, err error) {
 	f := s.allocator.flow
 	server := s.choice.Server
-	limits, bounded := query.LimiterFor(f.Snapshot(), server.Pool)
-	var status engine.BadStatus
+	limits, bounded := query.LimiterConfigFor(f.Snapshot(), server.Pool)
+	var status engine.StatusError
 	overloaded := errors.As(err, &status) && status.Overloaded()
 	f.loads.Update(server.ID, func(l value.Load) value.Load {
 		if bounded && overloaded {
--- a/io/flow/poll.go
+++ b/io/flow/poll.go
@@ -12,18 +12,18 @@
 
 // PollConfig configures the polling of load reports.
 type PollConfig struct {
-	From engine.Reporter
-	// Every is the time between two batches, and the time-out of each.
-	Every time.Duration
-	// Batch is how many servers are polled at a time; the others follow in later batches.
-	Batch int
+	Reporter engine.Reporter
+	// Interval is the time between two batches, and the time-out of each.
+	Interval time.Duration
+	// BatchSize is how many servers are polled at a time; the others follow in later batches.
+	BatchSize int
 }
 
 // Poll reads the load reports of the servers, batch by batch, until the context ends.
 //
 // A report that cannot be read is skipped; routing works without it.
 func (f *Flow) Poll(ctx context.Context, config PollConfig) {
-	tick := time.NewTicker(config.Every)
+	tick := time.NewTicker(config.Interval)
 	defer tick.Stop()
 	var remaining []value.ServerID
 	for {
@@ -35,14 +35,14 @@
 		if len(remaining) == 0 {
 			remaining = f.Snapshot().Servers().Keys()
 		}
-		n := min(config.Batch, len(remaining))
+		n := min(config.BatchSize, len(remaining))
 		f.readReports(ctx, config, remaining[:n])
 		remaining = remaining[n:]
 	}
 }
 
 func (f *Flow) readReports(ctx context.Context, config PollConfig, ids []value.ServerID) {
-	ctx, cancel := context.WithTimeout(ctx, config.Every)
+	ctx, cancel := context.WithTimeout(ctx, config.Interval)
 	defer cancel()
 	s := f.Snapshot()
 	var group errgroup.Group
@@ -52,7 +52,7 @@
 			continue
 		}
 		group.Go(func() error {
-			report, err := config.From.Load(ctx, server)
+			report, err := config.Reporter.Load(ctx, server)
 			if err == nil {
 				f.loads.Update(id, func(l value.Load) value.Load { return l.WithReport(report.Queued, report.At) })
 			}
--- a/io/flow/poll_test.go
+++ b/io/flow/poll_test.go
@@ -17,16 +17,16 @@
 // map fails, and that of a server with a negative length hangs.
 type queueReporter map[value.ServerID]int
 
-func (q queueReporter) Load(ctx context.Context, b value.BackendServer) (engine.Report, error) {
+func (q queueReporter) Load(ctx context.Context, b value.BackendServer) (engine.LoadReport, error) {
 	n, ok := q[b.ID]
 	if !ok {
-		return engine.Report{}, errReset
+		return engine.LoadReport{}, errReset
 	}
 	if n < 0 {
 		<-ctx.Done()
-		return engine.Report{}, ctx.Err()
+		return engine.LoadReport{}, ctx.Err()
 	}
-	return engine.Report{Server: b.ID, Queued: n, At: time.Now()}, nil
+	return engine.LoadReport{Server: b.ID, Queued: n, At: time.Now()}, nil
 }
 
 func (queueReporter) CacheEvents(context.Context, value.BackendServer, int64) ([]engine.CacheEvent, error) {
@@ -38,7 +38,7 @@
 		h := newHarness(t, newDocument(spelling), map[value.ServerID][]script{"s1": {completeScript}, "s2": {completeScript}, "s3": {completeScript}, "s4": {completeScript}})
 		ctx, stop := context.WithTimeout(t.Context(), 3500*time.Millisecond)
 		defer stop()
-		h.flow.Poll(ctx, flow.PollConfig{From: queueReporter{"s1": -1, "s3": 4, "s4": 7}, Every: time.Second, Batch: 2})
+		h.flow.Poll(ctx, flow.PollConfig{Reporter: queueReporter{"s1": -1, "s3": 4, "s4": 7}, Interval: time.Second, BatchSize: 2})
 		loads := h.flow.ServerLoads()
 		assert.Equal(t, loads.Load("s3").ReportedQueue, 4)
 		assert.Equal(t, loads.Load("s4").ReportedQueue, 7)
@@ -52,7 +52,7 @@
 		h.control = h.control.WithServer(value.BackendServer{ID: "desk", Pool: "engines", State: value.ServerLive})
 		ctx, stop := context.WithTimeout(t.Context(), 3500*time.Millisecond)
 		defer stop()
-		h.flow.Poll(ctx, flow.PollConfig{From: queueReporter{"desk": 4}, Every: time.Second, Batch: 2})
+		h.flow.Poll(ctx, flow.PollConfig{Reporter: queueReporter{"desk": 4}, Interval: time.Second, BatchSize: 2})
 		assert.Assert(t, h.flow.ServerLoads().Load("desk").ReportedAt.IsZero())
 	})
 }
--- a/io/flow/ports.go
+++ b/io/flow/ports.go
@@ -21,11 +21,11 @@
 	Bill    value.Bill
 }
 
-// Sink writes one answer to the caller; it is used by one goroutine.
-type Sink interface {
-	// Begin is called once, before the first piece, with the version that answers. The version is
+// ResponseWriter writes one answer to the caller; it is used by one goroutine.
+type ResponseWriter interface {
+	// WriteHead is called once, before the first piece, with the version that answers. The version is
 	// empty for a plain service and for a stored answer.
-	Begin(h engine.Head, v value.VersionKey) error
+	WriteHead(h engine.Head, v value.VersionKey) error
 	// Write writes the next piece.
 	Write(p engine.Piece) error
 	// End is called once the answer is complete and its bill is stored.
@@ -34,12 +34,12 @@
 
 // Biller stores bills so that each request is charged once.
 type Biller interface {
-	// Keep stores the bill and returns once it survives the loss of this instance.
-	Keep(ctx context.Context, b value.Bill) error
+	// Store stores the bill and returns once it survives the loss of this instance.
+	Store(ctx context.Context, b value.Bill) error
 }
 
-// Stored is the stored answer of an earlier request with the same idempotency key.
-type Stored struct {
+// StoredAnswer is the stored answer of an earlier request with the same idempotency key.
+type StoredAnswer struct {
 	Head engine.Head
 	Body []byte
 }
@@ -47,18 +47,18 @@
 // Claim is the right to execute a request that must run at most once.
 type Claim interface {
 	// Finish stores the answer for later calls with the same key.
-	Finish(ctx context.Context, s Stored) error
+	Finish(ctx context.Context, s StoredAnswer) error
 	// Release makes the key available again; it is called only if nothing was dispatched.
 	Release(ctx context.Context) error
-	// Doubt marks the outcome as unknown, after a dispatch whose bill and answer were not both
+	// MarkInDoubt marks the outcome as unknown, after a dispatch whose bill and answer were not both
 	// stored.
-	Doubt(ctx context.Context) error
+	MarkInDoubt(ctx context.Context) error
 }
 
-// Guard ensures that a request that is not idempotent runs at most once in the fleet.
-type Guard interface {
+// IdempotencyGuard ensures that a request that is not idempotent runs at most once in the fleet.
+type IdempotencyGuard interface {
 	// Claim returns the right to execute the request, or the stored answer of an earlier request
 	// with the same key. The error is a value.Refusal with StillRunning, OutcomeUnknown,
 	// IdempotencyKeyReused or JournalUnavailable.
-	Claim(ctx context.Context, r value.Request) (Claim, *Stored, error)
+	Claim(ctx context.Context, r value.Request) (Claim, *StoredAnswer, error)
 }
--- a/io/flow/replay_test.go
+++ b/io/flow/replay_test.go
@@ -15,28 +15,28 @@
 )
 
 // singleKeyGuard is a guard for requests that all have the same key.
-type singleKeyGuard struct{ stored *flow.Stored }
+type singleKeyGuard struct{ stored *flow.StoredAnswer }
 
-func (g *singleKeyGuard) Claim(context.Context, value.Request) (flow.Claim, *flow.Stored, error) {
+func (g *singleKeyGuard) Claim(context.Context, value.Request) (flow.Claim, *flow.StoredAnswer, error) {
 	if g.stored != nil {
 		return nil, g.stored, nil
 	}
 	return g, nil, nil
 }
 
-func (g *singleKeyGuard) Finish(_ context.Context, s flow.Stored) error {
+func (g *singleKeyGuard) Finish(_ context.Context, s flow.StoredAnswer) error {
 	g.stored = &s
 	return nil
 }
 
-func (g *singleKeyGuard) Release(context.Context) error { return nil }
-func (g *singleKeyGuard) Doubt(context.Context) error   { return nil }
+func (g *singleKeyGuard) Release(context.Context) error     { return nil }
+func (g *singleKeyGuard) MarkInDoubt(context.Context) error { return nil }
 
 // pieceRecorder is a sink that records each piece of an answer separately.
 type pieceRecorder struct{ data []string }
 
-func (p *pieceRecorder) Begin(engine.Head, value.VersionKey) error { return nil }
-func (p *pieceRecorder) End(engine.Usage) error                    { return nil }
+func (p *pieceRecorder) WriteHead(engine.Head, value.VersionKey) error { return nil }
+func (p *pieceRecorder) End(engine.Usage) error                        { return nil }
 
 func (p *pieceRecorder) Write(piece engine.Piece) error {
 	p.data = append(p.data, string(piece.Data))
--- a/io/flow/rig_test.go
+++ b/io/flow/rig_test.go
@@ -104,7 +104,7 @@
 func newJob(id string, k value.Kind) flow.Job {
 	return flow.Job{
 		Request: value.Request{
-			ID: value.RequestID(id), Account: "ward-12", Kind: k.Name, Key: "k", Question: 1, Stream: true,
+			ID: value.RequestID(id), Account: "ward-12", Kind: k.Name, Key: "k", RequestHash: 1, Stream: true,
 			Deadline: time.Now().Add(time.Minute),
 		},
 		Call: engine.Call{Stream: true},
@@ -189,7 +189,7 @@
 	return engine.Piece{}, io.EOF
 }
 
-func (h *harness) Keep(_ context.Context, b value.Bill) error {
+func (h *harness) Store(_ context.Context, b value.Bill) error {
 	h.withLock(func() {
 		if h.billErr == nil {
 			h.bills = append(h.bills, b)
@@ -198,7 +198,7 @@
 	return h.billErr
 }
 
-func (h *harness) Claim(context.Context, value.Request) (flow.Claim, *flow.Stored, error) {
+func (h *harness) Claim(context.Context, value.Request) (flow.Claim, *flow.StoredAnswer, error) {
 	return h, nil, nil
 }
 
@@ -207,11 +207,11 @@
 	return nil
 }
 
-func (h *harness) Finish(_ context.Context, s flow.Stored) error {
+func (h *harness) Finish(_ context.Context, s flow.StoredAnswer) error {
 	return h.recordSettlement("Finish " + string(s.Body))
 }
-func (h *harness) Release(context.Context) error { return h.recordSettlement("Release") }
-func (h *harness) Doubt(context.Context) error   { return h.recordSettlement("Doubt") }
+func (h *harness) Release(context.Context) error     { return h.recordSettlement("Release") }
+func (h *harness) MarkInDoubt(context.Context) error { return h.recordSettlement("Doubt") }
 
 // inFlight returns how many slots the flow counts as taken at all servers.
 func (h *harness) inFlight() int {
@@ -231,7 +231,7 @@
 	panics   bool
 }
 
-func (w *recordingWriter) Begin(engine.Head, value.VersionKey) error { return nil }
+func (w *recordingWriter) WriteHead(engine.Head, value.VersionKey) error { return nil }
 
 func (w *recordingWriter) Write(p engine.Piece) error {
 	if w.panics {
--- a/io/flow/run.go
+++ b/io/flow/run.go
@@ -18,7 +18,7 @@
 type execution struct {
 	flow         *Flow
 	job          Job
-	writer       Sink
+	writer       ResponseWriter
 	lifecycle    lifecycle
 	rnd          *rand.Rand
 	admitted     query.Admitted
@@ -47,7 +47,7 @@
 	spentMicros int64
 }
 
-func newExecution(f *Flow, job Job, writer Sink) *execution {
+func newExecution(f *Flow, job Job, writer ResponseWriter) *execution {
 	return &execution{
 		flow:      f,
 		job:       job,
--- a/io/flow/settle.go
+++ b/io/flow/settle.go
@@ -56,7 +56,7 @@
 	if err := e.storeBill(ctx, answer); err != nil {
 		return err
 	}
-	return e.claim.Finish(ctx, Stored{Head: answer.head, Body: e.storedBody})
+	return e.claim.Finish(ctx, StoredAnswer{Head: answer.head, Body: e.storedBody})
 }
 
 // settleFailure marks the claim as in doubt if an attempt may have been sent, and releases it
@@ -65,12 +65,12 @@
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), settleTimeout)
 	defer cancel()
 	if e.sentAttempts > 0 {
-		return e.claim.Doubt(ctx)
+		return e.claim.MarkInDoubt(ctx)
 	}
 	return e.claim.Release(ctx)
 }
 
-func (e *execution) replay(stored Stored) (Result, error) {
+func (e *execution) replay(stored StoredAnswer) (Result, error) {
 	if err := e.beginAnswer(stored.Head, ""); err != nil {
 		return Result{}, err
 	}
@@ -97,7 +97,7 @@
 		return nil
 	}
 	e.answerStarted = true
-	return e.tolerateWriteError(e.writer.Begin(head, version))
+	return e.tolerateWriteError(e.writer.WriteHead(head, version))
 }
 
 func (e *execution) writePiece(piece engine.Piece) error {
@@ -137,7 +137,7 @@
 
 func (e *execution) storeBill(ctx context.Context, answer completeAnswer) error {
 	bill := e.newBill(answer)
-	if err := e.flow.Biller.Keep(ctx, bill); err != nil {
+	if err := e.flow.Biller.Store(ctx, bill); err != nil {
 		return err
 	}
 	e.record(e.newDecision(value.StepBill).WithChoice(answer.target.Version, answer.server, 1, value.ReasonAnswered).WithCost(bill.CostMicros))
--- a/io/flow/share.go
+++ b/io/flow/share.go
@@ -220,8 +220,8 @@
 	close(previous)
 }
 
-// Begin adds the head of the shared answer.
-func (s *sharedExecution) Begin(h engine.Head, v value.VersionKey) error {
+// WriteHead adds the head of the shared answer.
+func (s *sharedExecution) WriteHead(h engine.Head, v value.VersionKey) error {
 	s.update(func(old sharedAnswer) sharedAnswer {
 		old.head, old.version, old.started = h, v, true
 		return old
--- a/io/flow/share_test.go
+++ b/io/flow/share_test.go
@@ -103,7 +103,7 @@
 		other := newJob("r2", shared)
 		other.Request = other.Request.WithAccount("ward-9")
 		question := newJob("r3", shared)
-		question.Request.Question = 2
+		question.Request.RequestHash = 2
 		quality := newJob("r4", shared)
 		quality.Request.Quality = value.QualityBest
 		var wg sync.WaitGroup
--- a/io/flow/site_test.go
+++ b/io/flow/site_test.go
@@ -73,10 +73,10 @@
 type serveFunc func(ctx context.Context, instance int, j flow.Job) error
 
 // Load reports the length of the server's own queue.
-func (s *simulation) Load(_ context.Context, b value.BackendServer) (engine.Report, error) {
+func (s *simulation) Load(_ context.Context, b value.BackendServer) (engine.LoadReport, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return engine.Report{Server: b.ID, Queued: len(s.servers[b.ID].waiting), At: time.Now()}, nil
+	return engine.LoadReport{Server: b.ID, Queued: len(s.servers[b.ID].waiting), At: time.Now()}, nil
 }
 
 func (*simulation) CacheEvents(context.Context, value.BackendServer, int64) ([]engine.CacheEvent, error) {
@@ -100,7 +100,7 @@
 			go func() {
 				ctx, stop := context.WithTimeout(context.Background(), time.Minute)
 				defer stop()
-				f.Poll(ctx, flow.PollConfig{From: sim, Every: sim.reportInterval, Batch: d.servers})
+				f.Poll(ctx, flow.PollConfig{Reporter: sim, Interval: sim.reportInterval, BatchSize: d.servers})
 			}()
 		}
 	}
@@ -234,7 +234,7 @@
 func (s requestStream) newJob(id string, rnd *rand.Rand) flow.Job {
 	work := time.Duration(float64(s.work) * (0.5 + rnd.Float64()))
 	r := value.Request{
-		ID: value.RequestID(id), Account: s.account, Kind: s.kind, Stream: true, Question: 1,
+		ID: value.RequestID(id), Account: s.account, Kind: s.kind, Stream: true, RequestHash: 1,
 		Deadline: time.Now().Add(s.timeout), InputTokens: int(s.work / time.Millisecond),
 	}
 	call := engine.Call{Stream: true, Body: []byte(strconv.FormatInt(int64(work), 10))}
--- a/io/flow/slope_test.go
+++ b/io/flow/slope_test.go
@@ -21,9 +21,9 @@
 	return &onePieceAnswer{}, nil
 }
 
-func (instantBackend) Keep(context.Context, value.Bill) error { return nil }
+func (instantBackend) Store(context.Context, value.Bill) error { return nil }
 
-func (instantBackend) Claim(context.Context, value.Request) (flow.Claim, *flow.Stored, error) {
+func (instantBackend) Claim(context.Context, value.Request) (flow.Claim, *flow.StoredAnswer, error) {
 	return nil, nil, io.ErrUnexpectedEOF
 }
 
--- a/io/front/chat.go
+++ b/io/front/chat.go
@@ -52,7 +52,7 @@
 // serve runs the job and writes its answer. A failure after the head has been sent can be signaled
 // only by aborting the connection.
 func (f *Front) serve(r *http.Request, j flow.Job, answer *responseWriter) error {
-	_, err := f.Server.Serve(r.Context(), j, answer)
+	_, err := f.JobServer.Serve(r.Context(), j, answer)
 	if err != nil && answer.headSent {
 		panic(http.ErrAbortHandler)
 	}
--- a/io/front/front.go
+++ b/io/front/front.go
@@ -18,16 +18,16 @@
 // JobServer runs a job and writes its answer; *flow.Flow implements it.
 type JobServer interface {
 	// Serve returns once the answer is complete or has failed; the error is a value.Refusal.
-	Serve(ctx context.Context, j flow.Job, s flow.Sink) (flow.Result, error)
+	Serve(ctx context.Context, j flow.Job, s flow.ResponseWriter) (flow.Result, error)
 }
 
 // Config holds what a Front needs; every field but Keys is required.
 type Config struct {
-	Server JobServer
+	JobServer JobServer
 	// Snapshot returns the current control state.
 	Snapshot func() state.State
-	// Able reports whether the instance can store another bill; while it can't, no new request is run.
-	Able func() bool
+	// CanStoreBills reports whether the instance can store another bill; while it can't, no new request is run.
+	CanStoreBills func() bool
 	// Keys maps the hexadecimal SHA-256 digests of API keys to client accounts.
 	Keys   map[string]value.AccountName
 	Signer *Signer
@@ -39,10 +39,10 @@
 type Limits struct {
 	// BodyBytes bounds the size of a request body.
 	BodyBytes int64
-	// ReadTime is the time within which the complete body must arrive, from the start of reading it.
-	ReadTime time.Duration
-	// WriteTime is the time within which the caller must accept each write of an answer.
-	WriteTime time.Duration
+	// ReadTimeout is the time within which the complete body must arrive, from the start of reading it.
+	ReadTimeout time.Duration
+	// WriteTimeout is the time within which the caller must accept each write of an answer.
+	WriteTimeout time.Duration
 	// InFlight bounds the number of requests handled at once.
 	InFlight int
 }
@@ -65,17 +65,17 @@
 // New returns a Front, or an error that names what the configuration lacks.
 func New(c Config) (*Front, error) {
 	switch {
-	case c.Server == nil:
+	case c.JobServer == nil:
 		return nil, errors.New("front: no job server configured")
 	case c.Snapshot == nil:
 		return nil, errors.New("front: no control state snapshot configured")
-	case c.Able == nil:
+	case c.CanStoreBills == nil:
 		return nil, errors.New("front: no check configured for whether bills can be stored")
 	case c.Signer == nil:
 		return nil, errors.New("front: no session token signer configured")
 	case c.Now == nil:
 		return nil, errors.New("front: no clock configured")
-	case c.Limits.BodyBytes <= 0 || c.Limits.ReadTime <= 0 || c.Limits.WriteTime <= 0 || c.Limits.InFlight <= 0:
+	case c.Limits.BodyBytes <= 0 || c.Limits.ReadTimeout <= 0 || c.Limits.WriteTimeout <= 0 || c.Limits.InFlight <= 0:
 		return nil, errors.New("front: body size, read time, write time and in-flight limits must be positive")
 	}
 	return &Front{Config: c, inFlight: make(chan struct{}, c.Limits.InFlight)}, nil
@@ -99,7 +99,7 @@
 // requireBilling refuses requests while their bills could not be stored.
 func (f *Front) requireBilling(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if !f.Able() {
+		if !f.CanStoreBills() {
 			writeProblem(w, "", value.Refusal{
 				Reason: value.ReasonOverloaded, NotRun: true, RetryAfter: time.Second, Detail: "too many bills wait to be kept",
 			})
@@ -150,7 +150,7 @@
 
 func (f *Front) ready(w http.ResponseWriter, _ *http.Request) {
 	s := f.Snapshot()
-	if s.Leaving || s.Config.Revision == 0 || !f.Able() {
+	if s.Leaving || s.Config.Revision == 0 || !f.CanStoreBills() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
--- a/io/front/front_test.go
+++ b/io/front/front_test.go
@@ -30,7 +30,7 @@
 	fail    error
 }
 
-func (s *fakeServer) Serve(_ context.Context, j flow.Job, sink flow.Sink) (flow.Result, error) {
+func (s *fakeServer) Serve(_ context.Context, j flow.Job, sink flow.ResponseWriter) (flow.Result, error) {
 	s.jobs = append(s.jobs, j)
 	if s.release != nil {
 		s.held <- struct{}{}
@@ -39,7 +39,7 @@
 	if s.fail != nil {
 		return flow.Result{}, s.fail
 	}
-	if err := sink.Begin(engine.Head{Status: http.StatusOK, ContentType: "application/json"}, "m/v1"); err != nil {
+	if err := sink.WriteHead(engine.Head{Status: http.StatusOK, ContentType: "application/json"}, "m/v1"); err != nil {
 		return flow.Result{}, err
 	}
 	if err := sink.Write(engine.Piece{Data: []byte(`{}`)}); err != nil {
@@ -64,13 +64,13 @@
 		Kinds: []value.Kind{{Name: "spelling", Model: "m", Deadline: time.Minute, MaxTokens: 50}},
 	}})
 	f, err := front.New(front.Config{
-		Server:   s,
-		Snapshot: func() state.State { return snapshot },
-		Able:     func() bool { return !billingDown },
-		Keys:     map[string]value.AccountName{hex.EncodeToString(sum[:]): "ward-12"},
-		Signer:   signer,
-		Now:      time.Now,
-		Limits:   limits,
+		JobServer:     s,
+		Snapshot:      func() state.State { return snapshot },
+		CanStoreBills: func() bool { return !billingDown },
+		Keys:          map[string]value.AccountName{hex.EncodeToString(sum[:]): "ward-12"},
+		Signer:        signer,
+		Now:           time.Now,
+		Limits:        limits,
 	})
 	assert.NilError(t, err)
 	api := httptest.NewServer(f.Handler())
@@ -79,7 +79,7 @@
 }
 
 func testLimits() front.Limits {
-	return front.Limits{BodyBytes: 1 << 10, ReadTime: time.Minute, WriteTime: time.Minute, InFlight: 4}
+	return front.Limits{BodyBytes: 1 << 10, ReadTimeout: time.Minute, WriteTimeout: time.Minute, InFlight: 4}
 }
 
 func post(t *testing.T, base, body string, headers map[string]string) (*http.Response, string) {
@@ -183,7 +183,7 @@
 
 func TestSlowBodyIsRefusedAfterReadTime(t *testing.T) {
 	limits := testLimits()
-	limits.ReadTime = 20 * time.Millisecond
+	limits.ReadTimeout = 20 * time.Millisecond
 	base := startFront(t, &fakeServer{}, limits)
 	conn, err := net.Dial("tcp", strings.TrimPrefix(base, "http://"))
 	assert.NilError(t, err)
--- a/io/front/request.go
+++ b/io/front/request.go
@@ -19,7 +19,7 @@
 func (f *Front) readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
 	// The error is ignored: a test recorder can't set deadlines, and a real connection always can.
 	controller := http.NewResponseController(w)
-	_ = controller.SetReadDeadline(f.Now().Add(f.Limits.ReadTime))
+	_ = controller.SetReadDeadline(f.Now().Add(f.Limits.ReadTimeout))
 	body, err := io.ReadAll(r.Body)
 	var tooLong *http.MaxBytesError
 	if errors.As(err, &tooLong) {
@@ -47,7 +47,7 @@
 		return value.Request{}, Session{}, err
 	}
 	quality := value.QualityClass(r.Header.Get(headerQuality))
-	if !quality.Valid() {
+	if !quality.IsValid() {
 		return value.Request{}, Session{}, badRequest(headerQuality + " must be Best or absent")
 	}
 	now := f.Now()
@@ -68,7 +68,7 @@
 		Deadline:    deadline,
 		Arrived:     now,
 		InputTokens: len(body) / bytesPerToken,
-		Question:    fingerprint(r, body),
+		RequestHash: fingerprint(r, body),
 	}
 	return req, session, nil
 }
--- a/io/front/sink.go
+++ b/io/front/sink.go
@@ -22,8 +22,8 @@
 	headSent   bool
 }
 
-// Begin sends the status and headers, among them the session token that pins the version.
-func (rw *responseWriter) Begin(h engine.Head, v value.VersionKey) error {
+// WriteHead sends the status and headers, among them the session token that pins the version.
+func (rw *responseWriter) WriteHead(h engine.Head, v value.VersionKey) error {
 	if v != "" {
 		rw.session.Version = v
 	}
@@ -85,7 +85,7 @@
 // write sends the bytes and fails if the caller does not accept them within the write time.
 func (rw *responseWriter) write(data []byte) error {
 	// The error is ignored: a test recorder can't set deadlines, and a real connection always can.
-	_ = http.NewResponseController(rw.w).SetWriteDeadline(rw.front.Now().Add(rw.front.Limits.WriteTime))
+	_ = http.NewResponseController(rw.w).SetWriteDeadline(rw.front.Now().Add(rw.front.Limits.WriteTimeout))
 	if _, err := rw.w.Write(data); err != nil {
 		return fmt.Errorf("write answer: %w", err)
 	}
--- a/io/front/slope_test.go
+++ b/io/front/slope_test.go
@@ -23,8 +23,8 @@
 // streamServer answers every job with as many pieces as its value says.
 type streamServer int
 
-func (n streamServer) Serve(_ context.Context, _ flow.Job, s flow.Sink) (flow.Result, error) {
-	if err := s.Begin(engine.Head{Status: http.StatusOK, ContentType: "text/event-stream"}, "m/v1"); err != nil {
+func (n streamServer) Serve(_ context.Context, _ flow.Job, s flow.ResponseWriter) (flow.Result, error) {
+	if err := s.WriteHead(engine.Head{Status: http.StatusOK, ContentType: "text/event-stream"}, "m/v1"); err != nil {
 		return flow.Result{}, err
 	}
 	piece := engine.Piece{Data: []byte(`{"id":"x","object":"chat.completion.chunk","choices":[{"index":0,"delta":{"content":" word"}}]}`)}
@@ -70,13 +70,13 @@
 	sum := sha256.Sum256([]byte("secret"))
 	snapshot := state.New(value.Instance{ID: "i-1"})
 	f, err := front.New(front.Config{
-		Server:   s,
-		Snapshot: func() state.State { return snapshot },
-		Able:     func() bool { return true },
-		Keys:     map[string]value.AccountName{hex.EncodeToString(sum[:]): "ward-12"},
-		Signer:   signer,
-		Now:      time.Now,
-		Limits:   front.Limits{BodyBytes: 1 << 20, ReadTime: time.Minute, WriteTime: time.Minute, InFlight: 4},
+		JobServer:     s,
+		Snapshot:      func() state.State { return snapshot },
+		CanStoreBills: func() bool { return true },
+		Keys:          map[string]value.AccountName{hex.EncodeToString(sum[:]): "ward-12"},
+		Signer:        signer,
+		Now:           time.Now,
+		Limits:        front.Limits{BodyBytes: 1 << 20, ReadTimeout: time.Minute, WriteTimeout: time.Minute, InFlight: 4},
 	})
 	if err != nil {
 		b.Fatal(err)
--- a/io/gossip/gossip.go
+++ b/io/gossip/gossip.go
@@ -44,8 +44,8 @@
 	// command's Revision and Rejected fields.
 	Decode func(changed []plat.Entry) (cmds.InstallRevision, error)
 	Timing fleet.Timing
-	// ListEvery is the time between reads of the instance list; zero means 30 s.
-	ListEvery time.Duration
+	// ListInterval is the time between reads of the instance list; zero means 30 s.
+	ListInterval time.Duration
 	// Seed makes the random choices reproducible.
 	Seed uint64
 }
@@ -64,8 +64,8 @@
 	if err := config.check(); err != nil {
 		return nil, err
 	}
-	if config.ListEvery == 0 {
-		config.ListEvery = defaultListInterval
+	if config.ListInterval == 0 {
+		config.ListInterval = defaultListInterval
 	}
 	rnd := &lockedRand{rnd: rand.New(rand.NewPCG(config.Seed, 1))}
 	listRead := make(chan struct{})
--- a/io/gossip/measure_test.go
+++ b/io/gossip/measure_test.go
@@ -90,7 +90,7 @@
 	fx := newFixtureWithReaders(t, n, readers)
 	defer fx.stop()
 	var sent atomic.Int64
-	fx.mesh.Set(func(from, to value.Instance) fakes.Fate {
+	fx.mesh.SetDelivery(func(from, to value.Instance) fakes.Delivery {
 		f := latency(from, to)
 		f.LoseRequest = int(sent.Add(1)*37%100) < lossPercent
 		return f
--- a/io/gossip/member.go
+++ b/io/gossip/member.go
@@ -84,7 +84,7 @@
 		return err
 	}
 	close(m.listRead)
-	return m.runEvery(ctx, m.ListEvery, readOnce)
+	return m.runEvery(ctx, m.ListInterval, readOnce)
 }
 
 func (m *membership) syncInstanceList(ctx context.Context) error {
--- a/io/gossip/member_test.go
+++ b/io/gossip/member_test.go
@@ -80,7 +80,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		fx := newFixture(t, 7)
 		a, b := fx.processes[0].self.ID, fx.processes[1].self.ID
-		fx.mesh.Set(func(from, to value.Instance) fakes.Fate {
+		fx.mesh.SetDelivery(func(from, to value.Instance) fakes.Delivery {
 			f := latency(from, to)
 			f.LoseRequest = from.ID == a && to.ID == b || from.ID == b && to.ID == a
 			return f
@@ -95,7 +95,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		fx := newFixture(t, 12)
 		var count atomic.Int64
-		fx.mesh.Set(func(from, to value.Instance) fakes.Fate {
+		fx.mesh.SetDelivery(func(from, to value.Instance) fakes.Delivery {
 			n := count.Add(1)
 			f := latency(from, to)
 			f.LoseRequest = n%20 == 0
@@ -114,7 +114,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		fx := newFixture(t, 12)
 		apart := func(i value.Instance) bool { return i.FailureDomain == "domain-1" }
-		fx.mesh.Set(func(from, to value.Instance) fakes.Fate {
+		fx.mesh.SetDelivery(func(from, to value.Instance) fakes.Delivery {
 			f := latency(from, to)
 			f.LoseRequest = apart(from) != apart(to)
 			return f
@@ -127,7 +127,7 @@
 		fx.platform.putEntry("document", "during the cut", 7)
 		time.Sleep(15 * time.Second)
 		assert.Equal(t, fx.countInForce(7), 12)
-		fx.mesh.Set(latency)
+		fx.mesh.SetDelivery(latency)
 		time.Sleep(time.Minute)
 		assert.NilError(t, fx.checkAllLive())
 	})
--- a/io/gossip/reader.go
+++ b/io/gossip/reader.go
@@ -38,7 +38,7 @@
 			stop()
 		}
 		watching = isReader
-		if !clock.Passed(ctx, d.Timing.Period) {
+		if !clock.WaitFully(ctx, d.Timing.Period) {
 			return ctx.Err()
 		}
 	}
@@ -59,13 +59,13 @@
 // keepWatching reads and watches the key-value service until the context ends; it retries with
 // backoff. Only a watch that lasted longer than the maximum backoff resets the backoff.
 func (d *disseminator) keepWatching(ctx context.Context) {
-	backoff := policy.Backoff{First: initialBackoff, Limit: maxBackoff}
+	backoff := policy.Backoff{InitialDelay: initialBackoff, MaxDelay: maxBackoff}
 	for ctx.Err() == nil {
 		start := time.Now()
 		if err := d.followStore(ctx); err == nil && time.Since(start) > maxBackoff {
 			backoff = backoff.WithSuccess()
 		}
-		clock.Passed(ctx, backoff.Delay(d.rnd))
+		clock.WaitFully(ctx, backoff.Delay(d.rnd))
 		backoff = backoff.WithFailure()
 	}
 }
--- a/io/gossip/rig_test.go
+++ b/io/gossip/rig_test.go
@@ -202,7 +202,7 @@
 	t.Helper()
 	fx := &fixture{t: t, platform: newFakePlatform(), mesh: new(fakes.Mesh), timing: fleet.DefaultTiming()}
 	fx.timing.Readers = readers
-	fx.mesh.Set(func(from, to value.Instance) fakes.Fate { return latency(from, to) })
+	fx.mesh.SetDelivery(func(from, to value.Instance) fakes.Delivery { return latency(from, to) })
 	fx.base = state.New(value.Instance{ID: "nobody", State: value.InstanceGone}).WithoutInstance("nobody")
 	for i := range n {
 		fx.platform.listed = append(fx.platform.listed, instance(i))
@@ -215,11 +215,11 @@
 }
 
 // latency delays messages by 0.3 ms within a failure domain and by 1 ms between failure domains.
-func latency(from, to value.Instance) fakes.Fate {
+func latency(from, to value.Instance) fakes.Delivery {
 	if from.FailureDomain == to.FailureDomain {
-		return fakes.Fate{Delay: 300 * time.Microsecond}
+		return fakes.Delivery{Delay: 300 * time.Microsecond}
 	}
-	return fakes.Fate{Delay: time.Millisecond}
+	return fakes.Delivery{Delay: time.Millisecond}
 }
 
 func (f *fixture) start(self value.Instance) *process {
--- a/io/gossip/spread_test.go
+++ b/io/gossip/spread_test.go
@@ -41,10 +41,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		fx := newFixture(t, 12)
 		time.Sleep(5 * time.Second)
-		fx.mesh.Set(func(value.Instance, value.Instance) fakes.Fate { return fakes.Fate{LoseRequest: true} })
+		fx.mesh.SetDelivery(func(value.Instance, value.Instance) fakes.Delivery { return fakes.Delivery{LoseRequest: true} })
 		fx.platform.putEntry("document", "new", 7)
 		time.Sleep(2 * time.Second)
-		fx.mesh.Set(latency)
+		fx.mesh.SetDelivery(latency)
 		time.Sleep(13 * time.Second)
 		assert.Equal(t, fx.countInForce(7), 12)
 	})
@@ -55,7 +55,7 @@
 		fx := newFixture(t, 40)
 		time.Sleep(5 * time.Second)
 		var sent atomic.Int64
-		fx.mesh.Set(func(from, to value.Instance) fakes.Fate {
+		fx.mesh.SetDelivery(func(from, to value.Instance) fakes.Delivery {
 			f := latency(from, to)
 			f.LoseRequest = sent.Add(1)%10 == 0
 			return f
@@ -203,7 +203,7 @@
 		slow.port.Pause()
 		fx.platform.putEntry("document", "new", 7)
 		time.Sleep(5 * time.Second)
-		survey := fx.processes[0].gossip.Survey(t.Context())
+		survey := fx.processes[0].gossip.QueryStatus(t.Context())
 		assert.Equal(t, len(survey), 40)
 		for _, i := range survey {
 			assert.Equal(t, i.Revision == 7, i.ID != slow.self.ID, "%s reports revision %d", i.ID, i.Revision)
--- a/io/gossip/survey.go
+++ b/io/gossip/survey.go
@@ -16,12 +16,12 @@
 
 var methodStatus = peer.Method[wireWhere, wireSelf]{Name: "Member.Where"}
 
-// Survey queries every instance for the configuration it has in force and since when it lags.
+// QueryStatus queries every instance for the configuration it has in force and since when it lags.
 //
 // In a large fleet an instance receives these statements only from the few instances it exchanges
 // probes with. Operators' status queries are rare enough to call every instance. For an instance
 // that does not answer, the result holds its latest known statement.
-func (g *Gossip) Survey(ctx context.Context) []value.Instance {
+func (g *Gossip) QueryStatus(ctx context.Context) []value.Instance {
 	snapshot := g.membership.Control.Snapshot()
 	var members []value.Instance
 	for _, i := range snapshot.Instances().All() {
--- a/io/httpd/until_test.go
+++ b/io/httpd/until_test.go
@@ -20,7 +20,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() {
-		ended <- httpd.Until(ctx, &http.Server{Handler: http.NotFoundHandler()}, listener, func(s *http.Server) error {
+		ended <- httpd.ServeUntil(ctx, &http.Server{Handler: http.NotFoundHandler()}, listener, func(s *http.Server) error {
 			return errors.Join(errStopped, s.Close())
 		})
 	}()
@@ -29,6 +29,6 @@
 	assert.NilError(t, resp.Body.Close())
 	cancel()
 	assert.ErrorIs(t, <-ended, errStopped)
-	err = httpd.Until(t.Context(), &http.Server{Handler: http.NotFoundHandler()}, listener, func(*http.Server) error { return errStopped })
+	err = httpd.ServeUntil(t.Context(), &http.Server{Handler: http.NotFoundHandler()}, listener, func(*http.Server) error { return errStopped })
 	assert.ErrorContains(t, err, "use of closed network connection")
 }
--- a/io/lease/hold.go
+++ b/io/lease/hold.go
@@ -65,7 +65,7 @@
 		return 0, fmt.Errorf("read back %s: %w", key, err)
 	}
 	if e.Revision == 0 || e.Lease != id {
-		return 0, plat.Conflict{Present: e}
+		return 0, plat.Conflict{Current: e}
 	}
 	return e.Revision, nil
 }
@@ -106,7 +106,7 @@
 			end(ReasonEnded)
 			return
 		}
-		clock.Passed(ctx, min(r.Rule.Renew, remaining))
+		clock.WaitFully(ctx, min(r.Rule.Renew, remaining))
 		if ctx.Err() != nil {
 			return
 		}
--- a/io/lease/lease_test.go
+++ b/io/lease/lease_test.go
@@ -38,7 +38,7 @@
 	defer l.mu.Unlock()
 	valid := 0
 	for _, t := range l.active {
-		if t.Valid(time.Now()) {
+		if t.IsValid(time.Now()) {
 			valid++
 		}
 	}
@@ -186,7 +186,7 @@
 		f := newFixture(t, 7)
 		f.advance(20 * time.Second)
 		first := f.holder(t)
-		assert.NilError(t, first.store.Set(fakes.Faults{Down: true}))
+		assert.NilError(t, first.store.SetFaults(fakes.StoreFaults{Down: true}))
 		f.advance(rule.Length + 10*time.Second)
 		assert.Assert(t, f.holder(t) != first)
 		f.checkTerms(t, 2)
@@ -198,7 +198,7 @@
 		f := newFixture(t, 3)
 		f.advance(20 * time.Second)
 		first := f.holder(t)
-		assert.NilError(t, first.store.Set(fakes.Faults{Delay: rule.Length + time.Second}))
+		assert.NilError(t, first.store.SetFaults(fakes.StoreFaults{Delay: rule.Length + time.Second}))
 		f.advance(time.Minute)
 		assert.Equal(t, f.terms.maxValid, 1)
 		assert.Assert(t, len(f.terms.fences) > 1)
@@ -223,7 +223,7 @@
 		f.advance(10 * time.Second)
 		only := f.contenders[0]
 		only.loseSwap.Store(true)
-		assert.NilError(t, only.store.LapseLeases(t.Context()))
+		assert.NilError(t, only.store.ExpireLeases(t.Context()))
 		f.advance(30 * time.Second)
 		f.checkTerms(t, 2)
 		assert.Assert(t, !only.loseSwap.Load())
--- a/io/lease/order.go
+++ b/io/lease/order.go
@@ -63,7 +63,7 @@
 		return nil
 	}
 	if left := term.TakeoverDelayLeft(time.Now()); left > 0 {
-		clock.Passed(ctx, left)
+		clock.WaitFully(ctx, left)
 	}
 	if err := ctx.Err(); err != nil {
 		return fmt.Errorf("wait for end of previous holder's orders: %w: %w", ErrTermEnded, err)
@@ -75,7 +75,7 @@
 func (r Reconciler) matches(ctx context.Context, term Term, desired DesiredState) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, term.rule.MaxOrderTime)
 	defer cancel()
-	loaded, err := r.Commander.Carried(ctx, desired.Server)
+	loaded, err := r.Commander.LoadedVersions(ctx, desired.Server)
 	if err != nil {
 		return false, fmt.Errorf("read loaded versions of %s: %w", desired.Server.ID, err)
 	}
@@ -94,7 +94,7 @@
 	if desired.Loaded {
 		verb = engine.OrderLoad
 	}
-	order := engine.Order{Verb: verb, Version: desired.Version, Fence: term.Fence()}
+	order := engine.Order{Verb: verb, Version: desired.Version, FencingToken: term.Fence()}
 	if err := r.Commander.Send(ctx, desired.Server, order); err != nil {
 		return fmt.Errorf("send order to %s: %w", desired.Server.ID, err)
 	}
--- a/io/lease/order_test.go
+++ b/io/lease/order_test.go
@@ -38,7 +38,7 @@
 	return nil
 }
 
-func (s *fakeServer) Carried(context.Context, value.BackendServer) ([]value.VersionKey, error) {
+func (s *fakeServer) LoadedVersions(context.Context, value.BackendServer) ([]value.VersionKey, error) {
 	if s.onRead != nil {
 		s.onRead()
 	}
@@ -69,7 +69,7 @@
 		})
 		assert.NilError(t, err)
 		assert.Equal(t, len(backend.orders), 1)
-		assert.Assert(t, backend.orders[0].Fence > 0)
+		assert.Assert(t, backend.orders[0].FencingToken > 0)
 		assert.Assert(t, backend.times[0].Sub(start) >= rule.TakeoverDelay)
 	})
 }
--- a/io/lease/placer.go
+++ b/io/lease/placer.go
@@ -50,7 +50,7 @@
 		if err := p.runPass(ctx, t); errors.Is(err, ErrTermEnded) {
 			return err
 		}
-		clock.Passed(ctx, p.Interval)
+		clock.WaitFully(ctx, p.Interval)
 	}
 	return fmt.Errorf("place versions: %w", ctx.Err())
 }
--- a/io/lease/runner.go
+++ b/io/lease/runner.go
@@ -89,14 +89,14 @@
 // contendRepeatedly contends for the duty whenever this instance is a candidate; it backs off after
 // failures and ends with the context.
 func (r *Runner) contendRepeatedly(ctx context.Context, duty Duty) {
-	backoff := policy.Backoff{First: initialBackoff, Limit: maxBackoff}
+	backoff := policy.Backoff{InitialDelay: initialBackoff, MaxDelay: maxBackoff}
 	for r.awaitCandidacy(ctx, duty.Name) {
 		err := r.contend(ctx, duty)
 		backoff = backoff.WithFailure()
 		if err == nil {
 			backoff = backoff.WithSuccess()
 		}
-		clock.Passed(ctx, r.delay(backoff))
+		clock.WaitFully(ctx, r.delay(backoff))
 	}
 }
 
@@ -122,7 +122,7 @@
 	acquired, err := r.acquire(ctx, d.Name)
 	var conflict plat.Conflict
 	if errors.As(err, &conflict) {
-		return r.awaitVacancy(ctx, conflict.Present)
+		return r.awaitVacancy(ctx, conflict.Current)
 	}
 	if err != nil {
 		return err
--- a/io/lease/term.go
+++ b/io/lease/term.go
@@ -22,9 +22,9 @@
 	return t.validity.Get().Fence
 }
 
-// Valid reports whether the holder may still act; the duty has to check it before each action.
-func (t Term) Valid(now time.Time) bool {
-	return t.validity.Get().Valid(now)
+// IsValid reports whether the holder may still act; the duty has to check it before each action.
+func (t Term) IsValid(now time.Time) bool {
+	return t.validity.Get().IsValid(now)
 }
 
 // CanSendOrder reports whether an order to a backend server that is sent now ends within the term.
--- a/io/logs/async.go
+++ b/io/logs/async.go
@@ -14,11 +14,11 @@
 	maxBatchBytes = 32 << 10
 )
 
-// Async writes lines to an output on a goroutine of its own, so that callers never wait for the
+// AsyncWriter writes lines to an output on a goroutine of its own, so that callers never wait for the
 // output.
 //
 // Lines are dropped and counted while the queue is full.
-type Async struct {
+type AsyncWriter struct {
 	lines        chan []byte
 	dropped      atomic.Int64
 	failedWrites atomic.Int64
@@ -26,16 +26,16 @@
 	closeOnce    sync.Once
 }
 
-// NewAsync returns an asynchronous writer to the output and starts its goroutine, which Close ends.
-func NewAsync(w io.Writer) *Async {
-	a := &Async{lines: make(chan []byte, maxQueuedLines), done: make(chan struct{})}
+// NewAsyncWriter returns an asynchronous writer to the output and starts its goroutine, which Close ends.
+func NewAsyncWriter(w io.Writer) *AsyncWriter {
+	a := &AsyncWriter{lines: make(chan []byte, maxQueuedLines), done: make(chan struct{})}
 	go a.drain(w)
 	return a
 }
 
 // Write queues a copy of the line, or drops the line if the queue is full. It never returns an
 // error.
-func (a *Async) Write(b []byte) (int, error) {
+func (a *AsyncWriter) Write(b []byte) (int, error) {
 	select {
 	case a.lines <- append([]byte(nil), b...):
 	default:
@@ -46,18 +46,18 @@
 
 // Dropped returns the number of dropped lines since the last call, plus the number of writes to the
 // output that failed.
-func (a *Async) Dropped() int64 {
+func (a *AsyncWriter) Dropped() int64 {
 	return a.dropped.Swap(0) + a.failedWrites.Swap(0)
 }
 
 // Close writes the queued lines and returns; Write must not be called afterwards.
-func (a *Async) Close() {
+func (a *AsyncWriter) Close() {
 	a.closeOnce.Do(func() { close(a.lines) })
 	<-a.done
 }
 
 // drain writes the queued lines in batches until the queue is closed.
-func (a *Async) drain(w io.Writer) {
+func (a *AsyncWriter) drain(w io.Writer) {
 	defer close(a.done)
 	batch := make([]byte, 0, maxBatchBytes)
 	for line := range a.lines {
@@ -70,7 +70,7 @@
 }
 
 // appendQueued adds lines that are already queued, until the batch has reached its size.
-func (a *Async) appendQueued(batch []byte) []byte {
+func (a *AsyncWriter) appendQueued(batch []byte) []byte {
 	for len(batch) < maxBatchBytes {
 		select {
 		case line, ok := <-a.lines:
--- a/io/logs/relayed.go
+++ b/io/logs/relayed.go
@@ -8,13 +8,13 @@
 	"endivehitch/io/carry"
 )
 
-// Relayed logs the decisions about relayed requests; it is a carry.Recorder.
-type Relayed struct {
+// RelayRecorder logs the decisions about relayed requests; it is a carry.Recorder.
+type RelayRecorder struct {
 	Log *zap.Logger
 }
 
 // Record logs the decision; fields that the decision does not set are omitted.
-func (r Relayed) Record(d carry.Decision) {
+func (r RelayRecorder) Record(d carry.Decision) {
 	fields := make([]zap.Field, 0, 16)
 	addText := func(name, value string) {
 		if value != "" {
@@ -54,8 +54,8 @@
 	r.Log.Info(string(d.Kind), fields...)
 }
 
-// Watch logs and counts the dropped lines at each tick of every, until stop is closed.
-func Watch(log *zap.Logger, a *Async, count func(int64), every <-chan time.Time, stop <-chan struct{}) {
+// ReportDroppedLines logs and counts the dropped lines at each tick of every, until stop is closed.
+func ReportDroppedLines(log *zap.Logger, a *AsyncWriter, count func(int64), every <-chan time.Time, stop <-chan struct{}) {
 	for {
 		select {
 		case <-every:
--- a/io/node/config.go
+++ b/io/node/config.go
@@ -30,8 +30,8 @@
 	Judge flow.Judge
 	// Store is the platform's key-value service.
 	Store plat.Store
-	// Rates limits the instance's calls to Store.
-	Rates Rates
+	// StoreRates limits the instance's calls to Store.
+	StoreRates StoreRates
 	// List is the platform's list of instances and backend servers.
 	List plat.InstanceList
 	// Ratings is the platform's rating service. Without one, the quality estimates stay as the
@@ -42,12 +42,12 @@
 	Seed    uint64
 	// TLS, if set, is used for connections from callers.
 	TLS *tls.Config
-	// Grace is how long requests in flight may take to finish after the node has begun to leave.
-	Grace time.Duration
+	// ShutdownGrace is how long requests in flight may take to finish after the node has begun to leave.
+	ShutdownGrace time.Duration
 }
 
-// Rates holds the maximum numbers of calls per second to the key-value service by one instance.
-type Rates struct {
+// StoreRates holds the maximum numbers of calls per second to the key-value service by one instance.
+type StoreRates struct {
 	Reads  float64
 	Writes float64
 }
@@ -70,7 +70,7 @@
 		return errors.New("node: no signer or runner")
 	case c.Store == nil || c.List == nil:
 		return errors.New("node: no key-value service or instance list")
-	case c.Rates.Reads <= 0 || c.Rates.Writes <= 0:
+	case c.StoreRates.Reads <= 0 || c.StoreRates.Writes <= 0:
 		return errors.New("node: rates of the key-value service must be positive")
 	case c.Peers.Listener == nil:
 		return errors.New("node: no listener for other instances")
--- a/io/node/duties.go
+++ b/io/node/duties.go
@@ -31,9 +31,9 @@
 // one instance of the fleet that holds its lease.
 type duties struct {
 	// keeper stores the positions of roll-outs and the withdrawals of versions.
-	keeper *stage.Keeper
+	keeper *stage.Persister
 	// feeder passes attempts and ratings to the control state and takes the steps that are due.
-	feeder *stage.Feeder
+	feeder *stage.Collector
 	// runner acquires leases and runs their duties.
 	runner *lease.Runner
 }
@@ -42,24 +42,24 @@
 	d := &duties{}
 	var err error
 	failed := func(err error) { n.config.Log.Warn("RollOutFailed", zap.Error(err)) }
-	if d.keeper, err = stage.NewKeeper(stage.KeeperConfig{
+	if d.keeper, err = stage.NewPersister(stage.PersisterConfig{
 		Store:       n.components.store,
 		Environment: n.config.Environment,
 		Do:          n.control.Do,
-		Failed:      failed,
-		Delay:       n.newRetryDelay(),
+		ReportError: failed,
+		RetryDelay:  n.newRetryDelay(),
 	}); err != nil {
 		return nil, fmt.Errorf("create roll-out keeper: %w", err)
 	}
-	if d.feeder, err = stage.NewFeeder(stage.FeederConfig{
-		Drain:    n.flow.Drain,
-		Ratings:  n.config.Ratings,
-		Caller:   n.components.client,
-		Snapshot: n.control.Snapshot,
-		Do:       n.control.Do,
-		Failed:   failed,
-		Now:      time.Now,
-		Every:    feedInterval,
+	if d.feeder, err = stage.NewCollector(stage.CollectorConfig{
+		DrainCounts: n.flow.TakeAttemptCounts,
+		Ratings:     n.config.Ratings,
+		Caller:      n.components.client,
+		Snapshot:    n.control.Snapshot,
+		Do:          n.control.Do,
+		ReportError: failed,
+		Now:         time.Now,
+		Interval:    feedInterval,
 	}); err != nil {
 		return nil, fmt.Errorf("create roll-out feeder: %w", err)
 	}
@@ -91,10 +91,10 @@
 			return nil
 		case <-ticker.C:
 		}
-		if !t.Valid(time.Now()) {
+		if !t.IsValid(time.Now()) {
 			return lease.ErrTermEnded
 		}
-		if err := d.feeder.Step(ctx); err != nil {
+		if err := d.feeder.TakeDueSteps(ctx); err != nil {
 			return err
 		}
 	}
@@ -105,6 +105,6 @@
 func (n *Node) newRetryDelay() func(int) time.Duration {
 	rnd := newRand(n.config.Seed)
 	return func(failures int) time.Duration {
-		return policy.Backoff{First: backoffFirst, Limit: backoffLimit}.WithFailures(failures).Delay(rnd)
+		return policy.Backoff{InitialDelay: backoffFirst, MaxDelay: backoffLimit}.WithFailures(failures).Delay(rnd)
 	}
 }
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -99,17 +99,17 @@
 
 func (n *Node) newFront() (*front.Front, error) {
 	return front.New(front.Config{
-		Server:   n.stats.Instrument(n.flow),
-		Snapshot: n.control.Snapshot,
-		Able:     n.components.biller.Ready,
-		Keys:     n.config.Keys,
-		Signer:   n.config.Signer,
-		Now:      time.Now,
+		JobServer:     n.stats.Instrument(n.flow),
+		Snapshot:      n.control.Snapshot,
+		CanStoreBills: n.components.biller.HasCapacity,
+		Keys:          n.config.Keys,
+		Signer:        n.config.Signer,
+		Now:           time.Now,
 		Limits: front.Limits{
-			BodyBytes: maxBodyBytes,
-			ReadTime:  readTimeout,
-			WriteTime: writeTimeout,
-			InFlight:  maxInFlight,
+			BodyBytes:    maxBodyBytes,
+			ReadTimeout:  readTimeout,
+			WriteTimeout: writeTimeout,
+			InFlight:     maxInFlight,
 		},
 	})
 }
@@ -150,21 +150,21 @@
 	return n.recorder.ForRequest(id)
 }
 
-// Find returns the decisions about the request, oldest first: those of this instance or, if it has
+// FindDecisions returns the decisions about the request, oldest first: those of this instance or, if it has
 // none, those of another instance that still stores some.
-func (n *Node) Find(ctx context.Context, id value.RequestID) ([]value.Decision, error) {
+func (n *Node) FindDecisions(ctx context.Context, id value.RequestID) ([]value.Decision, error) {
 	return n.finder.Find(ctx, id)
 }
 
-// Survey queries the instances and returns them with the configuration that each reports.
-func (n *Node) Survey(ctx context.Context) []value.Instance {
-	return n.components.gossip.Survey(ctx)
+// QueryStatus queries the instances and returns them with the configuration that each reports.
+func (n *Node) QueryStatus(ctx context.Context) []value.Instance {
+	return n.components.gossip.QueryStatus(ctx)
 }
 
 func (n *Node) newFinder() (*trace.Finder, error) {
 	f, err := trace.New(trace.Config{
-		Self:  n.config.Self.ID,
-		Local: n.recorder.ForRequest,
+		Self:           n.config.Self.ID,
+		LocalDecisions: n.recorder.ForRequest,
 		Instances: func() []value.Instance {
 			var all []value.Instance
 			for _, i := range n.Snapshot().Instances().All() {
@@ -172,9 +172,9 @@
 			}
 			return all
 		},
-		Caller:   n.components.client,
-		Parallel: maxParallelFinds,
-		Timeout:  findTimeout,
+		Caller:      n.components.client,
+		MaxParallel: maxParallelFinds,
+		Timeout:     findTimeout,
 	})
 	if err != nil {
 		return nil, err
@@ -186,7 +186,7 @@
 func (n *Node) dispatchEffects() {
 	for e := range n.control.loop.Effects() {
 		n.components.gossip.Handle(e)
-		n.duties.keeper.Take(e)
+		n.duties.keeper.Enqueue(e)
 		n.recordEvent(e)
 	}
 }
--- a/io/node/node_test.go
+++ b/io/node/node_test.go
@@ -37,7 +37,7 @@
 type nodeHarness struct {
 	base  string
 	chat  *fakes.Chat
-	plain *fakes.Plain
+	plain *fakes.PlainService
 	store plat.Store
 	node  *node.Node
 	stop  func()
@@ -47,7 +47,7 @@
 // startNode starts a node and waits until it has a configuration and both backend servers.
 func startNode(t *testing.T) *nodeHarness {
 	t.Helper()
-	harness := &nodeHarness{chat: &fakes.Chat{Name: "small"}, plain: &fakes.Plain{Name: "desk"}, ended: make(chan error, 1)}
+	harness := &nodeHarness{chat: &fakes.Chat{Name: "small"}, plain: &fakes.PlainService{Name: "desk"}, ended: make(chan error, 1)}
 	chatServer := httptest.NewServer(harness.chat)
 	t.Cleanup(chatServer.Close)
 	plainServer := httptest.NewServer(harness.plain)
@@ -86,17 +86,17 @@
 	assert.NilError(t, err)
 	sum := sha256.Sum256([]byte(apiKey))
 	return node.Config{
-		Self:        value.Instance{ID: "i-1", FailureDomain: "guj-a", State: value.InstanceLive},
-		Environment: "trial",
-		Keys:        map[string]value.AccountName{hex.EncodeToString(sum[:]): "ward-12"},
-		Signer:      signer,
-		Runner:      runner,
-		Store:       store,
-		Rates:       node.Rates{Reads: 100, Writes: 100},
-		List:        plat.Fixed{ListedServers: servers},
-		Peers:       node.Peers{Listener: peers},
-		Log:         zap.NewNop(),
-		Grace:       time.Minute,
+		Self:          value.Instance{ID: "i-1", FailureDomain: "guj-a", State: value.InstanceLive},
+		Environment:   "trial",
+		Keys:          map[string]value.AccountName{hex.EncodeToString(sum[:]): "ward-12"},
+		Signer:        signer,
+		Runner:        runner,
+		Store:         store,
+		StoreRates:    node.StoreRates{Reads: 100, Writes: 100},
+		List:          plat.StaticList{ListedServers: servers},
+		Peers:         node.Peers{Listener: peers},
+		Log:           zap.NewNop(),
+		ShutdownGrace: time.Minute,
 	}
 }
 
@@ -121,7 +121,7 @@
 	t.Helper()
 	h.stop()
 	assert.NilError(t, <-h.ended)
-	segments, err := bills.Read(t.Context(), h.store)
+	segments, err := bills.ReadSegments(t.Context(), h.store)
 	assert.NilError(t, err)
 	var charged []value.RequestID
 	for _, b := range query.Reconcile(segments, nil).Charges {
@@ -189,7 +189,7 @@
 
 func TestTruncatedStreamEndsInErrorAndIsNotBilled(t *testing.T) {
 	harness := startNode(t)
-	harness.chat.Break(fakes.FaultCut)
+	harness.chat.SetFault(fakes.FaultTruncate)
 	client := newChatClient(harness)
 	stream := client.Chat.Completions.NewStreaming(t.Context(), chatParams())
 	for stream.Next() {
@@ -200,10 +200,10 @@
 
 func TestReorderRunsOnceWhenItsAnswerIsLost(t *testing.T) {
 	harness := startNode(t)
-	harness.plain.Break(fakes.FaultReset)
+	harness.plain.SetFault(fakes.FaultReset)
 	status, body := send(t, harness, "POST", "/v1/services/reorder-desk/orders", "reorder", "k-1", "40 menus")
 	assert.Equal(t, status, http.StatusBadGateway, body)
-	harness.plain.Break(fakes.FaultNone)
+	harness.plain.SetFault(fakes.FaultNone)
 	status, body = send(t, harness, "POST", "/v1/services/reorder-desk/orders", "reorder", "k-1", "40 menus")
 	assert.Equal(t, status, http.StatusConflict)
 	assert.Assert(t, strings.Contains(body, "OutcomeUnknown"), body)
@@ -280,7 +280,7 @@
 
 func TestRefusalStatesWhetherRequestRan(t *testing.T) {
 	harness := startNode(t)
-	harness.chat.Break(fakes.FaultReset)
+	harness.chat.SetFault(fakes.FaultReset)
 	status, body := send(t, harness, "POST", "/v1/chat/completions", "spelling", "", `{"messages":[{"role":"user","content":"x"}]}`)
 	assert.Equal(t, status, http.StatusBadGateway)
 	assert.Assert(t, strings.Contains(body, `"NotRun":false`), body)
--- a/io/node/parts.go
+++ b/io/node/parts.go
@@ -49,7 +49,7 @@
 // components holds the parts of the node that request flow and duties build on.
 type components struct {
 	// store is the key-value service, limited to the instance's call budget.
-	store *plat.Budget
+	store *plat.LimitedStore
 	// server and client are the two sides of the RPC connections between instances.
 	server *peer.Server
 	client *peer.Client
@@ -80,23 +80,23 @@
 }
 
 func retryBackoff() policy.Backoff {
-	return policy.Backoff{First: backoffFirst, Limit: backoffLimit}
+	return policy.Backoff{InitialDelay: backoffFirst, MaxDelay: backoffLimit}
 }
 
 // newStoreBudget limits all calls of the instance to the key-value service to one budget.
-func newStoreBudget(c Config) (*plat.Budget, error) {
-	b, err := plat.NewBudget(plat.BudgetConfig{
-		Store:   c.Store,
-		Reads:   c.Rates.Reads,
-		Writes:  c.Rates.Writes,
-		Burst:   storeBurst,
-		Queue:   maxQueuedStoreCalls,
-		Watches: maxStoreWatches,
-		Timeout: storeTimeout,
-		Tries:   maxStoreAttempts,
-		Retries: storeRetryRate,
-		Backoff: retryBackoff(),
-		Seed:    c.Seed,
+func newStoreBudget(c Config) (*plat.LimitedStore, error) {
+	b, err := plat.NewLimitedStore(plat.LimitedStoreConfig{
+		Store:            c.Store,
+		Reads:            c.StoreRates.Reads,
+		Writes:           c.StoreRates.Writes,
+		Burst:            storeBurst,
+		Queue:            maxQueuedStoreCalls,
+		MaxWatches:       maxStoreWatches,
+		Timeout:          storeTimeout,
+		MaxAttempts:      maxStoreAttempts,
+		RetriesPerSecond: storeRetryRate,
+		Backoff:          retryBackoff(),
+		Seed:             c.Seed,
 	})
 	if err != nil {
 		return nil, fmt.Errorf("create call budget of key-value service: %w", err)
@@ -130,22 +130,22 @@
 		Owner: func(slot int) (value.Instance, bool) {
 			return query.Owner(control.Snapshot(), slot)
 		},
-		Caller:       p.client,
-		Gone:         control.hasDeparted,
-		Now:          time.Now,
-		Rule:         ledger.JournalRule{Retention: journalRetention, AbandonAfter: claimAbandonAfter, MaxBytes: maxJournalBytes, MaxAnswerBytes: maxAnswerBytes},
-		Slots:        state.Slots,
-		Writes:       c.Rates.Writes,
-		Interval:     journalWriteInterval,
-		Group:        maxJournalGroup,
-		Queue:        maxQueuedClaims,
-		OwnerTimeout: ownerTimeout,
-		StoreTimeout: storeTimeout,
-		SettleWait:   settleWait,
-		Backlog:      maxSettleBacklog,
-		Backoff:      retryBackoff(),
-		NewToken:     uuid.NewString,
-		Seed:         c.Seed,
+		Caller:        p.client,
+		HasDeparted:   control.hasDeparted,
+		Now:           time.Now,
+		Rule:          ledger.JournalRule{Retention: journalRetention, AbandonAfter: claimAbandonAfter, MaxBytes: maxJournalBytes, MaxAnswerBytes: maxAnswerBytes},
+		Slots:         state.Slots,
+		WriteRate:     c.StoreRates.Writes,
+		WriteInterval: journalWriteInterval,
+		MaxGroup:      maxJournalGroup,
+		MaxQueue:      maxQueuedClaims,
+		OwnerTimeout:  ownerTimeout,
+		StoreTimeout:  storeTimeout,
+		RecordWait:    settleWait,
+		MaxBacklog:    maxSettleBacklog,
+		Backoff:       retryBackoff(),
+		NewToken:      uuid.NewString,
+		Seed:          c.Seed,
 	})
 	if err != nil {
 		return fmt.Errorf("create idempotency guard: %w", err)
@@ -159,20 +159,20 @@
 
 func (p *components) addBiller(c Config, control *controlLoop) error {
 	b, err := bills.New(bills.Config{
-		Self:         c.Self,
-		Store:        p.store,
-		Caller:       p.client,
-		Holders:      func() []value.Instance { return query.BillReplicas(control.Snapshot()) },
-		Gone:         control.needsBillTakeover,
-		Copies:       billCopies,
-		Flush:        func() time.Duration { return query.FlushInterval(control.Snapshot()) },
-		Patience:     billKeepTimeout,
-		Timeout:      storeTimeout,
-		Backlog:      maxBillBacklog,
-		SegmentBytes: maxSegmentBytes,
-		HeldEntries:  maxBillBacklog,
-		Backoff:      retryBackoff(),
-		Seed:         c.Seed,
+		Self:            c.Self,
+		Store:           p.store,
+		Caller:          p.client,
+		Holders:         func() []value.Instance { return query.BillReplicas(control.Snapshot()) },
+		NeedsTakeover:   control.needsBillTakeover,
+		MinCopies:       billCopies,
+		FlushInterval:   func() time.Duration { return query.FlushInterval(control.Snapshot()) },
+		StoreTimeout:    billKeepTimeout,
+		CallTimeout:     storeTimeout,
+		MaxBacklog:      maxBillBacklog,
+		MaxSegmentBytes: maxSegmentBytes,
+		MaxHeldEntries:  maxBillBacklog,
+		Backoff:         retryBackoff(),
+		Seed:            c.Seed,
 	})
 	if err != nil {
 		return fmt.Errorf("create biller: %w", err)
--- a/io/node/run.go
+++ b/io/node/run.go
@@ -79,7 +79,7 @@
 	g.Go(func() error { return n.stats.Run(ctx, n.metricSources()) })
 	if n.config.Reporter != nil {
 		g.Go(func() error {
-			n.flow.Poll(ctx, flow.PollConfig{From: n.config.Reporter, Every: reportInterval, Batch: reportBatchSize})
+			n.flow.Poll(ctx, flow.PollConfig{Reporter: n.config.Reporter, Interval: reportInterval, BatchSize: reportBatchSize})
 			return nil
 		})
 	}
@@ -94,7 +94,7 @@
 		Usage:     n.components.store.Usage,
 		Waiting:   n.flow.Waiting,
 		Unsettled: n.components.guard.Unsettled,
-		Unsafe:    n.components.biller.Unsafe,
+		Unsafe:    n.components.biller.UnsafeCount,
 	}
 }
 
@@ -131,7 +131,7 @@
 	serving, stop := context.WithCancel(ctx)
 	defer stop()
 	defer context.AfterFunc(controlCtx, stop)()
-	return httpd.Until(serving, server, l, func(s *http.Server) error { return n.leave(controlCtx, s) })
+	return httpd.ServeUntil(serving, server, l, func(s *http.Server) error { return n.leave(controlCtx, s) })
 }
 
 // leave marks the instance as leaving and waits for requests in flight, at most for the grace
@@ -140,7 +140,7 @@
 	if err := n.Do(controlCtx, cmds.Leave{}); err != nil {
 		return err
 	}
-	graceful, cancel := context.WithTimeout(controlCtx, n.config.Grace)
+	graceful, cancel := context.WithTimeout(controlCtx, n.config.ShutdownGrace)
 	defer cancel()
 	if err := server.Shutdown(graceful); err != nil {
 		return fmt.Errorf("finish requests in flight: %w", err)
--- a/io/node/servers.go
+++ b/io/node/servers.go
@@ -32,7 +32,7 @@
 		if err := s.sync(ctx); err != nil && ctx.Err() == nil {
 			s.log.Warn("ServersNotRead", zap.Error(err))
 		}
-		if !clock.Passed(ctx, listInterval) {
+		if !clock.WaitFully(ctx, listInterval) {
 			return nil
 		}
 	}
--- a/io/once/bench_test.go
+++ b/io/once/bench_test.go
@@ -30,10 +30,10 @@
 	h.configure = func(c *once.Config) {
 		c.Slots = benchInstances
 		c.Rule.MaxBytes = 1 << 20
-		c.Queue = 1 << 20
-		c.Backlog = 1 << 20
-		c.Writes = benchWrites / benchInstances
-		c.SettleWait = time.Minute
+		c.MaxQueue = 1 << 20
+		c.MaxBacklog = 1 << 20
+		c.WriteRate = benchWrites / benchInstances
+		c.RecordWait = time.Minute
 		adjust(c)
 		if !useOwners {
 			c.Caller = nil
@@ -43,7 +43,7 @@
 			return instance(value.InstanceID(fmt.Sprint("i", slot))), true
 		}
 	}
-	h.setFaults(fakes.Faults{}.WithDelay(benchLatency))
+	h.setFaults(fakes.StoreFaults{}.WithDelay(benchLatency))
 	var guards []*once.Guard
 	for i := range benchInstances {
 		guards = append(guards, h.guard(value.InstanceID(fmt.Sprint("i", i))))
@@ -84,7 +84,7 @@
 // writes at slot owners, all at the same write rate.
 func BenchmarkOnce(b *testing.B) {
 	// With this many slots two calls hardly ever share one, as if each call had its own store key.
-	single := func(c *once.Config) { c.Group = 1; c.Slots = 1 << 12 }
+	single := func(c *once.Config) { c.MaxGroup = 1; c.Slots = 1 << 12 }
 	grouped := func(*once.Config) {}
 	variants := []struct {
 		name      string
--- a/io/once/commit.go
+++ b/io/once/commit.go
@@ -64,7 +64,7 @@
 
 // ledgerSetting returns what decisions depend on besides the journal.
 func (g *Guard) ledgerSetting() ledger.DecisionInputs {
-	return ledger.DecisionInputs{Now: g.config.Now(), HasDeparted: g.config.Gone}
+	return ledger.DecisionInputs{Now: g.config.Now(), HasDeparted: g.config.HasDeparted}
 }
 
 // load returns the journal as this worker last wrote it, or else as the store has it. After a
@@ -121,7 +121,7 @@
 	var conflict plat.Conflict
 	if errors.As(err, &conflict) {
 		s.guard.updateStats(func(stats Stats) Stats { stats.Conflicts++; return stats })
-		if present, decodeErr := decodeEntry(conflict.Present); decodeErr == nil {
+		if present, decodeErr := decodeEntry(conflict.Current); decodeErr == nil {
 			s.last = present
 		}
 		return true
--- a/io/once/guard.go
+++ b/io/once/guard.go
@@ -19,12 +19,12 @@
 
 // Claim returns the right to run the request, or the stored answer of an earlier run; the error is a
 // value.Refusal.
-func (g *Guard) Claim(ctx context.Context, r value.Request) (flow.Claim, *flow.Stored, error) {
+func (g *Guard) Claim(ctx context.Context, r value.Request) (flow.Claim, *flow.StoredAnswer, error) {
 	op := ledger.Op{
 		Verb:        ledger.VerbClaim,
 		ID:          ledger.NewCallID(r.Account, r.Key),
 		Kind:        r.Kind,
-		RequestHash: r.Question,
+		RequestHash: r.RequestHash,
 		Token:       g.config.NewToken(),
 		Holder:      g.config.Self,
 		Until:       r.Deadline,
@@ -45,10 +45,10 @@
 
 // replayAnswer returns the stored answer, or a refusal if the call has run and its answer was not
 // stored.
-func replayAnswer(a ledger.Answer) (flow.Claim, *flow.Stored, error) {
+func replayAnswer(a ledger.Answer) (flow.Claim, *flow.StoredAnswer, error) {
 	if a.IsComplete() {
 		head := engine.Head{Status: a.Status, ContentType: a.ContentType}
-		return nil, &flow.Stored{Head: head, Body: a.Body}, nil
+		return nil, &flow.StoredAnswer{Head: head, Body: a.Body}, nil
 	}
 	detail := fmt.Sprintf("the call has run to its end with status %d; its answer of %d bytes, SHA-256 %s, was too large to keep", a.Status, a.Bytes, a.Digest)
 	return nil, nil, value.Refusal{Reason: value.ReasonOutcomeUnknown, Detail: detail}
@@ -84,7 +84,7 @@
 
 // Finish records the answer for later calls with the same key, without its body if that is too
 // large.
-func (c *claim) Finish(ctx context.Context, s flow.Stored) error {
+func (c *claim) Finish(ctx context.Context, s flow.StoredAnswer) error {
 	digest := sha256.Sum256(s.Body)
 	answer := ledger.Answer{
 		Status:      s.Head.Status,
@@ -104,8 +104,8 @@
 	return c.guard.recordEnd(ctx, c.op.WithVerb(ledger.VerbRelease))
 }
 
-// Doubt records the outcome as unknown, after a dispatch that gave no complete answer.
-func (c *claim) Doubt(ctx context.Context) error {
+// MarkInDoubt records the outcome as unknown, after a dispatch that gave no complete answer.
+func (c *claim) MarkInDoubt(ctx context.Context) error {
 	return c.guard.recordEnd(ctx, c.op.WithVerb(ledger.VerbMarkInDoubt))
 }
 
@@ -117,7 +117,7 @@
 	if err != nil {
 		return err
 	}
-	timer := time.NewTimer(g.config.SettleWait)
+	timer := time.NewTimer(g.config.RecordWait)
 	defer timer.Stop()
 	select {
 	case <-recorded:
@@ -168,7 +168,7 @@
 func (g *Guard) reserveBacklog() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.unsettled >= g.config.Backlog {
+	if g.unsettled >= g.config.MaxBacklog {
 		return false
 	}
 	if g.unsettled == 0 {
--- a/io/once/once.go
+++ b/io/once/once.go
@@ -26,31 +26,31 @@
 	Owner func(slot int) (value.Instance, bool)
 	// Caller sends operations to owners; if it is nil, this instance writes all slots itself.
 	Caller peer.Caller
-	// Gone reports whether an instance has departed for good.
-	Gone func(value.InstanceID) bool
-	Now  func() time.Time
-	Rule ledger.JournalRule
+	// HasDeparted reports whether an instance has departed for good.
+	HasDeparted func(value.InstanceID) bool
+	Now         func() time.Time
+	Rule        ledger.JournalRule
 	// Slots is the number of journals; it must be the same at all instances and never change.
 	Slots int
-	// Writes is the number of journal writes per second that this instance may make.
-	Writes float64
-	// Interval is the least time between two writes of one journal; operations that arrive meanwhile
+	// WriteRate is the number of journal writes per second that this instance may make.
+	WriteRate float64
+	// WriteInterval is the least time between two writes of one journal; operations that arrive meanwhile
 	// share the next write.
-	Interval time.Duration
-	// Group bounds the operations in one write.
-	Group int
-	// Queue bounds the operations waiting at one slot.
-	Queue int
+	WriteInterval time.Duration
+	// MaxGroup bounds the operations in one write.
+	MaxGroup int
+	// MaxQueue bounds the operations waiting at one slot.
+	MaxQueue int
 	// OwnerTimeout bounds a forwarded operation, at both ends; after it the sender writes itself.
 	OwnerTimeout time.Duration
 	// StoreTimeout bounds each call to the store.
 	StoreTimeout time.Duration
-	// SettleWait is how long the end of a claim waits for its record; a record that takes longer is
+	// RecordWait is how long the end of a claim waits for its record; a record that takes longer is
 	// written in the background.
-	SettleWait time.Duration
-	// Backlog bounds the claims whose end is not recorded yet.
-	Backlog int
-	Backoff policy.Backoff
+	RecordWait time.Duration
+	// MaxBacklog bounds the claims whose end is not recorded yet.
+	MaxBacklog int
+	Backoff    policy.Backoff
 	// NewToken returns a token that no other claim has.
 	NewToken func() string
 	// Seed initializes the jitter of the backoff.
@@ -63,11 +63,11 @@
 		return errors.New("once: no instance identifier configured")
 	case c.Store == nil:
 		return errors.New("once: no store configured")
-	case c.Owner == nil || c.Gone == nil || c.Now == nil || c.NewToken == nil:
+	case c.Owner == nil || c.HasDeparted == nil || c.Now == nil || c.NewToken == nil:
 		return errors.New("once: owner, departure, clock or token function not configured")
-	case c.Slots < 1 || c.Group < 1 || c.Queue < 1 || c.Backlog < 1:
+	case c.Slots < 1 || c.MaxGroup < 1 || c.MaxQueue < 1 || c.MaxBacklog < 1:
 		return errors.New("once: slots, group, queue and backlog must be at least 1")
-	case c.Writes <= 0 || c.StoreTimeout <= 0 || c.OwnerTimeout <= 0:
+	case c.WriteRate <= 0 || c.StoreTimeout <= 0 || c.OwnerTimeout <= 0:
 		return errors.New("once: write rate, store timeout and owner timeout must be positive")
 	case c.Rule.MaxBytes < 1 || c.Rule.MaxBytes > plat.ValueLimit:
 		return fmt.Errorf("once: journal limit of %d bytes is out of range", c.Rule.MaxBytes)
@@ -113,7 +113,7 @@
 	}
 	g := &Guard{
 		config:  c,
-		limiter: rate.NewLimiter(rate.Limit(c.Writes), 1),
+		limiter: rate.NewLimiter(rate.Limit(c.WriteRate), 1),
 		slots:   make([]*slot, c.Slots),
 		settled: make(chan struct{}),
 		rnd:     rand.New(rand.NewPCG(c.Seed, c.Seed)),
--- a/io/once/once_test.go
+++ b/io/once/once_test.go
@@ -49,7 +49,7 @@
 		assert.NilError(t, err)
 		assert.DeepEqual(t, *stored, storedAnswer("order 7"))
 		other := request("k")
-		other.Question = 8
+		other.RequestHash = 8
 		assert.Equal(t, claimRefused(t, b, other).Reason, value.ReasonKeyReused)
 	})
 }
@@ -83,7 +83,7 @@
 		for _, owner := range []value.InstanceID{"", "i0", "away"} {
 			h := newHarness(t)
 			h.setOwner(owner)
-			h.setFaults(fakes.Faults{}.WithDelay(20 * time.Millisecond))
+			h.setFaults(fakes.StoreFaults{}.WithDelay(20 * time.Millisecond))
 			var runs atomic.Int64
 			var group sync.WaitGroup
 			for i := range 7 {
@@ -105,11 +105,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t)
 		a, b := h.guard("a"), h.guard("b")
-		h.setFaults(fakes.Faults{}.WithLostAnswers(1))
+		h.setFaults(fakes.StoreFaults{}.WithLostAnswers(1))
 		c := claimGranted(t, a, request("k"))
-		h.setFaults(fakes.Faults{}.WithLostAnswers(1).WithStale(true))
+		h.setFaults(fakes.StoreFaults{}.WithLostAnswers(1).WithStale(true))
 		assert.NilError(t, c.Finish(t.Context(), storedAnswer("once")))
-		h.setFaults(fakes.Faults{})
+		h.setFaults(fakes.StoreFaults{})
 		_, stored, err := b.Claim(t.Context(), request("k"))
 		assert.NilError(t, err)
 		assert.Equal(t, string(stored.Body), "once")
@@ -120,13 +120,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t)
 		a, b := h.guard("a"), h.guard("b")
-		h.setFaults(fakes.Faults{}.WithStale(true))
+		h.setFaults(fakes.StoreFaults{}.WithStale(true))
 		c := claimGranted(t, a, request("k"))
 		assert.Equal(t, claimRefused(t, b, request("k")).Reason, value.ReasonStillRunning)
 		assert.NilError(t, c.Finish(t.Context(), storedAnswer("once")))
 		// Instance b observes the end of the run only once reads are no longer stale.
 		assert.Equal(t, claimRefused(t, b, request("k")).Reason, value.ReasonStillRunning)
-		h.setFaults(fakes.Faults{})
+		h.setFaults(fakes.StoreFaults{})
 		_, stored, err := b.Claim(t.Context(), request("k"))
 		assert.NilError(t, err)
 		assert.Equal(t, string(stored.Body), "once")
@@ -141,7 +141,7 @@
 		h.configure = func(c *once.Config) { c.Slots = 1 }
 		a, b := h.guard("a"), h.guard("b")
 		claimGranted(t, a, request("warm-up, so that the journal needs no reading"))
-		h.setFaults(fakes.Faults{}.WithDelay(3 * time.Second))
+		h.setFaults(fakes.StoreFaults{}.WithDelay(3 * time.Second))
 		short := request("k")
 		short.Deadline = time.Now().Add(2 * time.Second)
 		ctx, cancel := context.WithDeadline(t.Context(), short.Deadline)
@@ -151,7 +151,7 @@
 		assert.Assert(t, errors.As(err, &refusal), "%v", err)
 		assert.Equal(t, refusal.Reason, value.ReasonJournalDown)
 		assert.Assert(t, refusal.NotRun)
-		h.setFaults(fakes.Faults{})
+		h.setFaults(fakes.StoreFaults{})
 		time.Sleep(5 * time.Second)
 		c := claimGranted(t, b, request("k"))
 		assert.NilError(t, c.Finish(t.Context(), storedAnswer("b ran it")))
@@ -166,14 +166,14 @@
 		h := newHarness(t)
 		a := h.guard("a")
 		c := claimGranted(t, a, request("before"))
-		h.setFaults(fakes.Faults{}.WithDown(true))
+		h.setFaults(fakes.StoreFaults{}.WithDown(true))
 		refusal := claimRefused(t, a, request("during"))
 		assert.Equal(t, refusal.Reason, value.ReasonJournalDown)
 		assert.Assert(t, refusal.NotRun && refusal.RetryAfter > 0)
 		// The run that began before the outage succeeds; its record is written once the store is back.
 		assert.NilError(t, c.Finish(t.Context(), storedAnswer("whole")))
 		assert.Equal(t, a.Unsettled(), 1)
-		h.setFaults(fakes.Faults{})
+		h.setFaults(fakes.StoreFaults{})
 		assert.NilError(t, a.Drain(t.Context()))
 		_, stored, err := h.guard("b").Claim(t.Context(), request("before"))
 		assert.NilError(t, err)
@@ -189,10 +189,10 @@
 			a, b := h.guard("a"), h.guard("b")
 			late := claimGranted(t, a, request("k"))
 			if dispatched {
-				h.setFaults(fakes.Faults{}.WithDown(true))
+				h.setFaults(fakes.StoreFaults{}.WithDown(true))
 				assert.NilError(t, late.Finish(t.Context(), storedAnswer("unrecorded")))
 				a.Close()
-				h.setFaults(fakes.Faults{})
+				h.setFaults(fakes.StoreFaults{})
 			}
 			h.departed.Update(func(value.InstanceID) value.InstanceID { return "a" })
 			assert.Equal(t, claimRefused(t, b, request("k")).Reason, value.ReasonStillRunning)
@@ -271,7 +271,7 @@
 		a, b := h.guard("a"), h.guard("b")
 		assert.NilError(t, claimGranted(t, a, request("k")).Release(t.Context()))
 		c := claimGranted(t, b, request("k"))
-		assert.NilError(t, c.Doubt(t.Context()))
+		assert.NilError(t, c.MarkInDoubt(t.Context()))
 		assert.Equal(t, claimRefused(t, a, request("k")).Reason, value.ReasonOutcomeUnknown)
 	})
 }
--- a/io/once/rig_test.go
+++ b/io/once/rig_test.go
@@ -52,18 +52,18 @@
 			return owner, owner.ID != ""
 		},
 		Caller:       port,
-		Gone:         func(id value.InstanceID) bool { return id == h.departed.Get() },
+		HasDeparted:  func(id value.InstanceID) bool { return id == h.departed.Get() },
 		Now:          time.Now,
 		Rule:         ledger.JournalRule{Retention: time.Hour, AbandonAfter: 10 * time.Second, MaxBytes: 64 << 10, MaxAnswerBytes: 1 << 10},
 		Slots:        4,
-		Writes:       100,
-		Group:        1000,
-		Queue:        1000,
+		WriteRate:    100,
+		MaxGroup:     1000,
+		MaxQueue:     1000,
 		OwnerTimeout: time.Second,
 		StoreTimeout: time.Second,
-		SettleWait:   2 * time.Second,
-		Backlog:      100,
-		Backoff:      policy.Backoff{First: 100 * time.Millisecond, Limit: time.Second},
+		RecordWait:   2 * time.Second,
+		MaxBacklog:   100,
+		Backoff:      policy.Backoff{InitialDelay: 100 * time.Millisecond, MaxDelay: time.Second},
 		NewToken:     func() string { return fmt.Sprint("token-", h.tokens.Add(1)) },
 	}
 	h.configure(&c)
@@ -74,9 +74,9 @@
 	return g
 }
 
-func (h *harness) setFaults(f fakes.Faults) {
+func (h *harness) setFaults(f fakes.StoreFaults) {
 	h.t.Helper()
-	assert.NilError(h.t, h.store.Set(f))
+	assert.NilError(h.t, h.store.SetFaults(f))
 }
 
 func (h *harness) setOwner(id value.InstanceID) {
@@ -85,12 +85,12 @@
 
 // disconnectAll makes all instances unreachable from each other.
 func (h *harness) disconnectAll() {
-	h.mesh.Set(func(_, _ value.Instance) fakes.Fate { return fakes.Fate{Unsent: true} })
+	h.mesh.SetDelivery(func(_, _ value.Instance) fakes.Delivery { return fakes.Delivery{Unsent: true} })
 }
 
 // loseReplies drops every RPC reply, or stops doing so.
 func (h *harness) loseReplies(lose bool) {
-	h.mesh.Set(func(_, _ value.Instance) fakes.Fate { return fakes.Fate{LoseReply: lose} })
+	h.mesh.SetDelivery(func(_, _ value.Instance) fakes.Delivery { return fakes.Delivery{LoseReply: lose} })
 }
 
 func instance(id value.InstanceID) value.Instance {
@@ -99,11 +99,11 @@
 
 func request(key string) value.Request {
 	return value.Request{
-		Account: "ward-12", Kind: "reorder", Key: value.IdempotencyKey(key), Question: 7,
+		Account: "ward-12", Kind: "reorder", Key: value.IdempotencyKey(key), RequestHash: 7,
 		Deadline: time.Now().Add(30 * time.Second),
 	}
 }
 
-func storedAnswer(body string) flow.Stored {
-	return flow.Stored{Head: engine.Head{Status: 201, ContentType: "text/plain"}, Body: []byte(body)}
+func storedAnswer(body string) flow.StoredAnswer {
+	return flow.StoredAnswer{Head: engine.Head{Status: 201, ContentType: "text/plain"}, Body: []byte(body)}
 }
--- a/io/once/slot.go
+++ b/io/once/slot.go
@@ -91,7 +91,7 @@
 func (s *slot) enqueue(sub submission) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.queue) >= s.guard.config.Queue {
+	if len(s.queue) >= s.guard.config.MaxQueue {
 		return errSlotBusy
 	}
 	s.queue = append(s.queue, sub)
@@ -111,7 +111,7 @@
 func (s *slot) runWorker() {
 	ctx := s.guard.ctx
 	for s.hasWork() {
-		err := clock.Wait(ctx, s.written.Add(s.guard.config.Interval).Sub(s.guard.config.Now()))
+		err := clock.Wait(ctx, s.written.Add(s.guard.config.WriteInterval).Sub(s.guard.config.Now()))
 		if err == nil {
 			err = s.guard.limiter.Wait(ctx)
 		}
@@ -139,7 +139,7 @@
 func (s *slot) takeGroup() []submission {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	n := min(len(s.queue), s.guard.config.Group)
+	n := min(len(s.queue), s.guard.config.MaxGroup)
 	var group []submission
 	for _, sub := range s.queue[:n] {
 		if sub.ctx.Err() == nil {
--- a/io/peer/client.go
+++ b/io/peer/client.go
@@ -75,8 +75,8 @@
 	return l.call(ctx, method, args, reply)
 }
 
-// Open returns the number of open connections.
-func (c *Client) Open() int {
+// OpenConnections returns the number of open connections.
+func (c *Client) OpenConnections() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	count := 0
@@ -118,7 +118,7 @@
 		address:  address,
 		slots:    make(chan struct{}, c.config.PerPeer),
 		dialLock: make(chan struct{}, 1),
-		backoff:  policy.Backoff{First: initialBackoff, Limit: maxBackoff},
+		backoff:  policy.Backoff{InitialDelay: initialBackoff, MaxDelay: maxBackoff},
 		nextDial: now,
 	}
 	c.links[address] = l
--- a/io/peer/peer_test.go
+++ b/io/peer/peer_test.go
@@ -134,7 +134,7 @@
 		assert.Equal(t, r.listener.dials, 1)
 		time.Sleep(time.Minute)
 		synctest.Wait()
-		assert.Equal(t, r.client.Open(), 0)
+		assert.Equal(t, r.client.OpenConnections(), 0)
 		assert.NilError(t, r.call(t, echo, "again"))
 		assert.Equal(t, r.listener.dials, 2)
 	})
--- a/io/plat/budget.go
+++ b/io/plat/budget.go
@@ -15,8 +15,8 @@
 	"endivehitch/io/clock"
 )
 
-// BudgetConfig configures a Budget.
-type BudgetConfig struct {
+// LimitedStoreConfig configures a Budget.
+type LimitedStoreConfig struct {
 	Store Store
 	// Reads and Writes are the calls per second that this instance may make; a watch counts as one
 	// read when it opens.
@@ -26,16 +26,16 @@
 	Burst int
 	// Queue is the number of calls that may wait for the rate limit; further calls are rejected.
 	Queue int
-	// Watches is the number of watches that may be open at once.
-	Watches int
+	// MaxWatches is the number of watches that may be open at once.
+	MaxWatches int
 	// Timeout bounds each attempt of a call, but not a watch.
 	Timeout time.Duration
-	// Tries bounds the attempts of a read, and those of a change whose answer was lost.
-	Tries int
-	// Retries is the number of retries of reads per second, over all callers.
-	Retries float64
-	Backoff policy.Backoff
-	Seed    uint64
+	// MaxAttempts bounds the attempts of a read, and those of a change whose answer was lost.
+	MaxAttempts int
+	// RetriesPerSecond is the number of retries of reads per second, over all callers.
+	RetriesPerSecond float64
+	Backoff          policy.Backoff
+	Seed             uint64
 }
 
 // Throttled is the error of a call that was rejected before it was made.
@@ -58,8 +58,8 @@
 	Reads   int64
 	Writes  int64
 	Watches int64
-	// Waiting is the number of watches that are open now.
-	Waiting int64
+	// OpenWatches is the number of watches that are open now.
+	OpenWatches int64
 	// Coalesced is the number of reads that shared the call of another one in flight.
 	Coalesced int64
 	// Retries is the number of reads that were sent again.
@@ -68,14 +68,14 @@
 	Throttled int64
 }
 
-// Budget is a store client that limits the rate of calls, coalesces identical reads, retries reads,
+// LimitedStore is a store client that limits the rate of calls, coalesces identical reads, retries reads,
 // and settles changes whose answers were lost.
 //
 // To settle a swap, it reads the entry back; an entry with the swap's value means that the swap
 // took effect. So each change must write a unique value, for instance one with an identifier of the
 // change.
-type Budget struct {
-	config   BudgetConfig
+type LimitedStore struct {
+	config   LimitedStoreConfig
 	reads    *rate.Limiter
 	writes   *rate.Limiter
 	retries  *rate.Limiter
@@ -86,38 +86,38 @@
 	rnd      *rand.Rand
 }
 
-// NewBudget returns a client over the store, or an error that names the missing or invalid fields
+// NewLimitedStore returns a client over the store, or an error that names the missing or invalid fields
 // of the configuration.
-func NewBudget(c BudgetConfig) (*Budget, error) {
+func NewLimitedStore(c LimitedStoreConfig) (*LimitedStore, error) {
 	switch {
 	case c.Store == nil:
 		return nil, errors.New("store budget: the store is missing")
 	case c.Reads <= 0 || c.Writes <= 0 || c.Burst < 1:
 		return nil, errors.New("store budget: Reads, Writes and Burst must be positive")
-	case c.Queue < 1 || c.Tries < 1 || c.Timeout <= 0:
+	case c.Queue < 1 || c.MaxAttempts < 1 || c.Timeout <= 0:
 		return nil, errors.New("store budget: Queue, Tries and Timeout must be positive")
 	}
-	return &Budget{
+	return &LimitedStore{
 		config:  c,
 		reads:   rate.NewLimiter(rate.Limit(c.Reads), c.Burst),
 		writes:  rate.NewLimiter(rate.Limit(c.Writes), c.Burst),
-		retries: rate.NewLimiter(rate.Limit(c.Retries), c.Burst),
+		retries: rate.NewLimiter(rate.Limit(c.RetriesPerSecond), c.Burst),
 		rnd:     rand.New(rand.NewPCG(c.Seed, c.Seed)),
 	}, nil
 }
 
 // Usage returns the counts so far.
-func (b *Budget) Usage() Usage {
+func (b *LimitedStore) Usage() Usage {
 	return b.usage.Get()
 }
 
-func (b *Budget) updateUsage(apply func(Usage) Usage) {
+func (b *LimitedStore) updateUsage(apply func(Usage) Usage) {
 	b.usage.Update(apply)
 }
 
 // admit waits in the bounded queue until the limiter lets the call pass, or returns a Throttled
 // error.
-func (b *Budget) admit(ctx context.Context, l *rate.Limiter) error {
+func (b *LimitedStore) admit(ctx context.Context, l *rate.Limiter) error {
 	defer b.queued.Add(-1)
 	if b.queued.Add(1) > int64(b.config.Queue) {
 		return b.reject("queue is full")
@@ -129,13 +129,13 @@
 }
 
 // reject counts a call that was not made and returns its error.
-func (b *Budget) reject(reason string) error {
+func (b *LimitedStore) reject(reason string) error {
 	b.updateUsage(func(u Usage) Usage { u.Throttled++; return u })
 	return Throttled{Reason: reason}
 }
 
 // waitBackoff waits for the backoff that follows the given number of failed attempts.
-func (b *Budget) waitBackoff(ctx context.Context, failed int) error {
+func (b *LimitedStore) waitBackoff(ctx context.Context, failed int) error {
 	b.rndMutex.Lock()
 	d := b.config.Backoff.WithFailures(failed - 1).Delay(b.rnd)
 	b.rndMutex.Unlock()
