--- a/io/plat/budget_test.go
+++ b/io/plat/budget_test.go
@@ -15,13 +15,13 @@
 	"endivehitch/io/plat"
 )
 
-func newBudget(t *testing.T) (*plat.Budget, *fakes.Store) {
+func newBudget(t *testing.T) (*plat.LimitedStore, *fakes.Store) {
 	t.Helper()
 	faulty := fakes.NewStore(newEmbedded(t))
-	b, err := plat.NewBudget(plat.BudgetConfig{
-		Store: faulty, Reads: 100, Writes: 10, Burst: 2, Queue: 30, Watches: 1, Retries: 1,
-		Timeout: time.Second, Tries: 4,
-		Backoff: policy.Backoff{First: 50 * time.Millisecond, Limit: time.Second},
+	b, err := plat.NewLimitedStore(plat.LimitedStoreConfig{
+		Store: faulty, Reads: 100, Writes: 10, Burst: 2, Queue: 30, MaxWatches: 1, RetriesPerSecond: 1,
+		Timeout: time.Second, MaxAttempts: 4,
+		Backoff: policy.Backoff{InitialDelay: 50 * time.Millisecond, MaxDelay: time.Second},
 	})
 	assert.NilError(t, err)
 	return b, faulty
@@ -47,7 +47,7 @@
 func TestBudgetJoinsIdenticalReads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b, faulty := newBudget(t)
-		assert.NilError(t, faulty.Set(fakes.Faults{}.WithDelay(100*time.Millisecond)))
+		assert.NilError(t, faulty.SetFaults(fakes.StoreFaults{}.WithDelay(100*time.Millisecond)))
 		cancelled, cancel := context.WithCancel(t.Context())
 		var group sync.WaitGroup
 		group.Go(func() {
@@ -72,12 +72,12 @@
 func TestBudgetReadSeesOwnWriteWhileAnOlderReadIsInFlight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b, faulty := newBudget(t)
-		assert.NilError(t, faulty.Set(fakes.Faults{}.WithDelay(400*time.Millisecond).WithStale(true)))
+		assert.NilError(t, faulty.SetFaults(fakes.StoreFaults{}.WithDelay(400*time.Millisecond).WithStale(true)))
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		go func() { _, _ = b.Get(ctx, "a") }()
 		synctest.Wait()
-		assert.NilError(t, faulty.Set(fakes.Faults{}))
+		assert.NilError(t, faulty.SetFaults(fakes.StoreFaults{}))
 		revision, err := b.Swap(t.Context(), plat.Swap{Key: "a", Value: []byte("1")})
 		assert.NilError(t, err)
 		got, err := b.Get(t.Context(), "a")
@@ -112,7 +112,7 @@
 func TestBudgetRetriesReadsOnlyInsideItsRetryBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b, faulty := newBudget(t)
-		assert.NilError(t, faulty.Set(fakes.Faults{}.WithDown(true)))
+		assert.NilError(t, faulty.SetFaults(fakes.StoreFaults{}.WithDown(true)))
 		for range 50 {
 			_, err := b.Get(t.Context(), "a")
 			assert.ErrorIs(t, err, plat.ErrUnavailable)
@@ -125,19 +125,19 @@
 }
 
 func TestBudgetSettlesALostAnswer(t *testing.T) {
-	for name, faults := range map[string]fakes.Faults{
-		"answer lost once":                fakes.Faults{}.WithLostAnswers(1),
-		"answer lost twice":               fakes.Faults{}.WithLostAnswers(2),
-		"answer lost and reads stale":     fakes.Faults{}.WithLostAnswers(1).WithStale(true),
-		"takes effect after the time-out": fakes.Faults{}.WithDelay(1500 * time.Millisecond),
+	for name, faults := range map[string]fakes.StoreFaults{
+		"answer lost once":                fakes.StoreFaults{}.WithLostAnswers(1),
+		"answer lost twice":               fakes.StoreFaults{}.WithLostAnswers(2),
+		"answer lost and reads stale":     fakes.StoreFaults{}.WithLostAnswers(1).WithStale(true),
+		"takes effect after the time-out": fakes.StoreFaults{}.WithDelay(1500 * time.Millisecond),
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				b, faulty := newBudget(t)
 				first, err := b.Swap(t.Context(), plat.Swap{Key: "a", Value: []byte("old")})
 				assert.NilError(t, err)
-				assert.NilError(t, faulty.Set(faults))
-				time.AfterFunc(1200*time.Millisecond, func() { _ = faulty.Set(fakes.Faults{}) })
+				assert.NilError(t, faulty.SetFaults(faults))
+				time.AfterFunc(1200*time.Millisecond, func() { _ = faulty.SetFaults(fakes.StoreFaults{}) })
 				revision, err := b.Swap(t.Context(), plat.Swap{Key: "a", Expect: first, Value: []byte("new")})
 				assert.NilError(t, err)
 				time.Sleep(5 * time.Second)
@@ -153,7 +153,7 @@
 func TestBudgetOwnsUpToALostAnswerThatWasReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b, faulty := newBudget(t)
-		assert.NilError(t, faulty.Set(fakes.Faults{}.WithLostAnswers(1)))
+		assert.NilError(t, faulty.SetFaults(fakes.StoreFaults{}.WithLostAnswers(1)))
 		done := make(chan error)
 		go func() {
 			_, err := b.Swap(t.Context(), plat.Swap{Key: "a", Value: []byte("ours")})
@@ -166,7 +166,7 @@
 		assert.ErrorIs(t, err, plat.ErrUnknown)
 		var conflict plat.Conflict
 		assert.Assert(t, errors.As(err, &conflict))
-		assert.Equal(t, string(conflict.Present.Value), "theirs")
+		assert.Equal(t, string(conflict.Current.Value), "theirs")
 	})
 }
 
@@ -180,6 +180,6 @@
 		assert.ErrorIs(t, err, plat.ErrUnavailable)
 		cancel()
 		synctest.Wait()
-		assert.Equal(t, b.Usage().Waiting, int64(0))
+		assert.Equal(t, b.Usage().OpenWatches, int64(0))
 	})
 }
--- a/io/plat/embed.go
+++ b/io/plat/embed.go
@@ -86,7 +86,7 @@
 func (e *Embedded) Delete(ctx context.Context, key string, expect int64) error {
 	err := e.update(ctx, func(current snapshot) (snapshot, error) {
 		if present := current.entry(key); present.Revision != expect {
-			return current, Conflict{Present: present}
+			return current, Conflict{Current: present}
 		}
 		return current.withoutKey(key), nil
 	})
--- a/io/plat/embed_test.go
+++ b/io/plat/embed_test.go
@@ -28,7 +28,7 @@
 	_, err = e.Swap(t.Context(), plat.Swap{Key: "a", Expect: first, Value: []byte("3")})
 	var conflict plat.Conflict
 	assert.Assert(t, errors.As(err, &conflict))
-	assert.Equal(t, string(conflict.Present.Value), "2")
+	assert.Equal(t, string(conflict.Current.Value), "2")
 	_, err = e.Swap(t.Context(), plat.Swap{Key: "a", Value: []byte("3")})
 	assert.Assert(t, errors.As(err, &conflict), "a swap that expects no entry must not replace one")
 }
--- a/io/plat/etcd.go
+++ b/io/plat/etcd.go
@@ -105,7 +105,7 @@
 	if len(result.Responses) == 0 {
 		return 0, fmt.Errorf("conflict without the present entry: %w", ErrUnavailable)
 	}
-	return 0, Conflict{Present: firstEntry(key, result.Responses[0].Range)}
+	return 0, Conflict{Current: firstEntry(key, result.Responses[0].Range)}
 }
 
 // Grant returns a new lease; its length is rounded up to seconds, the unit of the gateway.
--- a/io/plat/etcd_test.go
+++ b/io/plat/etcd_test.go
@@ -44,7 +44,7 @@
 			_, err = store.Swap(ctx, plat.Swap{Key: "a/1", Expect: first + 7})
 			var conflict plat.Conflict
 			assert.Assert(t, errors.As(err, &conflict), "%v", err)
-			assert.Equal(t, conflict.Present.Revision, first)
+			assert.Equal(t, conflict.Current.Revision, first)
 			err = store.Delete(ctx, "a/1", first+7)
 			assert.Assert(t, errors.As(err, &conflict), "%v", err)
 			_, err = store.Swap(ctx, plat.Swap{Key: "b/1", Value: []byte("b")})
@@ -75,14 +75,14 @@
 
 func TestGatewayTellsUnknownFromUnavailable(t *testing.T) {
 	gate, faulty := newGateway(t)
-	assert.NilError(t, faulty.Set(fakes.Faults{}.WithLostAnswers(1)))
+	assert.NilError(t, faulty.SetFaults(fakes.StoreFaults{}.WithLostAnswers(1)))
 	_, err := gate.Swap(t.Context(), plat.Swap{Key: "a", Value: []byte("1")})
 	assert.ErrorIs(t, err, plat.ErrUnknown)
 	got, err := gate.Get(t.Context(), "a")
 	assert.NilError(t, err)
 	assert.Equal(t, string(got.Value), "1", "the change must have taken effect")
 
-	assert.NilError(t, faulty.Set(fakes.Faults{}.WithRefuse(true)))
+	assert.NilError(t, faulty.SetFaults(fakes.StoreFaults{}.WithRefuse(true)))
 	_, err = gate.Swap(t.Context(), plat.Swap{Key: "b"})
 	assert.ErrorIs(t, err, plat.ErrUnavailable)
 	assert.Assert(t, !errors.Is(err, plat.ErrUnknown))
@@ -116,7 +116,7 @@
 	gate, faulty := newGateway(t)
 	events, err := gate.Watch(t.Context(), "a", 0)
 	assert.NilError(t, err)
-	assert.NilError(t, faulty.Set(fakes.Faults{}.WithDown(true)))
+	assert.NilError(t, faulty.SetFaults(fakes.StoreFaults{}.WithDown(true)))
 	_, open := <-events
 	assert.Assert(t, !open)
 }
--- a/io/plat/image.go
+++ b/io/plat/image.go
@@ -48,7 +48,7 @@
 func (s snapshot) withSwap(request Swap) (snapshot, error) {
 	previous := s.entry(request.Key)
 	if previous.Revision != request.Expect {
-		return s, Conflict{Present: previous}
+		return s, Conflict{Current: previous}
 	}
 	if _, ok := s.lease(request.Lease); request.Lease != 0 && !ok {
 		return s, ErrLeaseLost
--- a/io/plat/reads.go
+++ b/io/plat/reads.go
@@ -7,28 +7,28 @@
 )
 
 // Get returns the entry, with revision zero if there is none.
-func (b *Budget) Get(ctx context.Context, key string) (Entry, error) {
+func (b *LimitedStore) Get(ctx context.Context, key string) (Entry, error) {
 	return coalesceRead(ctx, b, flightNameOfGet(key), func(ctx context.Context) (Entry, error) {
 		return b.config.Store.Get(ctx, key)
 	})
 }
 
 // List returns all entries whose keys have the prefix, in the order of keys.
-func (b *Budget) List(ctx context.Context, prefix string) (Listing, error) {
+func (b *LimitedStore) List(ctx context.Context, prefix string) (Listing, error) {
 	return coalesceRead(ctx, b, "list "+prefix, func(ctx context.Context) (Listing, error) {
 		return b.config.Store.List(ctx, prefix)
 	})
 }
 
 // Watch opens a watch, which counts as one read and towards the limit on open watches.
-func (b *Budget) Watch(ctx context.Context, prefix string, from int64) (<-chan Event, error) {
+func (b *LimitedStore) Watch(ctx context.Context, prefix string, from int64) (<-chan Event, error) {
 	if err := b.admit(ctx, b.reads); err != nil {
 		return nil, fmt.Errorf("watch %s: %w", prefix, err)
 	}
 	opened := b.usage.TryUpdate(func(u Usage) (Usage, bool) {
-		u.Waiting++
+		u.OpenWatches++
 		u.Watches++
-		return u, u.Waiting <= int64(b.config.Watches)
+		return u, u.OpenWatches <= int64(b.config.MaxWatches)
 	})
 	if !opened {
 		return nil, fmt.Errorf("watch %s: %w", prefix, b.reject("too many watches"))
@@ -51,8 +51,8 @@
 	return out, nil
 }
 
-func (b *Budget) releaseWatch() {
-	b.updateUsage(func(u Usage) Usage { u.Waiting--; return u })
+func (b *LimitedStore) releaseWatch() {
+	b.updateUsage(func(u Usage) Usage { u.OpenWatches--; return u })
 }
 
 func flightNameOfGet(key string) string {
@@ -61,7 +61,7 @@
 
 // coalesceRead lets concurrent callers of the same read share one call, which goes on for the
 // others when the context of one ends.
-func coalesceRead[T any](ctx context.Context, b *Budget, name string, read func(context.Context) (T, error)) (T, error) {
+func coalesceRead[T any](ctx context.Context, b *LimitedStore, name string, read func(context.Context) (T, error)) (T, error) {
 	var none T
 	if err := contextError(ctx); err != nil {
 		return none, err
@@ -86,13 +86,13 @@
 
 // retryRead makes the read, and retries it within the limits on attempts and retries while the
 // service is unavailable. A throttled read is not retried.
-func retryRead[T any](ctx context.Context, b *Budget, read func(context.Context) (T, error)) (T, error) {
+func retryRead[T any](ctx context.Context, b *LimitedStore, read func(context.Context) (T, error)) (T, error) {
 	for try := 1; ; try++ {
 		v, err := readOnce(ctx, b, read)
 		if err == nil || !errors.Is(err, ErrUnavailable) || errors.As(err, new(Throttled)) {
 			return v, err
 		}
-		if try >= b.config.Tries || !b.retries.Allow() {
+		if try >= b.config.MaxAttempts || !b.retries.Allow() {
 			return v, err
 		}
 		b.updateUsage(func(u Usage) Usage { u.Retries++; return u })
@@ -103,7 +103,7 @@
 }
 
 // readOnce makes one attempt of a read within the rate limit.
-func readOnce[T any](ctx context.Context, b *Budget, read func(context.Context) (T, error)) (T, error) {
+func readOnce[T any](ctx context.Context, b *LimitedStore, read func(context.Context) (T, error)) (T, error) {
 	if err := b.admit(ctx, b.reads); err != nil {
 		var none T
 		return none, err
--- a/io/plat/store.go
+++ b/io/plat/store.go
@@ -50,13 +50,13 @@
 
 // Conflict is the error of a swap whose expected revision was not the present one.
 type Conflict struct {
-	// Present is the current entry; its revision is zero if there is none.
-	Present Entry
+	// Current is the current entry; its revision is zero if there is none.
+	Current Entry
 }
 
 // Error states the key and the current revision.
 func (c Conflict) Error() string {
-	return fmt.Sprintf("conflict on %s: revision is %d", c.Present.Key, c.Present.Revision)
+	return fmt.Sprintf("conflict on %s: revision is %d", c.Current.Key, c.Current.Revision)
 }
 
 // TooLarge is the error of a swap whose value exceeds ValueLimit.
--- a/io/plat/writes.go
+++ b/io/plat/writes.go
@@ -14,10 +14,10 @@
 //
 // An error that wraps both ErrUnknown and Conflict means that the change may have taken effect
 // before another writer replaced it.
-func (b *Budget) Swap(ctx context.Context, s Swap) (int64, error) {
+func (b *LimitedStore) Swap(ctx context.Context, s Swap) (int64, error) {
 	defer b.flights.forget(flightNameOfGet(s.Key))
 	revision, err := writeOnce(ctx, b, func(ctx context.Context) (int64, error) { return b.config.Store.Swap(ctx, s) })
-	for try := 1; errors.Is(err, ErrUnknown) && try < b.config.Tries; try++ {
+	for try := 1; errors.Is(err, ErrUnknown) && try < b.config.MaxAttempts; try++ {
 		if b.waitBackoff(ctx, try) != nil {
 			break
 		}
@@ -38,7 +38,7 @@
 
 // readBack reports whether the entry holds the change, and returns its revision. A stale read may
 // miss the change, so false does not mean that it took no effect.
-func (b *Budget) readBack(ctx context.Context, s Swap) (int64, bool) {
+func (b *LimitedStore) readBack(ctx context.Context, s Swap) (int64, bool) {
 	b.flights.forget(flightNameOfGet(s.Key))
 	e, err := b.Get(ctx, s.Key)
 	if err != nil || e.Revision <= s.Expect || !bytes.Equal(e.Value, s.Value) {
@@ -50,21 +50,21 @@
 // resolveConflict settles a change whose first answer was lost and whose retry met a conflict: the
 // change took effect if the present entry has its value, and otherwise the outcome is unknown.
 func resolveConflict(s Swap, c Conflict) (int64, error) {
-	if c.Present.Revision > s.Expect && bytes.Equal(c.Present.Value, s.Value) {
-		return c.Present.Revision, nil
+	if c.Current.Revision > s.Expect && bytes.Equal(c.Current.Value, s.Value) {
+		return c.Current.Revision, nil
 	}
 	return 0, fmt.Errorf("swap %s: %w: %w", s.Key, ErrUnknown, c)
 }
 
 // Delete removes the entry if its revision is the expected one. If the answer is lost, it deletes
 // again with the same expected revision; an entry that is then missing counts as deleted.
-func (b *Budget) Delete(ctx context.Context, key string, expect int64) error {
+func (b *LimitedStore) Delete(ctx context.Context, key string, expect int64) error {
 	defer b.flights.forget(flightNameOfGet(key))
 	remove := func(ctx context.Context) (struct{}, error) {
 		return struct{}{}, b.config.Store.Delete(ctx, key, expect)
 	}
 	_, err := writeOnce(ctx, b, remove)
-	for try := 1; errors.Is(err, ErrUnknown) && try < b.config.Tries; try++ {
+	for try := 1; errors.Is(err, ErrUnknown) && try < b.config.MaxAttempts; try++ {
 		if b.waitBackoff(ctx, try) != nil {
 			break
 		}
@@ -76,7 +76,7 @@
 		if !errors.As(retryErr, &conflict) {
 			continue
 		}
-		if conflict.Present.Revision == 0 {
+		if conflict.Current.Revision == 0 {
 			return nil
 		}
 		return fmt.Errorf("delete %s: %w: %w", key, ErrUnknown, conflict)
@@ -85,21 +85,21 @@
 }
 
 // Grant returns a new lease; a lease whose answer was lost expires unused.
-func (b *Budget) Grant(ctx context.Context, ttl time.Duration) (LeaseID, error) {
+func (b *LimitedStore) Grant(ctx context.Context, ttl time.Duration) (LeaseID, error) {
 	return writeOnce(ctx, b, func(ctx context.Context) (LeaseID, error) { return b.config.Store.Grant(ctx, ttl) })
 }
 
 // KeepAlive renews the lease once, without retries, since its holder renews it at regular
 // intervals.
-func (b *Budget) KeepAlive(ctx context.Context, id LeaseID) (time.Duration, error) {
+func (b *LimitedStore) KeepAlive(ctx context.Context, id LeaseID) (time.Duration, error) {
 	return writeOnce(ctx, b, func(ctx context.Context) (time.Duration, error) { return b.config.Store.KeepAlive(ctx, id) })
 }
 
 // Revoke ends the lease and deletes its entries; it is retried if its answer is lost.
-func (b *Budget) Revoke(ctx context.Context, id LeaseID) error {
+func (b *LimitedStore) Revoke(ctx context.Context, id LeaseID) error {
 	revoke := func(ctx context.Context) (struct{}, error) { return struct{}{}, b.config.Store.Revoke(ctx, id) }
 	_, err := writeOnce(ctx, b, revoke)
-	for try := 1; errors.Is(err, ErrUnknown) && try < b.config.Tries; try++ {
+	for try := 1; errors.Is(err, ErrUnknown) && try < b.config.MaxAttempts; try++ {
 		if b.waitBackoff(ctx, try) != nil {
 			break
 		}
@@ -112,7 +112,7 @@
 }
 
 // writeOnce makes one attempt of a write within the rate limit.
-func writeOnce[T any](ctx context.Context, b *Budget, do func(context.Context) (T, error)) (T, error) {
+func writeOnce[T any](ctx context.Context, b *LimitedStore, do func(context.Context) (T, error)) (T, error) {
 	if err := b.admit(ctx, b.writes); err != nil {
 		var none T
 		return none, err
--- a/io/proof/cell.go
+++ b/io/proof/cell.go
@@ -140,7 +140,7 @@
 		r := f.sendRequest(target, value.Request{
 			ID:      value.RequestID(fmt.Sprintf("order-%d-%d-%d", first, round, try)),
 			Account: bothVersions, Kind: reorder, Key: value.IdempotencyKey(fmt.Sprintf("key-%d", round)),
-			Question: uint64(round) + 1, Arrived: now, Deadline: now.Add(requestTimeout),
+			RequestHash: uint64(round) + 1, Arrived: now, Deadline: now.Add(requestTimeout),
 		})
 		if r.Complete {
 			return
--- a/io/proof/fault.go
+++ b/io/proof/fault.go
@@ -50,14 +50,14 @@
 }
 
 // newStoreFault returns a fault of the key-value store of faultDuration; set switches it on or off.
-func newStoreFault(name string, set func(fakes.Faults, bool) fakes.Faults) Fault {
+func newStoreFault(name string, set func(fakes.StoreFaults, bool) fakes.StoreFaults) Fault {
 	return Fault{
 		Name: name, Duration: faultDuration, ReasonNotApplicable: appliesEverywhere,
 		Begin: func(f *Fleet, _ *instance) {
-			f.updateStoreFaults(func(s fakes.Faults) fakes.Faults { return set(s, true) })
+			f.updateStoreFaults(func(s fakes.StoreFaults) fakes.StoreFaults { return set(s, true) })
 		},
 		End: func(f *Fleet, _ *instance) {
-			f.updateStoreFaults(func(s fakes.Faults) fakes.Faults { return set(s, false) })
+			f.updateStoreFaults(func(s fakes.StoreFaults) fakes.StoreFaults { return set(s, false) })
 		},
 	}
 }
@@ -86,15 +86,15 @@
 
 func storeFaults() []Fault {
 	return []Fault{
-		newStoreFault("StoreDown", func(s fakes.Faults, on bool) fakes.Faults { return s.WithDown(on) }),
-		newStoreFault("StoreSlow", func(s fakes.Faults, on bool) fakes.Faults {
+		newStoreFault("StoreDown", func(s fakes.StoreFaults, on bool) fakes.StoreFaults { return s.WithDown(on) }),
+		newStoreFault("StoreSlow", func(s fakes.StoreFaults, on bool) fakes.StoreFaults {
 			if !on {
 				return s.WithDelay(0)
 			}
 			return s.WithDelay(3 * time.Second)
 		}),
-		newStoreFault("StoreStale", func(s fakes.Faults, on bool) fakes.Faults { return s.WithStale(on) }),
-		newStoreFault("StoreLosesAnswers", func(s fakes.Faults, on bool) fakes.Faults {
+		newStoreFault("StoreStale", func(s fakes.StoreFaults, on bool) fakes.StoreFaults { return s.WithStale(on) }),
+		newStoreFault("StoreLosesAnswers", func(s fakes.StoreFaults, on bool) fakes.StoreFaults {
 			if !on {
 				return s.WithLostAnswers(0)
 			}
--- a/io/proof/fleet.go
+++ b/io/proof/fleet.go
@@ -40,7 +40,7 @@
 	triggered    atomic.Bool
 	observations policy.Cell[Observations]
 	behaviours   policy.Cell[policy.Table[string, Behaviour]]
-	storeFaults  policy.Cell[fakes.Faults]
+	storeFaults  policy.Cell[fakes.StoreFaults]
 	requests     policy.Cell[policy.Table[value.RequestID, value.Request]]
 	background   sync.WaitGroup
 
@@ -143,13 +143,13 @@
 	return joined
 }
 
-func (f *Fleet) updateStoreFaults(change func(fakes.Faults) fakes.Faults) {
-	_ = f.store.Set(f.storeFaults.Update(change))
+func (f *Fleet) updateStoreFaults(change func(fakes.StoreFaults) fakes.StoreFaults) {
+	_ = f.store.SetFaults(f.storeFaults.Update(change))
 }
 
 func (f *Fleet) setPeersCut(cut bool) {
-	f.mesh.Set(func(_, _ value.Instance) fakes.Fate {
-		return fakes.Fate{Delay: time.Millisecond, Unsent: cut}
+	f.mesh.SetDelivery(func(_, _ value.Instance) fakes.Delivery {
+		return fakes.Delivery{Delay: time.Millisecond, Unsent: cut}
 	})
 }
 
@@ -272,7 +272,7 @@
 
 // stop reads the bills that the store holds, ends the fleet and returns all observations.
 func (f *Fleet) stop() (Observations, error) {
-	segments, err := bills.Read(context.Background(), f.faultFreeStore)
+	segments, err := bills.ReadSegments(context.Background(), f.faultFreeStore)
 	observations := f.observations.Get().WithBillSegments(segments)
 	for _, n := range f.allInstances() {
 		n.stop()
--- a/io/proof/node.go
+++ b/io/proof/node.go
@@ -39,7 +39,7 @@
 	guard  *once.Guard
 	biller *bills.Biller
 	gossip *gossip.Gossip
-	keeper *stage.Keeper
+	keeper *stage.Persister
 
 	ctx    context.Context
 	cancel context.CancelFunc
@@ -88,7 +88,7 @@
 }
 
 func backoff() policy.Backoff {
-	return policy.Backoff{First: 50 * time.Millisecond, Limit: 5 * time.Second}
+	return policy.Backoff{InitialDelay: 50 * time.Millisecond, MaxDelay: 5 * time.Second}
 }
 
 // listInterval is the time between two reads of the instance list.
@@ -97,18 +97,18 @@
 func (n *instance) newGossip() (err error) {
 	n.gossip, err = gossip.New(gossip.Config{
 		Control: n.loop, Caller: n.port, Registrar: n.port, List: n.fleet.instanceList, Store: n.store,
-		Prefix: conf.Prefix(environment), Decode: n.decodeConfig, Timing: fleet.DefaultTiming(), ListEvery: listInterval, Seed: n.fleet.seed,
+		Prefix: conf.Prefix(environment), Decode: n.decodeConfig, Timing: fleet.DefaultTiming(), ListInterval: listInterval, Seed: n.fleet.seed,
 	})
 	return err
 }
 
 func (n *instance) newGuard() (err error) {
 	n.guard, err = once.New(once.Config{
-		Self: n.self.ID, Store: n.store, Caller: n.port, Gone: n.hasDeparted, Now: time.Now,
+		Self: n.self.ID, Store: n.store, Caller: n.port, HasDeparted: n.hasDeparted, Now: time.Now,
 		Owner: func(slot int) (value.Instance, bool) { return query.Owner(n.loop.Snapshot(), slot) },
 		Rule:  ledger.JournalRule{Retention: time.Hour, AbandonAfter: 30 * time.Second, MaxBytes: 64 << 10, MaxAnswerBytes: 1 << 10},
-		Slots: state.Slots, Writes: 100, Group: 256, Queue: 1024, Backlog: 1024,
-		OwnerTimeout: time.Second, StoreTimeout: 2 * time.Second, SettleWait: 2 * time.Second,
+		Slots: state.Slots, WriteRate: 100, MaxGroup: 256, MaxQueue: 1024, MaxBacklog: 1024,
+		OwnerTimeout: time.Second, StoreTimeout: 2 * time.Second, RecordWait: 2 * time.Second,
 		Backoff: backoff(), NewToken: n.fleet.newToken, Seed: n.fleet.seed,
 	})
 	if err != nil {
@@ -119,10 +119,10 @@
 
 func (n *instance) newBiller() (err error) {
 	n.biller, err = bills.New(bills.Config{
-		Self: n.self, Store: n.store, Caller: n.port, Gone: n.needsBillTakeover,
-		Holders: func() []value.Instance { return query.BillReplicas(n.loop.Snapshot()) },
-		Copies:  1, Flush: func() time.Duration { return 5 * time.Second }, Patience: 5 * time.Second, Timeout: 2 * time.Second,
-		Backlog: 1024, SegmentBytes: 64 << 10, HeldEntries: 1024, Backoff: backoff(), Seed: n.fleet.seed,
+		Self: n.self, Store: n.store, Caller: n.port, NeedsTakeover: n.needsBillTakeover,
+		Holders:   func() []value.Instance { return query.BillReplicas(n.loop.Snapshot()) },
+		MinCopies: 1, FlushInterval: func() time.Duration { return 5 * time.Second }, StoreTimeout: 5 * time.Second, CallTimeout: 2 * time.Second,
+		MaxBacklog: 1024, MaxSegmentBytes: 64 << 10, MaxHeldEntries: 1024, Backoff: backoff(), Seed: n.fleet.seed,
 	})
 	if err != nil {
 		return err
@@ -131,11 +131,11 @@
 }
 
 func (n *instance) newKeeper() (err error) {
-	n.keeper, err = stage.NewKeeper(stage.KeeperConfig{
+	n.keeper, err = stage.NewPersister(stage.PersisterConfig{
 		Store: n.store, Environment: environment,
-		Do:     func(ctx context.Context, c stage.Command) error { return n.loop.Do(ctx, c) },
-		Failed: func(error) {},
-		Delay: func(failures int) time.Duration {
+		Do:          func(ctx context.Context, c stage.Command) error { return n.loop.Do(ctx, c) },
+		ReportError: func(error) {},
+		RetryDelay: func(failures int) time.Duration {
 			return min(time.Duration(failures)*100*time.Millisecond, time.Second)
 		},
 	})
@@ -178,7 +178,7 @@
 func (n *instance) handleEffects() {
 	for e := range n.loop.Effects() {
 		n.gossip.Handle(e)
-		n.keeper.Take(e)
+		n.keeper.Enqueue(e)
 	}
 }
 
--- a/io/proof/ports.go
+++ b/io/proof/ports.go
@@ -61,13 +61,13 @@
 	instance *instance
 }
 
-// Keep implements flow.Biller.
-func (b stepBiller) Keep(ctx context.Context, bill value.Bill) error {
+// Store implements flow.Biller.
+func (b stepBiller) Store(ctx context.Context, bill value.Bill) error {
 	b.instance.fleet.reachStep(StepRecordBill, b.instance)
 	if b.instance.fleet.brokenInvariant == InvariantBilledOnce {
 		return nil
 	}
-	return b.Biller.Keep(ctx, bill)
+	return b.Biller.Store(ctx, bill)
 }
 
 // stepGuard reports StepRecordIntent before an intent is recorded.
@@ -77,7 +77,7 @@
 }
 
 // Claim implements flow.Guard.
-func (g stepGuard) Claim(ctx context.Context, r value.Request) (flow.Claim, *flow.Stored, error) {
+func (g stepGuard) Claim(ctx context.Context, r value.Request) (flow.Claim, *flow.StoredAnswer, error) {
 	g.instance.fleet.reachStep(StepRecordIntent, g.instance)
 	if g.instance.fleet.brokenInvariant == InvariantAtMostOnce {
 		return noopClaim{}, nil, nil
@@ -89,13 +89,13 @@
 type noopClaim struct{}
 
 // Finish implements flow.Claim.
-func (noopClaim) Finish(context.Context, flow.Stored) error { return nil }
+func (noopClaim) Finish(context.Context, flow.StoredAnswer) error { return nil }
 
 // Release implements flow.Claim.
 func (noopClaim) Release(context.Context) error { return nil }
 
-// Doubt implements flow.Claim.
-func (noopClaim) Doubt(context.Context) error { return nil }
+// MarkInDoubt implements flow.Claim.
+func (noopClaim) MarkInDoubt(context.Context) error { return nil }
 
 // responseWriter is one caller's connection, which collects the answer's text.
 type responseWriter struct {
@@ -104,8 +104,8 @@
 	ended    bool
 }
 
-// Begin implements flow.Sink.
-func (*responseWriter) Begin(engine.Head, value.VersionKey) error { return nil }
+// WriteHead implements flow.Sink.
+func (*responseWriter) WriteHead(engine.Head, value.VersionKey) error { return nil }
 
 // Write implements flow.Sink.
 func (w *responseWriter) Write(p engine.Piece) error {
--- a/io/proof/server.go
+++ b/io/proof/server.go
@@ -57,7 +57,7 @@
 	}
 	if behaviour.Status != 0 {
 		r.fleet.recordAttempt(server, call)
-		return nil, engine.BadStatus{Status: behaviour.Status}
+		return nil, engine.StatusError{Status: behaviour.Status}
 	}
 	r.fleet.recordAttempt(server, call)
 	scripted := &scriptedAnswer{runner: r, server: server.ID, call: call, pieces: answerPieces(call)}
@@ -123,7 +123,7 @@
 	behaviour = a.runner.fleet.behaviourOf(a.server, a.call.Version)
 	switch {
 	case behaviour.Reset:
-		return fmt.Errorf("connection reset: %w", engine.ErrCutOff)
+		return fmt.Errorf("connection reset: %w", engine.ErrTruncated)
 	case behaviour.WrongRequest:
 		return engine.ErrMismatch
 	}
--- a/io/rolls/ages.go
+++ b/io/rolls/ages.go
@@ -77,7 +77,7 @@
 		ages, err := l.orderAges(ctx, members[i])
 		if err != nil {
 			// The instance may have departed; the next one is asked.
-			clock.Passed(ctx, askPause)
+			clock.WaitFully(ctx, askPause)
 			continue
 		}
 		if err := l.Control.Do(ctx, cmds.ApplyOrderAges{OrderAges: ages, From: string(members[i].Name)}); err != nil && ctx.Err() == nil {
--- a/io/rolls/runner.go
+++ b/io/rolls/runner.go
@@ -34,9 +34,9 @@
 	// TakeDuty takes the duty under the lease and returns its fencing token; the error wraps
 	// feeds.ErrConflict while another instance holds it.
 	TakeDuty(ctx context.Context, d relay.Duty, lease int64) (int64, error)
-	// Write replaces the progress record of the revision by compare-and-swap, and only while the duty still
+	// WriteProgress replaces the progress record of the revision by compare-and-swap, and only while the duty still
 	// has the fencing token; otherwise the error wraps feeds.ErrConflict.
-	Write(ctx context.Context, p relay.Progress, duty, revision int64) error
+	WriteProgress(ctx context.Context, p relay.Progress, duty, revision int64) error
 }
 
 // TallySource requests tallies from other instances.
@@ -65,7 +65,7 @@
 		s, changed := r.Control.Watch()
 		rollOut, open := findOpenRollOut(s)
 		if open {
-			_, open = query.Vacant(s, rollOut.Order.Service)
+			_, open = query.TakeoverDelay(s, rollOut.Order.Service)
 		}
 		if !open || !s.StoreUnreachableSince.IsZero() {
 			select {
@@ -75,7 +75,7 @@
 			}
 			continue
 		}
-		turn, _ := query.Vacant(s, rollOut.Order.Service)
+		turn, _ := query.TakeoverDelay(s, rollOut.Order.Service)
 		if r.waitTurn(ctx, turn, rollOut.Order.Service) {
 			continue
 		}
@@ -83,7 +83,7 @@
 		if err != nil && ctx.Err() == nil && !errors.Is(err, feeds.ErrConflict) {
 			r.OnError(err)
 		}
-		if !clock.Passed(ctx, pauseBetweenHolds) {
+		if !clock.WaitFully(ctx, pauseBetweenHolds) {
 			return nil
 		}
 	}
@@ -92,12 +92,12 @@
 // waitTurn waits until it is this instance's turn to take the duty. It reports whether there is nothing
 // left to take: another instance took the duty meanwhile, the roll-out ended, or the context did.
 func (r Runner) waitTurn(ctx context.Context, turn time.Duration, service relay.ServiceName) bool {
-	if !clock.Passed(ctx, turn) {
+	if !clock.WaitFully(ctx, turn) {
 		return true
 	}
 	s := r.Control.Snapshot()
 	rollOut, ok := s.RollOut(service)
-	_, vacant := query.Vacant(s, service)
+	_, vacant := query.TakeoverDelay(s, service)
 	return !vacant || !ok || rollOut.Phase().IsFinal()
 }
 
@@ -133,7 +133,7 @@
 		if err != nil || done {
 			return err
 		}
-		if !clock.Passed(ctx, judgeInterval) {
+		if !clock.WaitFully(ctx, judgeInterval) {
 			return nil
 		}
 		if now := r.Now(); now.Sub(renewed) >= dutyRenewInterval {
@@ -159,7 +159,7 @@
 		return false, nil
 	}
 	progress := relay.Progress{Service: service, Target: rollOut.Order.Target, Phase: phase}
-	if err := r.Store.Write(ctx, progress, token, rollOut.ProgressRevision); err != nil {
+	if err := r.Store.WriteProgress(ctx, progress, token, rollOut.ProgressRevision); err != nil {
 		return false, fmt.Errorf("record progress of the roll-out of %s: %w", service, err)
 	}
 	r.OnPhaseChange(progress, detail)
--- a/io/shell/query/config.go
+++ b/io/shell/query/config.go
@@ -52,7 +52,7 @@
 		_, err := c.Root().Writer.Write(record.Bytes)
 		return err
 	}
-	current := record.Standing
+	current := record.Current
 	_, err = fmt.Fprintf(c.Root().Writer, "%s: revision %d, change %s by %s at %s\ndigest %s\n",
 		e, current.Revision, current.Change.ID, current.Change.Who, current.Change.At.UTC().Format(time.RFC3339), current.Change.Digest)
 	return err
--- a/io/shell/query/status.go
+++ b/io/shell/query/status.go
@@ -79,7 +79,7 @@
 	for _, f := range s.Fleet {
 		i := f.Instance
 		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%.12s\t%v\t%v\n",
-			i.ID, i.FailureDomain, i.State, i.Revision, i.Digest, f.Lag.Round(time.Millisecond), f.SinceLastSeen.Round(time.Millisecond))
+			i.ID, i.FailureDomain, i.State, i.Revision, i.Digest, f.Lag.Round(time.Millisecond), f.SinceLastContact.Round(time.Millisecond))
 	}
 	return t.Flush()
 }
--- a/io/shell/start/demo.go
+++ b/io/shell/start/demo.go
@@ -106,7 +106,7 @@
 
 // audit prints the number of requests that the bills in the key-value service charge for.
 func (s *demoFleet) audit(ctx context.Context) error {
-	segments, err := bills.Read(ctx, s.store)
+	segments, err := bills.ReadSegments(ctx, s.store)
 	if err != nil {
 		return fmt.Errorf("read bills: %w", err)
 	}
@@ -153,7 +153,7 @@
 
 // setInstanceLists gives each instance the list of all instances and backend servers.
 func (s *demoFleet) setInstanceLists() {
-	list := plat.Fixed{ListedServers: s.settings.Servers}
+	list := plat.StaticList{ListedServers: s.settings.Servers}
 	for _, inst := range s.instances {
 		i := inst.node.Self
 		i.PeerAddress = inst.node.Peers.Listener.Addr().String()
@@ -176,17 +176,17 @@
 	id := value.InstanceID(fmt.Sprintf("demo-%d", i+1))
 	return instance{
 		node: node.Config{
-			Self:        value.Instance{ID: id, FailureDomain: demoDomains[i%len(demoDomains)], State: value.InstanceLive},
-			Environment: demoEnvironment,
-			Keys:        s.settings.Callers,
-			Signer:      s.signer,
-			Runner:      s.runner,
-			Store:       s.store,
-			Rates:       node.Rates{Reads: defaultReadRate, Writes: defaultWriteRate},
-			Peers:       node.Peers{Listener: listeners[2]},
-			Log:         logs.New(s.out, zapcore.InfoLevel).Named(string(id)),
-			Seed:        uint64(i),
-			Grace:       demoGrace,
+			Self:          value.Instance{ID: id, FailureDomain: demoDomains[i%len(demoDomains)], State: value.InstanceLive},
+			Environment:   demoEnvironment,
+			Keys:          s.settings.Callers,
+			Signer:        s.signer,
+			Runner:        s.runner,
+			Store:         s.store,
+			StoreRates:    node.StoreRates{Reads: defaultReadRate, Writes: defaultWriteRate},
+			Peers:         node.Peers{Listener: listeners[2]},
+			Log:           logs.New(s.out, zapcore.InfoLevel).Named(string(id)),
+			Seed:          uint64(i),
+			ShutdownGrace: demoGrace,
 		},
 		settings:      s.settings,
 		callers:       listeners[0],
--- a/io/shell/start/edge.go
+++ b/io/shell/start/edge.go
@@ -52,10 +52,10 @@
 	if err != nil {
 		return fmt.Errorf("edge: %w", err)
 	}
-	out := logs.NewAsync(os.Stdout)
+	out := logs.NewAsyncWriter(os.Stdout)
 	defer out.Close()
 	log := logs.New(out, zapcore.InfoLevel)
-	metrics, err := stats.New(stats.Config{Now: time.Now, Period: stats.Period})
+	metrics, err := stats.New(stats.Config{Now: time.Now, Period: stats.RelayPeriod})
 	if err != nil {
 		return fmt.Errorf("edge: %w", err)
 	}
@@ -65,7 +65,7 @@
 		}
 	}()
 	relay, err := boot.New(boot.Config{
-		Settings: settings, Log: log, Now: time.Now, Recorder: stats.Both{First: logs.Relayed{Log: log}, Stats: metrics},
+		Settings: settings, Log: log, Now: time.Now, Recorder: stats.CombinedRecorder{First: logs.RelayRecorder{Log: log}, Stats: metrics},
 		OnStoreCall: metrics.RecordStoreCall, Metrics: metrics.Handler(), OnSample: metrics.RecordRelayState,
 	})
 	if err != nil {
@@ -73,7 +73,7 @@
 	}
 	ticker := time.NewTicker(droppedInterval)
 	defer ticker.Stop()
-	go logs.Watch(log, out, metrics.RecordDropped, ticker.C, ctx.Done())
+	go logs.ReportDroppedLines(log, out, metrics.RecordDropped, ticker.C, ctx.Done())
 	go o.watcher(relay, log, reload).Run(ctx)
 	return relay.Run(ctx)
 }
@@ -82,10 +82,10 @@
 func (o *edgeOptions) watcher(relay *boot.Instance, log *zap.Logger, reload <-chan os.Signal) boot.Watcher {
 	return boot.Watcher{
 		Path: o.settings, Signals: reload, Interval: settingsInterval,
-		Apply: func(s boot.Settings) {
+		OnChange: func(s boot.Settings) {
 			relay.Reload(s)
 			log.Info("Reloaded")
 		},
-		Failed: func(err error) { log.Error("ReloadFailed", zap.Error(err)) },
+		OnError: func(err error) { log.Error("ReloadFailed", zap.Error(err)) },
 	}
 }
--- a/io/shell/start/member.go
+++ b/io/shell/start/member.go
@@ -82,8 +82,8 @@
 		Store:     n.Store(),
 		Snapshot:  n.Snapshot,
 		Now:       time.Now,
-		Fleet:     n.Survey,
-		Decisions: n.Find,
+		Fleet:     n.QueryStatus,
+		Decisions: n.FindDecisions,
 	})
 	if err != nil {
 		return nil, fmt.Errorf("create operators' API: %w", err)
@@ -102,7 +102,7 @@
 	if i.node.TLS != nil {
 		listener = tls.NewListener(listener, i.node.TLS)
 	}
-	return httpd.Until(ctx, server, listener, func(s *http.Server) error {
+	return httpd.ServeUntil(ctx, server, listener, func(s *http.Server) error {
 		shutdownCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopTimeout)
 		defer cancel()
 		if err := s.Shutdown(shutdownCtx); err != nil && !errors.Is(err, context.DeadlineExceeded) {
--- a/io/shell/start/options.go
+++ b/io/shell/start/options.go
@@ -27,7 +27,7 @@
 	operators   string
 	peers       string
 	peerTLS     peerTLS
-	rates       node.Rates
+	rates       node.StoreRates
 	platform    string
 	document    string
 	settings    conf.Settings
@@ -94,7 +94,7 @@
 		callers:     c.String("callers"),
 		operators:   c.String("operators"),
 		peers:       c.String("peers"),
-		rates:       node.Rates{Reads: c.Float("store-reads"), Writes: c.Float("store-writes")},
+		rates:       node.StoreRates{Reads: c.Float("store-reads"), Writes: c.Float("store-writes")},
 		platform:    c.String("platform"),
 		document:    c.String("document"),
 		grace:       c.Duration("grace"),
--- a/io/stage/feeder.go
+++ b/io/stage/feeder.go
@@ -16,10 +16,10 @@
 	"endivehitch/io/plat"
 )
 
-// FeederConfig configures a Feeder.
-type FeederConfig struct {
-	// Drain returns the attempts counted since its last call.
-	Drain func() []value.AttemptCounts
+// CollectorConfig configures a Feeder.
+type CollectorConfig struct {
+	// DrainCounts returns the attempts counted since its last call.
+	DrainCounts func() []value.AttemptCounts
 	// Ratings is the rating service; nil means that there is none.
 	Ratings plat.RatingService
 	// Caller calls other instances; if it is nil, the instance evaluates only its own attempts.
@@ -28,39 +28,39 @@
 	Snapshot func() state.State
 	// Do runs a command in the control loop.
 	Do func(context.Context, Command) error
-	// Failed is called with each error after which the feeder continues.
-	Failed func(error)
-	Now    func() time.Time
-	// Every is the time between reads of the ratings, and the shortest time between reports of
+	// ReportError is called with each error after which the feeder continues.
+	ReportError func(error)
+	Now         func() time.Time
+	// Interval is the time between reads of the ratings, and the shortest time between reports of
 	// attempts.
-	Every time.Duration
+	Interval time.Duration
 }
 
-// Feeder reports attempts to the instances that evaluate them, passes ratings to the control state
+// Collector reports attempts to the instances that evaluate them, passes ratings to the control state
 // and takes the due steps of roll-outs.
-type Feeder struct {
-	config FeederConfig
+type Collector struct {
+	config CollectorConfig
 	// unsent holds the counts that have not been reported yet; only Run's goroutine accesses it.
 	unsent map[value.VersionKey]value.AttemptCounts
 }
 
-// NewFeeder returns a feeder, or an error that names the missing setting.
-func NewFeeder(config FeederConfig) (*Feeder, error) {
+// NewCollector returns a feeder, or an error that names the missing setting.
+func NewCollector(config CollectorConfig) (*Collector, error) {
 	switch {
-	case config.Drain == nil:
+	case config.DrainCounts == nil:
 		return nil, errors.New("feeder: Drain is not set")
 	case config.Snapshot == nil:
 		return nil, errors.New("feeder: Snapshot is not set")
 	case config.Do == nil:
 		return nil, errors.New("feeder: Do is not set")
-	case config.Failed == nil:
+	case config.ReportError == nil:
 		return nil, errors.New("feeder: Failed is not set")
 	case config.Now == nil:
 		return nil, errors.New("feeder: Now is not set")
-	case config.Every <= 0:
+	case config.Interval <= 0:
 		return nil, errors.New("feeder: Every must be positive")
 	}
-	return &Feeder{config: config, unsent: make(map[value.VersionKey]value.AttemptCounts)}, nil
+	return &Collector{config: config, unsent: make(map[value.VersionKey]value.AttemptCounts)}, nil
 }
 
 // ratingsPerCommand bounds the ratings of one command, and with them the time for which it occupies
@@ -68,10 +68,10 @@
 const ratingsPerCommand = 256
 
 // Run reads ratings and reports attempts until the context ends.
-func (f *Feeder) Run(ctx context.Context) error {
+func (f *Collector) Run(ctx context.Context) error {
 	cursor := ""
 	reported := f.config.Now()
-	for clock.Passed(ctx, f.config.Every) {
+	for clock.WaitFully(ctx, f.config.Interval) {
 		cursor = f.readRatings(ctx, cursor)
 		if now := f.config.Now(); now.Sub(reported) >= f.reportInterval() {
 			reported = now
@@ -81,10 +81,10 @@
 	return nil
 }
 
-// Step takes the roll-out steps that are due. One instance of the fleet does this at a time; a
+// TakeDueSteps takes the roll-out steps that are due. One instance of the fleet does this at a time; a
 // second one does no harm, because steps are idempotent.
-func (f *Feeder) Step(ctx context.Context) error {
-	for _, d := range query.Due(f.config.Snapshot(), f.config.Now()) {
+func (f *Collector) TakeDueSteps(ctx context.Context) error {
+	for _, d := range query.DueSteps(f.config.Snapshot(), f.config.Now()) {
 		var c Command = cmds.AdvanceRollOut{Name: d.RollOut, Stage: d.Stage}
 		if d.Withdraw != "" {
 			c = cmds.WithdrawVersion{Version: d.Withdraw, Reason: d.Reason}
@@ -98,7 +98,7 @@
 
 // readRatings passes new ratings to the control state and returns the cursor after them, or the
 // same cursor if they could not be read or passed on.
-func (f *Feeder) readRatings(ctx context.Context, cursor string) string {
+func (f *Collector) readRatings(ctx context.Context, cursor string) string {
 	if f.config.Ratings == nil {
 		return cursor
 	}
@@ -125,8 +125,8 @@
 }
 
 // reportError passes on an error, unless the context has ended.
-func (f *Feeder) reportError(ctx context.Context, err error) {
+func (f *Collector) reportError(ctx context.Context, err error) {
 	if err != nil && ctx.Err() == nil {
-		f.config.Failed(err)
+		f.config.ReportError(err)
 	}
 }
--- a/io/stage/gather.go
+++ b/io/stage/gather.go
@@ -39,7 +39,7 @@
 )
 
 // Register registers the method by which other instances report attempts.
-func (f *Feeder) Register(r peer.Registrar) error {
+func (f *Collector) Register(r peer.Registrar) error {
 	if err := methodRuns.Serve(r, f.handleReport); err != nil {
 		return fmt.Errorf("register method for attempt reports: %w", err)
 	}
@@ -47,7 +47,7 @@
 }
 
 // handleReport passes another instance's attempts to the control state.
-func (f *Feeder) handleReport(w wireRuns) (wireTaken, error) {
+func (f *Collector) handleReport(w wireRuns) (wireTaken, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 	defer cancel()
 	if err := f.config.Do(ctx, cmds.ObserveAttempts{Counts: []value.AttemptCounts{value.AttemptCounts(w)}}); err != nil {
@@ -59,8 +59,8 @@
 // reportAttempts reports each version's attempts to the instance that evaluates it, which is the
 // owner of the version's hash slot. One test thus counts the attempts of the whole fleet; separate
 // tests at each instance would each need as many attempts, and their false alarms would add up.
-func (f *Feeder) reportAttempts(ctx context.Context) {
-	for _, counts := range f.config.Drain() {
+func (f *Collector) reportAttempts(ctx context.Context) {
+	for _, counts := range f.config.DrainCounts() {
 		f.unsent[counts.Version] = f.unsent[counts.Version].WithCounts(counts)
 	}
 	for key, counts := range f.unsent {
@@ -79,7 +79,7 @@
 }
 
 // send passes the attempts to the evaluating instance, which may be this one.
-func (f *Feeder) send(ctx context.Context, counts value.AttemptCounts) error {
+func (f *Collector) send(ctx context.Context, counts value.AttemptCounts) error {
 	s := f.config.Snapshot()
 	owner, ok := query.Owner(s, query.Slot(string(counts.Version)))
 	if !ok || owner.ID == s.Self.ID || f.config.Caller == nil {
@@ -98,7 +98,7 @@
 //
 // It does not depend on the counts: if failures were reported earlier than successes, the test
 // would overestimate the error rate.
-func (f *Feeder) reportInterval() time.Duration {
+func (f *Collector) reportInterval() time.Duration {
 	instances := time.Duration(f.config.Snapshot().LiveInstances())
-	return max(f.config.Every, instances*time.Second/maxReportsPerSecond)
+	return max(f.config.Interval, instances*time.Second/maxReportsPerSecond)
 }
--- a/io/stage/keeper.go
+++ b/io/stage/keeper.go
@@ -19,47 +19,47 @@
 // Command is a command of the control loop.
 type Command = loop.Command[state.State, state.Effect]
 
-// KeeperConfig configures a Keeper.
-type KeeperConfig struct {
+// PersisterConfig configures a Keeper.
+type PersisterConfig struct {
 	Store plat.Store
 	// Environment selects the keys in the key-value service.
 	Environment value.Environment
 	// Do runs a command in the control loop.
 	Do func(context.Context, Command) error
-	// Failed is called with each error after which the keeper continues.
-	Failed func(error)
-	// Delay returns how long to wait before the next retry after that many consecutive failures.
-	Delay func(failures int) time.Duration
+	// ReportError is called with each error after which the keeper continues.
+	ReportError func(error)
+	// RetryDelay returns how long to wait before the next retry after that many consecutive failures.
+	RetryDelay func(failures int) time.Duration
 }
 
-// Keeper stores roll-out positions and withdrawals in the key-value service, from which they reach
+// Persister stores roll-out positions and withdrawals in the key-value service, from which they reach
 // the other instances.
-type Keeper struct {
-	config KeeperConfig
+type Persister struct {
+	config PersisterConfig
 	// pending holds the records that are not stored yet by key, the latest for each key.
 	pending policy.Cell[policy.Table[string, state.Effect]]
 	// wake holds at most one signal, by which Take tells Run of new records.
 	wake chan struct{}
 }
 
-// NewKeeper returns a keeper, or an error that names the missing setting.
-func NewKeeper(config KeeperConfig) (*Keeper, error) {
+// NewPersister returns a keeper, or an error that names the missing setting.
+func NewPersister(config PersisterConfig) (*Persister, error) {
 	switch {
 	case config.Store == nil:
 		return nil, errors.New("keeper: Store is not set")
 	case config.Do == nil:
 		return nil, errors.New("keeper: Do is not set")
-	case config.Failed == nil:
+	case config.ReportError == nil:
 		return nil, errors.New("keeper: Failed is not set")
-	case config.Delay == nil:
+	case config.RetryDelay == nil:
 		return nil, errors.New("keeper: Delay is not set")
 	}
-	return &Keeper{config: config, wake: make(chan struct{}, 1)}, nil
+	return &Persister{config: config, wake: make(chan struct{}, 1)}, nil
 }
 
-// Take queues the position or withdrawal of an effect for Run and reports whether the effect has
+// Enqueue queues the position or withdrawal of an effect for Run and reports whether the effect has
 // one; it never blocks.
-func (k *Keeper) Take(e state.Effect) bool {
+func (k *Persister) Enqueue(e state.Effect) bool {
 	var key string
 	switch e := e.(type) {
 	case state.StoreProgress:
@@ -78,12 +78,12 @@
 }
 
 // Run stores queued records until the context ends; it retries after failures.
-func (k *Keeper) Run(ctx context.Context) error {
+func (k *Persister) Run(ctx context.Context) error {
 	failures := 0
 	for {
 		if !k.storePending(ctx) {
 			failures++
-			if !clock.Passed(ctx, k.config.Delay(failures)) {
+			if !clock.WaitFully(ctx, k.config.RetryDelay(failures)) {
 				return nil
 			}
 			continue
@@ -98,11 +98,11 @@
 }
 
 // storePending tries to store each pending record once and reports whether all attempts succeeded.
-func (k *Keeper) storePending(ctx context.Context) bool {
+func (k *Persister) storePending(ctx context.Context) bool {
 	allStored := true
 	for key, e := range k.pending.Get().All() {
 		if err := k.store(ctx, e); err != nil {
-			k.config.Failed(err)
+			k.config.ReportError(err)
 			allStored = false
 			continue
 		}
@@ -119,16 +119,16 @@
 
 // store stores the record and installs the one that is then in force, which differs if another
 // instance stored a record with precedence first.
-func (k *Keeper) store(ctx context.Context, e state.Effect) error {
+func (k *Persister) store(ctx context.Context, e state.Effect) error {
 	switch e := e.(type) {
 	case state.StoreProgress:
-		inForce, err := conf.KeepProgress(ctx, k.config.Store, k.config.Environment, e.Progress)
+		inForce, err := conf.StoreProgress(ctx, k.config.Store, k.config.Environment, e.Progress)
 		if err != nil {
 			return fmt.Errorf("store position of roll-out %s: %w", e.Progress.Name, err)
 		}
 		return k.config.Do(ctx, cmds.InstallProgress{Progress: inForce})
 	case state.StoreWithdrawal:
-		inForce, err := conf.KeepWithdrawal(ctx, k.config.Store, k.config.Environment, e.Withdrawal)
+		inForce, err := conf.StoreWithdrawal(ctx, k.config.Store, k.config.Environment, e.Withdrawal)
 		if err != nil {
 			return fmt.Errorf("store withdrawal of %s: %w", e.Withdrawal.Version, err)
 		}
--- a/io/stage/stage_test.go
+++ b/io/stage/stage_test.go
@@ -49,8 +49,8 @@
 type instance struct {
 	mu     sync.Mutex
 	state  state.State
-	keeper *stage.Keeper
-	feeder *stage.Feeder
+	keeper *stage.Persister
+	feeder *stage.Collector
 	counts []value.AttemptCounts
 }
 
@@ -64,14 +64,14 @@
 	port := f.mesh.Join(self)
 	assert.NilError(t, inst.do(ctx, cmds.InstallConfig{Accepted: value.AcceptedDocument{Document: document(), Revision: 1}}))
 	var err error
-	inst.keeper, err = stage.NewKeeper(stage.KeeperConfig{
-		Store: f.store, Environment: "trial", Do: inst.do, Failed: func(error) {},
-		Delay: func(int) time.Duration { return time.Second },
+	inst.keeper, err = stage.NewPersister(stage.PersisterConfig{
+		Store: f.store, Environment: "trial", Do: inst.do, ReportError: func(error) {},
+		RetryDelay: func(int) time.Duration { return time.Second },
 	})
 	assert.NilError(t, err)
-	inst.feeder, err = stage.NewFeeder(stage.FeederConfig{
-		Drain: inst.drain, Ratings: f.ratings, Caller: port, Snapshot: inst.snapshot, Do: inst.do,
-		Failed: func(error) {}, Now: time.Now, Every: time.Second,
+	inst.feeder, err = stage.NewCollector(stage.CollectorConfig{
+		DrainCounts: inst.drain, Ratings: f.ratings, Caller: port, Snapshot: inst.snapshot, Do: inst.do,
+		ReportError: func(error) {}, Now: time.Now, Interval: time.Second,
 	})
 	assert.NilError(t, err)
 	assert.NilError(t, inst.feeder.Register(port))
@@ -88,7 +88,7 @@
 	i.mu.Unlock()
 	for _, e := range effects {
 		if i.keeper != nil {
-			i.keeper.Take(e)
+			i.keeper.Enqueue(e)
 		}
 	}
 	return nil
@@ -185,9 +185,9 @@
 		}
 		settle()
 		// Both instances take the step; the second one finds it taken.
-		assert.NilError(t, a.feeder.Step(ctx))
+		assert.NilError(t, a.feeder.TakeDueSteps(ctx))
 		settle()
-		assert.NilError(t, b.feeder.Step(ctx))
+		assert.NilError(t, b.feeder.TakeDueSteps(ctx))
 		settle()
 		c := start(ctx, t, f, "c")
 		settle()
@@ -202,18 +202,18 @@
 		settle()
 		a.countAttempts(40, 20)
 		settle()
-		assert.Assert(t, b.snapshot().Withdrawn(newKey))
+		assert.Assert(t, b.snapshot().IsWithdrawn(newKey))
 		assert.Equal(t, b.progress().Phase, value.PhaseWithdrawn)
 	})
 }
 
 func TestPositionIsStoredAfterOutageAndLostAnswer(t *testing.T) {
 	runTest(t, func(ctx context.Context, f fixture, a, b *instance) {
-		assert.NilError(t, f.store.Set(fakes.Faults{Down: true}))
+		assert.NilError(t, f.store.SetFaults(fakes.StoreFaults{Down: true}))
 		assert.NilError(t, a.do(ctx, cmds.StartRollOut{Name: rollOut}))
 		settle()
 		assert.Equal(t, b.progress().Phase, value.Phase(""))
-		assert.NilError(t, f.store.Set(fakes.Faults{}.WithLostAnswers(1)))
+		assert.NilError(t, f.store.SetFaults(fakes.StoreFaults{}.WithLostAnswers(1)))
 		settle()
 		assert.DeepEqual(t, b.progress(), a.progress())
 	})
@@ -223,16 +223,16 @@
 	runTest(t, func(ctx context.Context, f fixture, a, b *instance) {
 		assert.NilError(t, a.do(ctx, cmds.StartRollOut{Name: rollOut}))
 		settle()
-		assert.NilError(t, f.store.Set(fakes.Faults{Down: true}))
+		assert.NilError(t, f.store.SetFaults(fakes.StoreFaults{Down: true}))
 		assert.NilError(t, a.do(ctx, cmds.WithdrawVersion{Version: newKey, Reason: value.ReasonOperator}))
 		assert.NilError(t, b.do(ctx, cmds.AdvanceRollOut{Name: rollOut, Forced: true}))
 		assert.NilError(t, b.do(ctx, cmds.AdvanceRollOut{Name: rollOut, Stage: 1, Forced: true}))
 		settle()
-		assert.NilError(t, f.store.Set(fakes.Faults{}))
+		assert.NilError(t, f.store.SetFaults(fakes.StoreFaults{}))
 		settle()
 		for _, i := range []*instance{a, b} {
 			assert.Equal(t, i.progress().Phase, value.PhaseWithdrawn)
-			assert.Assert(t, i.snapshot().Withdrawn(newKey))
+			assert.Assert(t, i.snapshot().IsWithdrawn(newKey))
 		}
 	})
 }
@@ -259,17 +259,17 @@
 		if owner, _ := query.Owner(a.snapshot(), query.Slot(string(newKey))); owner.ID == "b" {
 			evaluator, other = b, a
 		}
-		f.mesh.Set(func(_, _ value.Instance) fakes.Fate { return fakes.Fate{Unsent: true} })
+		f.mesh.SetDelivery(func(_, _ value.Instance) fakes.Delivery { return fakes.Delivery{Unsent: true} })
 		other.countAttempts(10, 0)
 		settle()
 		assert.Equal(t, observedAttempts(evaluator), 0)
-		f.mesh.Set(func(_, _ value.Instance) fakes.Fate { return fakes.Fate{} })
+		f.mesh.SetDelivery(func(_, _ value.Instance) fakes.Delivery { return fakes.Delivery{} })
 		settle()
 		assert.Equal(t, observedAttempts(evaluator), 10)
-		f.mesh.Set(func(_, _ value.Instance) fakes.Fate { return fakes.Fate{LoseReply: true} })
+		f.mesh.SetDelivery(func(_, _ value.Instance) fakes.Delivery { return fakes.Delivery{LoseReply: true} })
 		other.countAttempts(10, 0)
 		settle()
-		f.mesh.Set(func(_, _ value.Instance) fakes.Fate { return fakes.Fate{} })
+		f.mesh.SetDelivery(func(_, _ value.Instance) fakes.Delivery { return fakes.Delivery{} })
 		settle()
 		assert.Equal(t, observedAttempts(evaluator), 20)
 	})
@@ -278,5 +278,5 @@
 func observedAttempts(i *instance) int {
 	s := i.snapshot()
 	r, _ := s.RollOut(rollOut)
-	return s.RollOutTests(r).Tests.Trials(value.ReasonErrorRate)
+	return s.RollOutTests(r).Sequential.Trials(value.ReasonErrorRate)
 }
--- a/io/stats/relayed.go
+++ b/io/stats/relayed.go
@@ -48,17 +48,17 @@
 	s.count(linesDropped, lines)
 }
 
-// Both is a carry.Recorder that passes each decision to another recorder and counts it in Stats.
-type Both struct {
+// CombinedRecorder is a carry.Recorder that passes each decision to another recorder and counts it in Stats.
+type CombinedRecorder struct {
 	First carry.Recorder
 	Stats *Stats
 }
 
 // Record records the decision in First and Stats.
-func (b Both) Record(d carry.Decision) {
+func (b CombinedRecorder) Record(d carry.Decision) {
 	b.First.Record(d)
 	b.Stats.RecordRelayed(d)
 }
 
-// Period is the Config.Period of an instance that relays requests.
-const Period = time.Second
+// RelayPeriod is the Config.Period of an instance that relays requests.
+const RelayPeriod = time.Second
--- a/io/stats/sample.go
+++ b/io/stats/sample.go
@@ -49,7 +49,7 @@
 	s.count(storeCalls, now.Retries-last.Retries, "Retry")
 	s.count(storeCalls, now.Coalesced-last.Coalesced, "Coalesced")
 	s.count(storeCalls, now.Throttled-last.Throttled, "Throttled")
-	s.set(openWatches, float64(now.Waiting))
+	s.set(openWatches, float64(now.OpenWatches))
 }
 
 func (s *Stats) sampleControl(now state.State) {
--- a/io/stats/server.go
+++ b/io/stats/server.go
@@ -20,7 +20,7 @@
 // Server serves a job and writes its answer to a flow.Sink; *flow.Flow is one.
 type Server interface {
 	// Serve returns once the answer is complete; the error is a value.Refusal.
-	Serve(ctx context.Context, j flow.Job, s flow.Sink) (flow.Result, error)
+	Serve(ctx context.Context, j flow.Job, s flow.ResponseWriter) (flow.Result, error)
 }
 
 // InstrumentedServer is a server whose answers and refusals are counted.
@@ -35,10 +35,10 @@
 }
 
 // Serve serves the job and counts its answer or refusal; the error is that of the wrapped server.
-func (c InstrumentedServer) Serve(ctx context.Context, j flow.Job, sink flow.Sink) (flow.Result, error) {
+func (c InstrumentedServer) Serve(ctx context.Context, j flow.Job, sink flow.ResponseWriter) (flow.Result, error) {
 	c.stats.inFlight.Add(1)
 	defer c.stats.inFlight.Add(-1)
-	timer := &firstTokenTimer{Sink: sink, stats: c.stats, kind: string(j.Request.Kind), start: c.stats.config.Now()}
+	timer := &firstTokenTimer{ResponseWriter: sink, stats: c.stats, kind: string(j.Request.Kind), start: c.stats.config.Now()}
 	result, err := c.next.Serve(ctx, j, timer)
 	if err != nil {
 		c.stats.recordRefusal(err)
@@ -73,7 +73,7 @@
 
 // firstTokenTimer is a flow.Sink that records the time to the first piece of an answer.
 type firstTokenTimer struct {
-	flow.Sink
+	flow.ResponseWriter
 	stats      *Stats
 	kind       string
 	start      time.Time
@@ -86,5 +86,5 @@
 		t.hasStarted = true
 		t.stats.observe(firstToken, t.stats.config.Now().Sub(t.start), t.kind)
 	}
-	return t.Sink.Write(p)
+	return t.ResponseWriter.Write(p)
 }
--- a/io/stats/stats_test.go
+++ b/io/stats/stats_test.go
@@ -47,9 +47,9 @@
 // discardWriter is a flow.Sink that discards the answer.
 type discardWriter struct{}
 
-func (discardWriter) Begin(engine.Head, value.VersionKey) error { return nil }
-func (discardWriter) Write(engine.Piece) error                  { return nil }
-func (discardWriter) End(engine.Usage) error                    { return nil }
+func (discardWriter) WriteHead(engine.Head, value.VersionKey) error { return nil }
+func (discardWriter) Write(engine.Piece) error                      { return nil }
+func (discardWriter) End(engine.Usage) error                        { return nil }
 
 // slowServer completes its answer after three seconds and writes its first piece after one second;
 // with an error set, it fails at once.
@@ -57,7 +57,7 @@
 	err error
 }
 
-func (s slowServer) Serve(_ context.Context, _ flow.Job, to flow.Sink) (flow.Result, error) {
+func (s slowServer) Serve(_ context.Context, _ flow.Job, to flow.ResponseWriter) (flow.Result, error) {
 	if s.err != nil {
 		return flow.Result{}, s.err
 	}
--- a/io/trace/trace.go
+++ b/io/trace/trace.go
@@ -17,15 +17,15 @@
 // Config configures a Finder.
 type Config struct {
 	Self value.InstanceID
-	// Local returns the decisions that this instance stores about a request, in the order they were
+	// LocalDecisions returns the decisions that this instance stores about a request, in the order they were
 	// made.
-	Local func(value.RequestID) []value.Decision
+	LocalDecisions func(value.RequestID) []value.Decision
 	// Instances returns the instances that may store decisions; this instance is skipped.
 	Instances func() []value.Instance
 	// Caller sends the queries to the other instances.
 	Caller peer.Caller
-	// Parallel bounds the number of instances queried at once.
-	Parallel int
+	// MaxParallel bounds the number of instances queried at once.
+	MaxParallel int
 	// Timeout bounds the query to each instance.
 	Timeout time.Duration
 }
@@ -38,11 +38,11 @@
 // New returns a Finder, or an error that names what the configuration lacks.
 func New(c Config) (*Finder, error) {
 	switch {
-	case c.Local == nil || c.Instances == nil:
+	case c.LocalDecisions == nil || c.Instances == nil:
 		return nil, errors.New("trace: local decisions or instances function not configured")
 	case c.Caller == nil:
 		return nil, errors.New("trace: no caller configured")
-	case c.Parallel < 1 || c.Timeout <= 0:
+	case c.MaxParallel < 1 || c.Timeout <= 0:
 		return nil, errors.New("trace: parallel queries must be at least 1 and the timeout positive")
 	}
 	return &Finder{config: c}, nil
@@ -51,7 +51,7 @@
 // Register registers the method with which the others query this instance.
 func (f *Finder) Register(r peer.Registrar) error {
 	return findMethod.Serve(r, func(w wireFind) (wireFound, error) {
-		return wireFound{Decisions: toWire(f.config.Local(w.Request))}, nil
+		return wireFound{Decisions: toWire(f.config.LocalDecisions(w.Request))}, nil
 	})
 }
 
@@ -60,7 +60,7 @@
 // If none are found the error is value.ChangeRefused, or value.ChangeUnavailable if an instance
 // that may store them did not answer.
 func (f *Finder) Find(ctx context.Context, id value.RequestID) ([]value.Decision, error) {
-	if local := f.config.Local(id); len(local) > 0 {
+	if local := f.config.LocalDecisions(id); len(local) > 0 {
 		return local, nil
 	}
 	ctx, cancel := context.WithCancel(ctx)
@@ -68,7 +68,7 @@
 	var found policy.Cell[[]value.Decision]
 	var unanswered atomic.Int64
 	var g errgroup.Group
-	g.SetLimit(f.config.Parallel)
+	g.SetLimit(f.config.MaxParallel)
 	for _, instance := range f.config.Instances() {
 		if instance.ID == f.config.Self {
 			continue
--- a/io/trace/trace_test.go
+++ b/io/trace/trace_test.go
@@ -26,16 +26,16 @@
 		port := mesh.Join(value.Instance{ID: id, PeerAddress: string(id) + ":1"})
 		finder, err := trace.New(trace.Config{
 			Self: id,
-			Local: func(r value.RequestID) []value.Decision {
+			LocalDecisions: func(r value.RequestID) []value.Decision {
 				if requestID != r {
 					return nil
 				}
 				return []value.Decision{{Request: r, Step: value.StepAdmit, Detail: string(id)}, {Request: r, Step: value.StepBill}}
 			},
-			Instances: func() []value.Instance { return fleet },
-			Caller:    port,
-			Parallel:  2,
-			Timeout:   time.Second,
+			Instances:   func() []value.Instance { return fleet },
+			Caller:      port,
+			MaxParallel: 2,
+			Timeout:     time.Second,
 		})
 		assert.NilError(t, err)
 		assert.NilError(t, finder.Register(port))
--- a/tools/fleet/audit.go
+++ b/tools/fleet/audit.go
@@ -13,7 +13,7 @@
 
 // audit prints the counts and reports whether nothing was lost or duplicated.
 func audit(ctx context.Context, standIns *standIns, load *loadGenerator) (bool, error) {
-	segments, err := bills.Read(ctx, standIns.store)
+	segments, err := bills.ReadSegments(ctx, standIns.store)
 	if err != nil {
 		return false, fmt.Errorf("read bills: %w", err)
 	}
--- a/tools/fleet/drive.go
+++ b/tools/fleet/drive.go
@@ -101,7 +101,7 @@
 			result.isUnknown = true
 			return result
 		}
-		clock.Passed(ctx, retryInterval)
+		clock.WaitFully(ctx, retryInterval)
 	}
 	return result
 }
--- a/tools/fleet/fleet.go
+++ b/tools/fleet/fleet.go
@@ -175,7 +175,7 @@
 				return nil
 			}
 		}
-		clock.Passed(ctx, readyInterval)
+		clock.WaitFully(ctx, readyInterval)
 	}
 	return fmt.Errorf("%s is not ready; its log is in %s", f.processes[i].id, f.dir)
 }
--- a/tools/fleet/main.go
+++ b/tools/fleet/main.go
@@ -79,17 +79,17 @@
 // injectFaults injects one fault after the other while callers send requests.
 func injectFaults(ctx context.Context, f *fleet, standIns *standIns) error {
 	logProgress("%d instances are ready", instances)
-	clock.Passed(ctx, steadyTime)
+	clock.WaitFully(ctx, steadyTime)
 	logProgress("kill -9 of %s; starting a new instance in its place", f.idOf(0))
 	if err := f.replace(ctx, 0); err != nil {
 		return err
 	}
-	clock.Passed(ctx, steadyTime)
+	clock.WaitFully(ctx, steadyTime)
 	logProgress("SIGSTOP of %s for %s", f.idOf(1), pauseTime)
 	if err := f.suspend(1); err != nil {
 		return err
 	}
-	clock.Passed(ctx, pauseTime)
+	clock.WaitFully(ctx, pauseTime)
 	if err := f.resume(1); err != nil {
 		return err
 	}
@@ -97,7 +97,7 @@
 	if err := standIns.setStoreDown(true); err != nil {
 		return err
 	}
-	clock.Passed(ctx, outageTime)
+	clock.WaitFully(ctx, outageTime)
 	if err := standIns.setStoreDown(false); err != nil {
 		return err
 	}
@@ -105,7 +105,7 @@
 	if err := f.apply(ctx, append(standIns.document, "# Second edition.\n"...), f.revision); err != nil {
 		return err
 	}
-	clock.Passed(ctx, recoveryTime)
+	clock.WaitFully(ctx, recoveryTime)
 	return nil
 }
 
@@ -120,7 +120,7 @@
 			return nil
 		}
 		lastErr = err
-		clock.Passed(ctx, time.Second)
+		clock.WaitFully(ctx, time.Second)
 	}
 	return fmt.Errorf("apply document: %w", lastErr)
 }
--- a/tools/fleet/stand.go
+++ b/tools/fleet/stand.go
@@ -24,7 +24,7 @@
 	store       *fakes.Store
 	platform    *httptest.Server
 	servers     []value.BackendServer
-	services    []*fakes.Plain
+	services    []*fakes.PlainService
 	httpServers []*httptest.Server
 }
 
@@ -64,7 +64,7 @@
 			s.addServer(id, pool, httptest.NewServer(&fakes.Chat{Name: id}), versions)
 			continue
 		}
-		p := &fakes.Plain{Name: id}
+		p := &fakes.PlainService{Name: id}
 		s.services = append(s.services, p)
 		s.addServer(id, pool, httptest.NewServer(p), nil)
 	}
@@ -78,7 +78,7 @@
 }
 
 func (s *standIns) setStoreDown(down bool) error {
-	return s.store.Set(fakes.Faults{}.WithDown(down))
+	return s.store.SetFaults(fakes.StoreFaults{}.WithDown(down))
 }
 
 // effects returns how often each request body has taken effect, over all plain services.
