--- a/Makefile
+++ b/Makefile
@@ -29,11 +29,11 @@
 
 # Runs every fault at every step, prints the grid and fails for a red cell; docs/MATRIX.md explains it.
 matrix:
-	@set -o pipefail; go test -count=1 -parallel 4 -timeout 30m -run 'Matrix|Mechanism' -v ./io/proof -matrix Singles | grep -E '^ +[A-Z]|assertion|^(ok|FAIL|PASS)|---.*(Mechanism|FAIL)'
+	@set -o pipefail; go test -count=1 -parallel 4 -timeout 30m -run 'Matrix|Mechanism' -v ./io/faults -matrix Singles | grep -E '^ +[A-Z]|assertion|^(ok|FAIL|PASS)|---.*(Mechanism|FAIL)'
 
 # Runs each two faults at each step.
 matrix-pairs:
-	@set -o pipefail; go test -count=1 -parallel 4 -timeout 60m -run 'Matrix' -v ./io/proof -matrix Pairs | grep -E '^ +[A-Z]|assertion|^(ok|FAIL)|---.*FAIL'
+	@set -o pipefail; go test -count=1 -parallel 4 -timeout 60m -run 'Matrix' -v ./io/faults -matrix Pairs | grep -E '^ +[A-Z]|assertion|^(ok|FAIL)|---.*FAIL'
 
 check: vet format lint test
 
--- a/io/rolls/ages.go
+++ b/io/canary/ages.go
@@ -1,4 +1,4 @@
-package rolls
+package canary
 
 import (
 	"context"
--- a/io/rolls/ages_test.go
+++ b/io/canary/ages_test.go
@@ -1,4 +1,4 @@
-package rolls_test
+package canary_test
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 
 	"endivehitch/core/loop"
 	"endivehitch/core/relay"
-	"endivehitch/io/rolls"
+	"endivehitch/io/canary"
 )
 
 var errDeparted = errors.New("instance has departed")
@@ -58,7 +58,7 @@
 			}
 		}()
 		started = time.Now()
-		go func() { assert.Check(t, rolls.AgeLearner{Peers: peers, Control: control}.Run(ctx)) }()
+		go func() { assert.Check(t, canary.AgeLearner{Peers: peers, Control: control}.Run(ctx)) }()
 		time.Sleep(2 * time.Second)
 		rollOut, _ = control.Snapshot().RollOut("app")
 		cancel()
--- a/io/rolls/runner_test.go
+++ b/io/canary/runner_test.go
@@ -1,4 +1,4 @@
-package rolls_test
+package canary_test
 
 import (
 	"context"
@@ -12,8 +12,8 @@
 	"endivehitch/core/loop"
 	"endivehitch/core/relay"
 	"endivehitch/core/relay/cmds"
+	"endivehitch/io/canary"
 	"endivehitch/io/feeds"
-	"endivehitch/io/rolls"
 )
 
 // fakeStore holds the duty and the progress of one roll-out in memory.
@@ -126,7 +126,7 @@
 				continue
 			}
 		}()
-		runner := rolls.Runner{
+		runner := canary.Runner{
 			Store: store, Peers: peers, Control: control, Now: time.Now, OnError: func(error) {},
 			OwnTallies: func() []relay.Tally { return nil }, OnPhaseChange: func(relay.Progress, string) {},
 		}
--- a/io/proof/fleet.go
+++ b/io/faults/fleet.go
@@ -1,4 +1,4 @@
-package proof
+package faults
 
 import (
 	"context"
--- a/io/proof/matrix_test.go
+++ b/io/faults/matrix_test.go
@@ -1,4 +1,4 @@
-package proof_test
+package faults_test
 
 import (
 	"flag"
@@ -9,26 +9,26 @@
 
 	"gotest.tools/v3/assert"
 
-	"endivehitch/io/proof"
+	"endivehitch/io/faults"
 )
 
 var matrix = flag.String("matrix", "", "run the whole matrix of Singles or Pairs")
 
-func runCell(t *testing.T, cell proof.Cell, brokenInvariant proof.Invariant) proof.Outcome {
+func runCell(t *testing.T, cell faults.Cell, brokenInvariant faults.Invariant) faults.Outcome {
 	t.Helper()
-	var outcome proof.Outcome
+	var outcome faults.Outcome
 	synctest.Test(t, func(t *testing.T) {
 		var err error
-		outcome, err = proof.RunCell(cell, brokenInvariant)
+		outcome, err = faults.RunCell(cell, brokenInvariant)
 		assert.NilError(t, err)
 	})
 	return outcome
 }
 
 func TestHealthyFleetKeepsEveryInvariant(t *testing.T) {
-	outcome := runCell(t, proof.Cell{Step: proof.StepAccept}, "")
+	outcome := runCell(t, faults.Cell{Step: faults.StepAccept}, "")
 	assert.Assert(t, outcome.Reached)
-	assert.DeepEqual(t, outcome.Violations, []proof.Violation(nil))
+	assert.DeepEqual(t, outcome.Violations, []faults.Violation(nil))
 	complete := 0
 	for _, r := range outcome.Observations.Replies {
 		if r.Complete {
@@ -41,10 +41,10 @@
 // With the mechanism behind an invariant disabled, Check reports a violation of this invariant. The
 // test above shows that it reports none for a healthy fleet.
 func TestEachBrokenMechanismIsDetected(t *testing.T) {
-	for _, invariant := range proof.Invariants() {
+	for _, invariant := range faults.Invariants() {
 		t.Run(string(invariant), func(t *testing.T) {
-			violations := runCell(t, proof.Cell{Step: proof.StepAccept}, invariant).Violations
-			assert.Assert(t, slices.ContainsFunc(violations, func(violation proof.Violation) bool { return violation.Invariant == invariant }), "found %v", violations)
+			violations := runCell(t, faults.Cell{Step: faults.StepAccept}, invariant).Violations
+			assert.Assert(t, slices.ContainsFunc(violations, func(violation faults.Violation) bool { return violation.Invariant == invariant }), "found %v", violations)
 		})
 	}
 }
@@ -53,21 +53,21 @@
 func TestMatrix(t *testing.T) {
 	switch *matrix {
 	case "Singles":
-		runMatrix(t, "Singles", proof.SingleFaultCells())
+		runMatrix(t, "Singles", faults.SingleFaultCells())
 	case "Pairs":
-		runMatrix(t, "Pairs", proof.FaultPairCells())
+		runMatrix(t, "Pairs", faults.FaultPairCells())
 	default:
-		runMatrix(t, "Sample", proof.SampleCells())
+		runMatrix(t, "Sample", faults.SampleCells())
 	}
 }
 
-func runMatrix(t *testing.T, title string, cells []proof.Cell) {
+func runMatrix(t *testing.T, title string, cells []faults.Cell) {
 	var mu sync.Mutex
-	var counts proof.StateCounts
+	var counts faults.StateCounts
 	t.Run("Cells", func(t *testing.T) {
 		for _, cell := range cells {
 			if cell.ReasonNotApplicable() != "" {
-				counts = counts.With(cell, proof.StateNotApplicable)
+				counts = counts.With(cell, faults.StateNotApplicable)
 				continue
 			}
 			t.Run(cell.Name(), func(t *testing.T) {
@@ -76,7 +76,7 @@
 				mu.Lock()
 				counts = counts.With(cell, outcome.State())
 				mu.Unlock()
-				assert.Equal(t, outcome.State(), proof.StateHeld, "%v", outcome.Violations)
+				assert.Equal(t, outcome.State(), faults.StateHeld, "%v", outcome.Violations)
 			})
 		}
 	})
--- a/io/proof/step.go
+++ b/io/faults/step.go
@@ -1,4 +1,4 @@
-package proof
+package faults
 
 // Step is a point in the handling of a request or in control work at which faults can begin.
 type Step string
--- a/io/logs/relayed.go
+++ b/io/logs/relayed.go
@@ -5,16 +5,16 @@
 
 	"go.uber.org/zap"
 
-	"endivehitch/io/carry"
+	"endivehitch/io/proxy"
 )
 
-// RelayRecorder logs the decisions about relayed requests; it is a carry.Recorder.
+// RelayRecorder logs the decisions about relayed requests; it is a proxy.Recorder.
 type RelayRecorder struct {
 	Log *zap.Logger
 }
 
 // Record logs the decision; fields that the decision does not set are omitted.
-func (r RelayRecorder) Record(d carry.Decision) {
+func (r RelayRecorder) Record(d proxy.Decision) {
 	fields := make([]zap.Field, 0, 16)
 	addText := func(name, value string) {
 		if value != "" {
--- a/io/trace/trace_test.go
+++ b/io/lookup/trace_test.go
@@ -1,4 +1,4 @@
-package trace_test
+package lookup_test
 
 import (
 	"errors"
@@ -9,22 +9,22 @@
 
 	"endivehitch/core/value"
 	"endivehitch/io/fakes"
-	"endivehitch/io/trace"
+	"endivehitch/io/lookup"
 )
 
 // newFinders returns a finder for each instance in the map, which stores the decisions about one
 // request; the listed instances are queried, also those that do not exist.
-func newFinders(t *testing.T, requests map[value.InstanceID]value.RequestID, listed ...value.InstanceID) map[value.InstanceID]*trace.Finder {
+func newFinders(t *testing.T, requests map[value.InstanceID]value.RequestID, listed ...value.InstanceID) map[value.InstanceID]*lookup.Finder {
 	t.Helper()
 	var mesh fakes.Mesh
 	var fleet []value.Instance
 	for _, id := range listed {
 		fleet = append(fleet, value.Instance{ID: id, PeerAddress: string(id) + ":1"})
 	}
-	byInstance := make(map[value.InstanceID]*trace.Finder)
+	byInstance := make(map[value.InstanceID]*lookup.Finder)
 	for id, requestID := range requests {
 		port := mesh.Join(value.Instance{ID: id, PeerAddress: string(id) + ":1"})
-		finder, err := trace.New(trace.Config{
+		finder, err := lookup.New(lookup.Config{
 			Self: id,
 			LocalDecisions: func(r value.RequestID) []value.Decision {
 				if requestID != r {
--- a/io/trace/wire.go
+++ b/io/lookup/wire.go
@@ -1,4 +1,4 @@
-package trace
+package lookup
 
 import (
 	"time"
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -15,9 +15,9 @@
 	"endivehitch/io/flow"
 	"endivehitch/io/front"
 	"endivehitch/io/logs"
+	"endivehitch/io/lookup"
 	"endivehitch/io/plat"
 	"endivehitch/io/stats"
-	"endivehitch/io/trace"
 )
 
 const (
@@ -42,7 +42,7 @@
 	duties     *duties
 	recorder   *logs.Recorder
 	stats      *stats.Stats
-	finder     *trace.Finder
+	finder     *lookup.Finder
 }
 
 // New returns a node that is not yet running.
@@ -161,8 +161,8 @@
 	return n.components.gossip.QueryStatus(ctx)
 }
 
-func (n *Node) newFinder() (*trace.Finder, error) {
-	f, err := trace.New(trace.Config{
+func (n *Node) newFinder() (*lookup.Finder, error) {
+	f, err := lookup.New(lookup.Config{
 		Self:           n.config.Self.ID,
 		LocalDecisions: n.recorder.ForRequest,
 		Instances: func() []value.Instance {
--- a/io/carry/dispatcher_test.go
+++ b/io/proxy/dispatcher_test.go
@@ -1,4 +1,4 @@
-package carry_test
+package proxy_test
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 	"gotest.tools/v3/assert"
 
 	"endivehitch/core/relay"
-	"endivehitch/io/carry"
+	"endivehitch/io/proxy"
 )
 
 var errConnectionReset = errors.New("connection reset")
@@ -23,7 +23,7 @@
 	assert.NilError(t, h.serve(t.Context()))
 	assert.Equal(t, h.writer.body.String(), "done")
 	assert.Equal(t, len(h.backend.sends), 1)
-	assert.DeepEqual(t, h.recorder.kinds, []carry.DecisionKind{carry.DecisionAnswered})
+	assert.DeepEqual(t, h.recorder.kinds, []proxy.DecisionKind{proxy.DecisionAnswered})
 }
 
 func TestNonRetryableRequestIsResentOnlyIfItDidNotRun(t *testing.T) {
@@ -31,10 +31,10 @@
 		first  func(context.Context, attempt) (*answer, error)
 		resent bool
 	}{
-		"connection refused":                  {failsWith(carry.ErrUnsent), true},
+		"connection refused":                  {failsWith(proxy.ErrUnsent), true},
 		"server declined to run it":           {answerWith(answer{Status: 503, NotRun: true}, "", io.EOF), true},
 		"request for another server":          {answerWith(answer{Status: 421, NotRun: true}, "", io.EOF), true},
-		"answer lost after sending":           {failsWith(carry.ErrAnswerLost), false},
+		"answer lost after sending":           {failsWith(proxy.ErrAnswerLost), false},
 		"connection reset inside the body":    {answerWith(answer{Status: 200, Signed: true}, "do", errConnectionReset), false},
 		"answer without signature":            {answerWith(answer{Status: 200}, "done", io.EOF), false},
 		"answer in an encoding not asked for": {answerWith(answer{Status: 200, Signed: true, UnexpectedEncoding: true}, "x", io.EOF), false},
@@ -66,7 +66,7 @@
 
 func TestRetryableRequestIsRetriedOnAnotherServer(t *testing.T) {
 	for _, first := range []func(context.Context, attempt) (*answer, error){
-		failsWith(carry.ErrAnswerLost), answerWith(answer{Status: 500, Signed: true}, "oops", io.EOF),
+		failsWith(proxy.ErrAnswerLost), answerWith(answer{Status: 500, Signed: true}, "oops", io.EOF),
 		answerWith(answer{Status: 200, Signed: true}, "do", errConnectionReset), answerWith(answer{Status: 200}, "forged", io.EOF),
 	} {
 		h := newHarness(t, plainRoute(relay.RetryAlways), first, answerOK("done"))
@@ -111,7 +111,7 @@
 
 func TestStreamEndingInsideAnEventIsReportedAsTruncated(t *testing.T) {
 	h := newHarness(t, streamRoute(relay.RetryNever), streamAnswer(firstEvent+"id: 2\nda", io.EOF))
-	assert.ErrorIs(t, h.serve(t.Context()), carry.ErrTruncated)
+	assert.ErrorIs(t, h.serve(t.Context()), proxy.ErrTruncated)
 	assert.Equal(t, h.writer.body.String(), firstEvent)
 	assert.Equal(t, len(h.backend.sends), 1)
 }
@@ -140,7 +140,7 @@
 
 func TestFailedStepUpIsRetriedWithTheLargerModel(t *testing.T) {
 	lowConfidence := answerWith(answer{Status: 200, Signed: true, Stream: true, Confidence: 5}, firstEvent, io.EOF)
-	h := newHarness(t, cascadeRoute(), lowConfidence, failsWith(carry.ErrAnswerLost), streamAnswer(secondEvent, io.EOF))
+	h := newHarness(t, cascadeRoute(), lowConfidence, failsWith(proxy.ErrAnswerLost), streamAnswer(secondEvent, io.EOF))
 	assert.NilError(t, h.serve(t.Context()))
 	assert.Equal(t, h.backend.sends[2].Model, relay.ModelName("large"))
 }
@@ -244,7 +244,7 @@
 }
 
 func TestRetriesStayWithinTheBudget(t *testing.T) {
-	h := newHarness(t, plainRoute(relay.RetryAlways), failsWith(carry.ErrAnswerLost))
+	h := newHarness(t, plainRoute(relay.RetryAlways), failsWith(proxy.ErrAnswerLost))
 	const requests = 400
 	for range requests {
 		assert.Assert(t, h.serve(t.Context()) != nil)
@@ -262,7 +262,7 @@
 	h.backend.sends = nil
 	h.backend.answers = make([]func(context.Context, attempt) (*answer, error), 0, 60)
 	for range 30 {
-		h.backend.answers = append(h.backend.answers, failsWith(carry.ErrAnswerLost), answerOK("done"))
+		h.backend.answers = append(h.backend.answers, failsWith(proxy.ErrAnswerLost), answerOK("done"))
 	}
 	for range 30 {
 		assert.NilError(t, h.serve(t.Context()))
@@ -270,7 +270,7 @@
 }
 
 func TestRefusedConnectionsUseNoRetryBudget(t *testing.T) {
-	h := newHarness(t, plainRoute(relay.RetryNever), failsWith(carry.ErrUnsent), answerOK("done"))
+	h := newHarness(t, plainRoute(relay.RetryNever), failsWith(proxy.ErrUnsent), answerOK("done"))
 	for range 300 {
 		h.backend.sends = nil
 		assert.NilError(t, h.serve(t.Context()))
@@ -278,7 +278,7 @@
 }
 
 func TestOnlyServerAnswersAreCountedInTallies(t *testing.T) {
-	h := newHarness(t, plainRoute(relay.RetryAlways), failsWith(carry.ErrAnswerLost), answerWith(answer{Status: 500, Signed: true}, "", io.EOF), answerOK("done"))
+	h := newHarness(t, plainRoute(relay.RetryAlways), failsWith(proxy.ErrAnswerLost), answerWith(answer{Status: 500, Signed: true}, "", io.EOF), answerOK("done"))
 	assert.NilError(t, h.serve(t.Context()))
 	assert.DeepEqual(t, h.dispatcher.Tallies(), []relay.Tally{{Service: "app", Release: "v1", Runs: 2, Failed: 1}})
 }
--- a/io/carry/doc.go
+++ b/io/proxy/doc.go
@@ -1,4 +1,4 @@
-// Package carry is the reverse proxy of the router: it relays a request to a backend server and the
+// Package proxy is the reverse proxy of the router: it relays a request to a backend server and the
 // answer to the caller. It selects the server, retries on another one where the route allows it, steps
 // up from a smaller to a larger model, and resumes interrupted event streams.
 //
@@ -8,4 +8,4 @@
 //
 // The package encodes no messages: the type parameter H is the front end's own type of message heads,
 // which only the Backend and the ResponseWriter interpret.
-package carry
+package proxy
--- a/io/carry/handler.go
+++ b/io/proxy/handler.go
@@ -1,4 +1,4 @@
-package carry
+package proxy
 
 import (
 	"context"
--- a/io/carry/harness_test.go
+++ b/io/proxy/harness_test.go
@@ -1,4 +1,4 @@
-package carry_test
+package proxy_test
 
 import (
 	"context"
@@ -12,14 +12,14 @@
 	"gotest.tools/v3/assert"
 
 	"endivehitch/core/relay"
-	"endivehitch/io/carry"
+	"endivehitch/io/proxy"
 )
 
 type head struct{ name string }
 
 type (
-	attempt = carry.Attempt[head]
-	answer  = carry.Answer[head]
+	attempt = proxy.Attempt[head]
+	answer  = proxy.Answer[head]
 )
 
 // scriptedBackend gives its answers in order, one for each send.
@@ -56,10 +56,10 @@
 // recorder stores the kinds of decisions.
 type recorder struct {
 	mu    sync.Mutex
-	kinds []carry.DecisionKind
+	kinds []proxy.DecisionKind
 }
 
-func (r *recorder) Record(d carry.Decision) {
+func (r *recorder) Record(d proxy.Decision) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.kinds = append(r.kinds, d.Kind)
@@ -71,7 +71,7 @@
 	backend    *scriptedBackend
 	writer     *responseWriter
 	recorder   *recorder
-	dispatcher *carry.Dispatcher[head]
+	dispatcher *proxy.Dispatcher[head]
 }
 
 func plainRoute(rule relay.RetryRule) relay.Route {
@@ -100,10 +100,10 @@
 	s := relay.New(relay.Member{Name: "n"}).WithFeed(f, time.Now(), 0)
 	h := &harness{t: t, backend: &scriptedBackend{answers: answers}, writer: new(responseWriter), recorder: new(recorder)}
 	var err error
-	h.dispatcher, err = carry.New(carry.Config[head]{
+	h.dispatcher, err = proxy.New(proxy.Config[head]{
 		Backend: h.backend, Snapshot: func() relay.State { return s }, Now: time.Now, Recorder: h.recorder,
-		RetryLimits: func() carry.RetryLimits {
-			return carry.RetryLimits{Window: 10 * time.Second, Ratio: 0.9, Allowance: 30}
+		RetryLimits: func() proxy.RetryLimits {
+			return proxy.RetryLimits{Window: 10 * time.Second, Ratio: 0.9, Allowance: 30}
 		},
 		SessionLifetime: time.Second,
 	})
@@ -116,7 +116,7 @@
 }
 
 func (h *harness) serveTo(ctx context.Context, w *responseWriter) error {
-	return h.dispatcher.Serve(ctx, carry.Job[head]{
+	return h.dispatcher.Serve(ctx, proxy.Job[head]{
 		Request: relay.Request{ID: "q", Host: "h", Path: "/x", Arrived: time.Now(), CallerTimeout: 8 * time.Second},
 	}, w)
 }
@@ -179,5 +179,5 @@
 // neverAnswers blocks until the attempt is cancelled.
 func neverAnswers(ctx context.Context, _ attempt) (*answer, error) {
 	<-ctx.Done()
-	return nil, carry.ErrAnswerLost
+	return nil, proxy.ErrAnswerLost
 }
--- a/io/carry/session_test.go
+++ b/io/proxy/session_test.go
@@ -1,4 +1,4 @@
-package carry_test
+package proxy_test
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 
 	"endivehitch/core/relay"
 	"endivehitch/core/relay/query"
-	"endivehitch/io/carry"
+	"endivehitch/io/proxy"
 )
 
 // canarySession returns a session name that would be assigned to the canary if it were a new session.
@@ -40,8 +40,8 @@
 			return relay.New(relay.Member{Name: "n"}).WithFeed(f, time.Now(), 0)
 		}
 		s := state()
-		c, err := carry.New(carry.Config[head]{
-			RetryLimits: func() carry.RetryLimits { return carry.RetryLimits{Window: time.Second} },
+		c, err := proxy.New(proxy.Config[head]{
+			RetryLimits: func() proxy.RetryLimits { return proxy.RetryLimits{Window: time.Second} },
 			Backend: &scriptedBackend{answers: []func(context.Context, attempt) (*answer, error){
 				func(ctx context.Context, sent attempt) (*answer, error) {
 					time.Sleep(requestTime)
@@ -63,7 +63,7 @@
 		session := canarySession(state())
 		s = before
 		serve := func() {
-			assert.NilError(t, c.Serve(t.Context(), carry.Job[head]{Request: relay.Request{
+			assert.NilError(t, c.Serve(t.Context(), proxy.Job[head]{Request: relay.Request{
 				ID: "q", Host: "h", Path: "/x", Arrived: time.Now(), Session: session,
 			}}, new(responseWriter)))
 		}
--- a/io/stats/pages_test.go
+++ b/io/stats/pages_test.go
@@ -94,7 +94,7 @@
 			found[text] = true
 		}
 	}
-	for _, text := range constants(packages["../../io/carry"], "DecisionKind") {
+	for _, text := range constants(packages["../../io/proxy"], "DecisionKind") {
 		found[text] = true
 	}
 	return slices.Sorted(maps.Keys(found))
--- a/io/stats/relayed.go
+++ b/io/stats/relayed.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"endivehitch/core/relay"
-	"endivehitch/io/carry"
+	"endivehitch/io/proxy"
 )
 
 // The outcomes of a call to the metadata store.
@@ -14,12 +14,12 @@
 )
 
 // RecordRelayed counts the decision about a relayed request and records its times.
-func (s *Stats) RecordRelayed(d carry.Decision) {
+func (s *Stats) RecordRelayed(d proxy.Decision) {
 	s.count(relayedDecisions, 1, string(d.Kind), d.Reason)
 	if d.FirstByteTime > 0 {
 		s.observe(relayedFirstByte, d.FirstByteTime)
 	}
-	if d.Kind == carry.DecisionAnswered {
+	if d.Kind == proxy.DecisionAnswered {
 		s.observe(relayedAnswer, d.Elapsed)
 	}
 }
@@ -48,14 +48,14 @@
 	s.count(linesDropped, lines)
 }
 
-// CombinedRecorder is a carry.Recorder that passes each decision to another recorder and counts it in Stats.
+// CombinedRecorder is a proxy.Recorder that passes each decision to another recorder and counts it in Stats.
 type CombinedRecorder struct {
-	First carry.Recorder
+	First proxy.Recorder
 	Stats *Stats
 }
 
 // Record records the decision in First and Stats.
-func (b CombinedRecorder) Record(d carry.Decision) {
+func (b CombinedRecorder) Record(d proxy.Decision) {
 	b.First.Record(d)
 	b.Stats.RecordRelayed(d)
 }
