--- a/io/flow/allocator.go
+++ b/io/flow/allocator.go
@@ -99,7 +99,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	// A slot may be released between the call of tryAcquire below and the queueing. With the count
-	// raised before, the releasing goroutine waits for the lock and then serves this request.
+	// raised before, the releasing goroutine waits for the lock and then grants it to this request.
 	a.waiting.Store(int64(a.queue.Len()) + 1)
 	defer func() { a.waiting.Store(int64(a.queue.Len())) }()
 	// A request must not overtake those that wait for the same target.
@@ -123,7 +123,7 @@
 // slot is released.
 func (a *slotAllocator) cancelWait(cancelled *waiter, cause error) error {
 	a.mu.Lock()
-	rest, found := a.queue.Without(cancelled.admitted.Account.Name, func(v *waiter) bool { return v == cancelled })
+	rest, found := a.queue.Without(cancelled.admitted.Account.Name, func(w *waiter) bool { return w == cancelled })
 	a.setQueue(rest)
 	a.mu.Unlock()
 	if found {
--- a/io/flow/attempt.go
+++ b/io/flow/attempt.go
@@ -12,7 +12,8 @@
 	"endivehitch/io/engine"
 )
 
-// attempt is one send of a request to one backend server, up to the first piece of the answer.
+// attempt is one send of a request to one backend server. Its goroutine reads the answer up to the
+// first piece; relay reads the rest.
 type attempt struct {
 	slot   *serverSlot
 	cancel context.CancelFunc
@@ -30,7 +31,7 @@
 }
 
 // isComplete reports whether the error marks the end of a complete answer. A connection that is cut
-// off may be an io.EOF too, joined with engine.ErrCutOff.
+// off may be an io.EOF too, joined with engine.ErrTruncated.
 func isComplete(err error) bool {
 	return errors.Is(err, io.EOF) && !errors.Is(err, engine.ErrTruncated)
 }
--- a/io/flow/cascade.go
+++ b/io/flow/cascade.go
@@ -39,7 +39,7 @@
 type cascade struct {
 	// remaining holds the versions to try after the current one.
 	remaining []value.VersionKey
-	// callerWriter is the sink of the caller, which gets the accepted answer.
+	// callerWriter is the writer to the caller, which gets the accepted answer.
 	callerWriter ResponseWriter
 	// buffer is nil while no answer is held back.
 	buffer *answerBuffer
@@ -47,7 +47,7 @@
 	spentMicros int64
 }
 
-// answerBuffer is a sink that holds the answer in memory.
+// answerBuffer is a response writer that holds the answer in memory.
 type answerBuffer struct {
 	HeldAnswer
 }
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// End does nothing: the answer is ended at the caller's sink.
+// End does nothing: the answer is ended at the writer to the caller.
 func (*answerBuffer) End(engine.Usage) error {
 	return nil
 }
@@ -130,8 +130,9 @@
 	return nil
 }
 
-// escalate returns the cascade's next version as the target after any failure of the held step. It
-// returns false if there is no held step or the request has ended; the failure then stands.
+// escalate returns the cascade's next version as the target after any failure while the answer is
+// held back. It returns false if no answer is held back or the request has ended; the failure is
+// then treated like that of any other request.
 func (e *execution) escalate(ctx context.Context, target query.Target, cause error) (query.Target, bool) {
 	if e.cascade.buffer == nil || ctx.Err() != nil {
 		return target, false
--- a/io/flow/cascade_test.go
+++ b/io/flow/cascade_test.go
@@ -61,7 +61,8 @@
 	return j(ctx, a)
 }
 
-// versionRecorder is a sink that records the version and the text that a caller receives.
+// versionRecorder is a response writer that records the version and the text that a caller
+// receives.
 type versionRecorder struct {
 	heads   int
 	version value.VersionKey
--- a/io/flow/counters.go
+++ b/io/flow/counters.go
@@ -17,17 +17,18 @@
 	cells sync.Map
 }
 
-// TakeAttemptCounts returns the outcomes counted since the last call, for an ObserveRuns command.
+// TakeAttemptCounts returns the outcomes counted since the last call, for an ObserveAttempts
+// command.
 func (f *Flow) TakeAttemptCounts() []value.AttemptCounts {
 	var list []value.AttemptCounts
 	f.counters.cells.Range(func(_, c any) bool {
-		var runs value.AttemptCounts
-		c.(*policy.Cell[value.AttemptCounts]).Update(func(was value.AttemptCounts) value.AttemptCounts {
-			runs = was
-			return value.AttemptCounts{Version: was.Version}
+		var counts value.AttemptCounts
+		c.(*policy.Cell[value.AttemptCounts]).Update(func(old value.AttemptCounts) value.AttemptCounts {
+			counts = old
+			return value.AttemptCounts{Version: old.Version}
 		})
-		if runs.Total > 0 {
-			list = append(list, runs)
+		if counts.Total > 0 {
+			list = append(list, counts)
 		}
 		return true
 	})
@@ -44,14 +45,14 @@
 	slow := rollOut.SlowAfter > 0 && e.flow.Now().Sub(start) > rollOut.SlowAfter
 	costly := rollOut.CostAbove > 0 && e.price(version, usage) > rollOut.CostAbove
 	counter, _ := e.flow.counters.cells.LoadOrStore(version, policy.NewCell(value.AttemptCounts{Version: version}))
-	counter.(*policy.Cell[value.AttemptCounts]).Update(func(was value.AttemptCounts) value.AttemptCounts {
-		return was.WithAttempt(err != nil, slow, costly)
+	counter.(*policy.Cell[value.AttemptCounts]).Update(func(old value.AttemptCounts) value.AttemptCounts {
+		return old.WithAttempt(err != nil, slow, costly)
 	})
 }
 
-// isVersionEvidence reports whether the outcome counts for the version. A complete answer, one that
-// was cut off, an error status that the server is responsible for and a time-out count. Otherwise a
-// caller that left, a connection error and a faulty request do not.
+// isVersionEvidence reports whether the outcome counts for the version. A complete answer and one
+// that was cut off always count. An error status that the server is responsible for and a time-out
+// count unless the caller has left. A connection error and a faulty request never count.
 func isVersionEvidence(ctx context.Context, err error) bool {
 	var status engine.StatusError
 	switch {
--- a/io/flow/deployment_test.go
+++ b/io/flow/deployment_test.go
@@ -239,7 +239,7 @@
 	}
 	call := engine.Call{Stream: true, Body: []byte(strconv.FormatInt(int64(work), 10))}
 	if s.prefixes > 0 {
-		// The popularity of prefixes is skewed, like that of real questions.
+		// The popularity of prefixes is skewed, like that of real requests.
 		prefix := uint64(rnd.IntN(s.prefixes)*rnd.IntN(s.prefixes)/s.prefixes + 1)
 		r.Prefix = prefix * 0x9e3779b97f4a7c15
 		call.Path = strconv.FormatUint(prefix, 10)
--- a/io/flow/doc.go
+++ b/io/flow/doc.go
@@ -7,10 +7,10 @@
 // states of a lifecycle. At each step, the queries of core decide on the current control state,
 // which comes from Config.Snapshot. A slotAllocator limits the concurrent requests at each backend
 // server and queues the rest; ServerLoads holds what this instance knows of the servers' load.
-// Attempts are sent through an engine.Runner, and the answer is written to a Sink, which encodes it
-// for the caller.
+// Attempts are sent through an engine.Runner, and the answer is written to a ResponseWriter, which
+// encodes it for the caller.
 //
-// A Biller stores the bill before the caller learns that the answer is complete. A Guard ensures
-// that a request that is not idempotent runs at most once, and a Judge assesses the first answer of
-// a cascade.
+// A Biller stores the bill before the caller learns that the answer is complete. An
+// IdempotencyGuard ensures that a request that is not idempotent runs at most once, and a Judge
+// assesses the first answer of a cascade.
 package flow
--- a/io/flow/execution.go
+++ b/io/flow/execution.go
@@ -228,7 +228,7 @@
 	now := e.flow.Now()
 	duration := now.Sub(winner.slot.started)
 	e.flow.stats.observeCompletion(e.job.Request, duration, now)
-	e.flow.stats.throughput(winner.slot.target).Update(func(p query.Throughput) query.Throughput { return p.WithAttempt(duration, now) })
+	e.flow.stats.throughput(winner.slot.target).Update(func(t query.Throughput) query.Throughput { return t.WithAttempt(duration, now) })
 }
 
 // normalizeFirstToken converts the time to the first piece into that of a request of typical
--- a/io/flow/flow.go
+++ b/io/flow/flow.go
@@ -90,11 +90,11 @@
 	return int(f.slots.waiting.Load())
 }
 
-// Serve answers the request and writes the answer to the sink; the error is a value.Refusal.
-func (f *Flow) Serve(ctx context.Context, j Job, sink ResponseWriter) (Result, error) {
+// Serve answers the request and writes the answer to the writer; the error is a value.Refusal.
+func (f *Flow) Serve(ctx context.Context, j Job, writer ResponseWriter) (Result, error) {
 	ctx, cancel := context.WithDeadline(ctx, j.Request.Deadline)
 	defer cancel()
-	e := newExecution(f, j, sink)
+	e := newExecution(f, j, writer)
 	result, err := e.serve(ctx)
 	if err != nil {
 		return Result{}, e.refuse(ctx, err)
--- a/io/flow/harness_test.go
+++ b/io/flow/harness_test.go
@@ -16,7 +16,7 @@
 	"endivehitch/io/flow"
 )
 
-// defaultVersion is carried by the servers that withServers adds.
+// defaultVersion is the version that the servers added by withServers have loaded.
 const defaultVersion = value.VersionKey("drafting-llm/small")
 
 // script is the behaviour of a scripted server in one attempt.
@@ -222,8 +222,8 @@
 	return n
 }
 
-// recordingWriter is a sink that records the text that a caller receives; it may fail or panic at a
-// piece.
+// recordingWriter is a response writer that records the text that a caller receives; it may fail or
+// panic at a piece.
 type recordingWriter struct {
 	text     string
 	ended    bool
--- a/io/flow/loads.go
+++ b/io/flow/loads.go
@@ -59,8 +59,8 @@
 func (l *ServerLoads) cell(id value.ServerID) *policy.Cell[value.Load] {
 	c, ok := l.cells.Load(id)
 	if !ok {
-		var had bool
-		if c, had = l.cells.LoadOrStore(id, new(policy.Cell[value.Load])); !had {
+		var loaded bool
+		if c, loaded = l.cells.LoadOrStore(id, new(policy.Cell[value.Load])); !loaded {
 			l.count.Add(1)
 		}
 	}
--- a/io/flow/measure_test.go
+++ b/io/flow/measure_test.go
@@ -52,8 +52,8 @@
 func normalSpeed(value.ServerID) float64 { return 1 }
 
 // withSlowServers returns a slowdown: after ten normal seconds, a tenth of the servers are ten
-// times slower. They are others in each spell.
-func (d deployment) withSlowServers(spell time.Duration) func(value.ServerID) float64 {
+// times slower. In each period, they are other servers.
+func (d deployment) withSlowServers(period time.Duration) func(value.ServerID) float64 {
 	began := time.Now()
 	return func(id value.ServerID) float64 {
 		since := time.Since(began) - 10*time.Second
@@ -61,7 +61,7 @@
 			return 1
 		}
 		for i := range d.servers / 10 {
-			if id == serverName((int(since/spell)*3+i*7)%d.servers) {
+			if id == serverName((int(since/period)*3+i*7)%d.servers) {
 				return 10
 			}
 		}
@@ -178,8 +178,8 @@
 		// The worst value of all seeds is reported.
 		for seed := range uint64(stragglerSeeds) {
 			without := size.simulate(tested.newServe(size, newSimulation(size.servers, normalSpeed)), seed, stream)
-			for name, spell := range map[string]time.Duration{"lasting": time.Hour, "brief": 5 * time.Second} {
-				slowSim := newSimulation(size.servers, size.withSlowServers(spell))
+			for name, period := range map[string]time.Duration{"lasting": time.Hour, "brief": 5 * time.Second} {
+				slowSim := newSimulation(size.servers, size.withSlowServers(period))
 				with := size.simulate(tested.newServe(size, slowSim), seed, stream)
 				recordWorst(metrics, name+" p99 ratio (goal 1.3)", ratio(p99(with, arrivedAfter(10*time.Second)), p99(without, arrivedAfter(10*time.Second))))
 				recordWorst(metrics, name+" extra runs % (goal 5)", 100*(float64(slowSim.attempts)/float64(len(with))-1))
@@ -271,8 +271,8 @@
 	})
 }
 
-// BenchmarkMeasureShare measures the attempts and the latency when many callers ask the same
-// question at once.
+// BenchmarkMeasureShare measures the attempts and the latency when many callers send the same
+// request at once.
 func BenchmarkMeasureShare(b *testing.B) {
 	measureAll(b, []variant{defaultFlow, leastLoaded, roundRobinOnly}, func(size deployment, tested variant) map[string]float64 {
 		burst := requestStream{until: time.Second, perSecond: 4 * size.capacity(), kind: "same", account: "ward-9", work: shortWork, timeout: shortTimeout}
--- a/io/flow/replay_test.go
+++ b/io/flow/replay_test.go
@@ -32,7 +32,7 @@
 func (g *singleKeyGuard) Release(context.Context) error     { return nil }
 func (g *singleKeyGuard) MarkInDoubt(context.Context) error { return nil }
 
-// pieceRecorder is a sink that records each piece of an answer separately.
+// pieceRecorder is a response writer that records each piece of an answer separately.
 type pieceRecorder struct{ data []string }
 
 func (p *pieceRecorder) WriteHead(engine.Head, value.VersionKey) error { return nil }
--- a/io/flow/settle.go
+++ b/io/flow/settle.go
@@ -14,7 +14,8 @@
 // pieceSeparator separates the stored pieces of a streamed answer, which contain no line breaks.
 var pieceSeparator = []byte("\n")
 
-// settleTimeout limits the work that has to be done even if the caller has left.
+// settleTimeout limits the time to store the bill and the answer, and to mark or release a claim;
+// these are done even if the caller has left.
 const settleTimeout = 10 * time.Second
 
 // executeOnce executes a request that must run at most once, under a claim of its idempotency key.
@@ -28,7 +29,7 @@
 	}
 	e.claim = claim
 	settled := false
-	// A panic in the sink must not leave the claim open.
+	// A panic in the response writer must not leave the claim open.
 	defer func() {
 		if !settled {
 			_ = e.settleFailure(ctx)
@@ -90,8 +91,8 @@
 	return bytes.Split(body, pieceSeparator)
 }
 
-// beginAnswer passes the answer's head to the sink, unless that has been done. Under a claim, a
-// write error does not end the execution.
+// beginAnswer passes the answer's head to the response writer, unless that has been done. Under a
+// claim, a write error does not end the execution.
 func (e *execution) beginAnswer(head engine.Head, version value.VersionKey) error {
 	if e.answerStarted {
 		return nil
@@ -117,8 +118,8 @@
 	e.storedBody = append(e.storedBody, piece.Data...)
 }
 
-// tolerateWriteError stores a write error under a claim, so that the execution continues, and
-// returns it otherwise.
+// tolerateWriteError sets callerErr to a write error under a claim, so that the execution
+// continues, and returns the error otherwise.
 func (e *execution) tolerateWriteError(err error) error {
 	if e.claim == nil || err == nil {
 		return err
--- a/io/flow/shared.go
+++ b/io/flow/shared.go
@@ -21,8 +21,8 @@
 	byKey map[query.ShareKey]*sharedExecution
 }
 
-// sharedExecution is one execution whose answer goes to several callers. It is the sink of that
-// execution, whose goroutine is the only one to update the answer.
+// sharedExecution is one execution whose answer goes to several callers. It is the response writer
+// of that execution, whose goroutine is the only one to update the answer.
 type sharedExecution struct {
 	answer policy.Cell[sharedAnswer]
 	cancel context.CancelCauseFunc
@@ -91,8 +91,8 @@
 // maxSharedTries limits how many shared executions one request waits for.
 const maxSharedTries = 2
 
-// executeShared answers from an execution that is shared with other callers who ask the same
-// question.
+// executeShared answers from an execution that is shared with other callers that send the same
+// request.
 func (e *execution) executeShared(ctx context.Context) (Result, error) {
 	key := query.ShareKeyOf(e.job.Request)
 	for try := 1; ; try++ {
@@ -134,7 +134,7 @@
 }
 
 // startShared starts an execution that ends with the deadline of this request or when its last
-// caller leaves, which need not be this one.
+// caller leaves; this caller may leave before the others.
 func (e *execution) startShared(ctx context.Context, key query.ShareKey) *sharedExecution {
 	detached, cancel := context.WithCancelCause(context.WithoutCancel(ctx))
 	detached, stop := context.WithDeadline(detached, e.job.Request.Deadline)
@@ -147,9 +147,9 @@
 		defer stop()
 		answer, err := leader.produceShared(detached)
 		e.flow.shared.end(key, shared)
-		shared.update(func(f sharedAnswer) sharedAnswer {
-			f.ended, f.result, f.attempts, f.err = true, answer, leader.attempts, err
-			return f
+		shared.update(func(old sharedAnswer) sharedAnswer {
+			old.ended, old.result, old.attempts, old.err = true, answer, leader.attempts, err
+			return old
 		})
 	}()
 	return shared
@@ -198,8 +198,8 @@
 	}
 }
 
-// countSharedAttempt counts an attempt as sent unless the shared execution says that nothing was
-// run.
+// countSharedAttempt counts an attempt as sent, unless the shared execution was refused without
+// having sent any.
 func (e *execution) countSharedAttempt(last sharedAnswer) {
 	var refusal value.Refusal
 	if errors.As(last.err, &refusal) && refusal.NotRun {
@@ -240,7 +240,7 @@
 	return nil
 }
 
-// End is never called: each caller's own sink is ended once its bill is stored.
+// End is never called: each caller's own writer is ended once its bill is stored.
 func (s *sharedExecution) End(engine.Usage) error {
 	return nil
 }
--- a/io/flow/shared_test.go
+++ b/io/flow/shared_test.go
@@ -100,14 +100,14 @@
 func TestRequestsThatDifferDoNotShareAnExecution(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, newDocument(shared), map[value.ServerID][]script{"s1": {{headDelay: time.Second, pieces: []string{"x"}}}})
-		other := newJob("r2", shared)
-		other.Request = other.Request.WithAccount("ward-9")
-		question := newJob("r3", shared)
-		question.Request.RequestHash = 2
-		quality := newJob("r4", shared)
-		quality.Request.Quality = value.QualityBest
+		otherAccount := newJob("r2", shared)
+		otherAccount.Request = otherAccount.Request.WithAccount("ward-9")
+		otherHash := newJob("r3", shared)
+		otherHash.Request.RequestHash = 2
+		otherQuality := newJob("r4", shared)
+		otherQuality.Request.Quality = value.QualityBest
 		var wg sync.WaitGroup
-		for _, j := range []flow.Job{newJob("r1", shared), other, question, quality} {
+		for _, j := range []flow.Job{newJob("r1", shared), otherAccount, otherHash, otherQuality} {
 			wg.Go(func() {
 				_, err := h.flow.Serve(t.Context(), j, &recordingWriter{})
 				assert.Check(t, err == nil, "%v", err)
--- a/io/flow/slot.go
+++ b/io/flow/slot.go
@@ -37,12 +37,12 @@
 	control, now := f.Snapshot(), f.Now()
 	server := s.choice.Server
 	limits, bounded := query.LimiterConfigFor(control, server.Pool)
-	normal := e.normalizeFirstToken(elapsed)
+	normalized := e.normalizeFirstToken(elapsed)
 	f.loads.Update(server.ID, func(l value.Load) value.Load {
 		if bounded {
-			l = l.WithLimiter(l.Limiter.WithSample(limits, normal, l.InFlight))
+			l = l.WithLimiter(l.Limiter.WithSample(limits, normalized, l.InFlight))
 		}
-		return l.WithFirstByte(query.FirstTokenSmoothing, s.started, now, normal)
+		return l.WithFirstByte(query.FirstTokenSmoothing, s.started, now, normalized)
 	})
 	s.updateEjection(e)
 }
@@ -55,13 +55,13 @@
 // piece, if the assumed time to first token exceeds the server's mean.
 func (s *serverSlot) observeCancelled(e *execution, elapsed time.Duration) {
 	f := s.allocator.flow
-	normal := cancelledFactor * e.normalizeFirstToken(elapsed)
-	if normal <= f.loads.Load(s.choice.Server.ID).TimeToFirstByte.Mean {
+	assumed := cancelledFactor * e.normalizeFirstToken(elapsed)
+	if assumed <= f.loads.Load(s.choice.Server.ID).TimeToFirstByte.Mean {
 		return
 	}
 	now := f.Now()
 	f.loads.Update(s.choice.Server.ID, func(l value.Load) value.Load {
-		return l.WithFirstByte(query.FirstTokenSmoothing, s.started, now, normal)
+		return l.WithFirstByte(query.FirstTokenSmoothing, s.started, now, assumed)
 	})
 	s.updateEjection(e)
 }
--- a/io/flow/traffic_stats.go
+++ b/io/flow/traffic_stats.go
@@ -14,7 +14,7 @@
 type trafficStats struct {
 	// histories holds a query.History for each query.Class.
 	histories sync.Map
-	// throughputs holds a query.Pace for each throughputKey.
+	// throughputs holds a query.Throughput for each throughputKey.
 	throughputs sync.Map
 	// inFlight counts the requests in flight of each client account.
 	inFlight sync.Map
@@ -56,7 +56,7 @@
 	cellOf[query.History](&s.histories, query.ClassOf(r)).Update(func(h query.History) query.History {
 		return h.WithAttempt(duration, at)
 	})
-	s.median.Update(func(t query.MedianDuration) query.MedianDuration { return t.WithAttempt(duration) })
+	s.median.Update(func(m query.MedianDuration) query.MedianDuration { return m.WithAttempt(duration) })
 }
 
 func (s *trafficStats) throughput(t query.Target) *policy.Cell[query.Throughput] {
