--- a/io/front/front.go
+++ b/io/front/front.go
@@ -18,7 +18,7 @@
 // JobServer runs a job and writes its answer; *flow.Flow implements it.
 type JobServer interface {
 	// Serve returns once the answer is complete or has failed; the error is a value.Refusal.
-	Serve(ctx context.Context, j flow.Job, s flow.ResponseWriter) (flow.Result, error)
+	Serve(ctx context.Context, j flow.Job, writer flow.ResponseWriter) (flow.Result, error)
 }
 
 // Config holds what a Front needs; every field but Keys is required.
@@ -26,7 +26,8 @@
 	JobServer JobServer
 	// Snapshot returns the current control state.
 	Snapshot func() state.State
-	// CanStoreBills reports whether the instance can store another bill; while it can't, no new request is run.
+	// CanStoreBills reports whether the instance can store another bill; while it can't, new requests
+	// are refused.
 	CanStoreBills func() bool
 	// Keys maps the hexadecimal SHA-256 digests of API keys to client accounts.
 	Keys   map[string]value.AccountName
@@ -76,7 +77,7 @@
 	case c.Now == nil:
 		return nil, errors.New("front: no clock configured")
 	case c.Limits.BodyBytes <= 0 || c.Limits.ReadTimeout <= 0 || c.Limits.WriteTimeout <= 0 || c.Limits.InFlight <= 0:
-		return nil, errors.New("front: body size, read time, write time and in-flight limits must be positive")
+		return nil, errors.New("front: body size, read time-out, write time-out and in-flight limits must be positive")
 	}
 	return &Front{Config: c, inFlight: make(chan struct{}, c.Limits.InFlight)}, nil
 }
--- a/io/front/front_test.go
+++ b/io/front/front_test.go
@@ -30,7 +30,7 @@
 	fail    error
 }
 
-func (s *fakeServer) Serve(_ context.Context, j flow.Job, sink flow.ResponseWriter) (flow.Result, error) {
+func (s *fakeServer) Serve(_ context.Context, j flow.Job, writer flow.ResponseWriter) (flow.Result, error) {
 	s.jobs = append(s.jobs, j)
 	if s.release != nil {
 		s.held <- struct{}{}
@@ -39,13 +39,13 @@
 	if s.fail != nil {
 		return flow.Result{}, s.fail
 	}
-	if err := sink.WriteHead(engine.Head{Status: http.StatusOK, ContentType: "application/json"}, "m/v1"); err != nil {
+	if err := writer.WriteHead(engine.Head{Status: http.StatusOK, ContentType: "application/json"}, "m/v1"); err != nil {
 		return flow.Result{}, err
 	}
-	if err := sink.Write(engine.Piece{Data: []byte(`{}`)}); err != nil {
+	if err := writer.Write(engine.Piece{Data: []byte(`{}`)}); err != nil {
 		return flow.Result{}, err
 	}
-	return flow.Result{}, sink.End(engine.Usage{})
+	return flow.Result{}, writer.End(engine.Usage{})
 }
 
 func startFront(t *testing.T, s front.JobServer, limits front.Limits) string {
@@ -53,8 +53,8 @@
 	return startFrontWith(t, s, limits, false)
 }
 
-// startFrontWith serves a Front and returns its base URL; billingDown makes it refuse for lack of
-// billing.
+// startFrontWith serves a Front and returns its base URL; with billingDown, CanStoreBills reports
+// false.
 func startFrontWith(t *testing.T, s front.JobServer, limits front.Limits, billingDown bool) string {
 	t.Helper()
 	signer, err := front.NewSigner(signingKey(1))
@@ -181,7 +181,7 @@
 	assert.Equal(t, ready.StatusCode, http.StatusServiceUnavailable)
 }
 
-func TestSlowBodyIsRefusedAfterReadTime(t *testing.T) {
+func TestSlowBodyIsRefusedAfterReadTimeout(t *testing.T) {
 	limits := testLimits()
 	limits.ReadTimeout = 20 * time.Millisecond
 	base := startFront(t, &fakeServer{}, limits)
--- a/io/front/request.go
+++ b/io/front/request.go
@@ -68,14 +68,14 @@
 		Deadline:    deadline,
 		Arrived:     now,
 		InputTokens: len(body) / bytesPerToken,
-		RequestHash: fingerprint(r, body),
+		RequestHash: hashRequest(r, body),
 	}
 	return req, session, nil
 }
 
-// fingerprint hashes method, URI and body, so that an idempotency key reused for another request is
+// hashRequest hashes method, URI and body, so that an idempotency key reused for another request is
 // detected.
-func fingerprint(r *http.Request, body []byte) uint64 {
+func hashRequest(r *http.Request, body []byte) uint64 {
 	h := xxhash.New()
 	_, _ = h.WriteString(r.Method)
 	_, _ = h.WriteString(r.URL.RequestURI())
--- a/io/front/response.go
+++ b/io/front/response.go
@@ -11,7 +11,8 @@
 
 const jsonType = "application/json"
 
-// responseWriter writes one answer to the caller as it arrives; it implements flow.Sink.
+// responseWriter writes one answer to the caller as it arrives; it implements
+// flow.ResponseWriter.
 type responseWriter struct {
 	w        http.ResponseWriter
 	front    *Front
@@ -82,7 +83,7 @@
 	return nil
 }
 
-// write sends the bytes and fails if the caller does not accept them within the write time.
+// write sends the bytes and fails if the caller does not accept them within Limits.WriteTimeout.
 func (rw *responseWriter) write(data []byte) error {
 	// The error is ignored: a test recorder can't set deadlines, and a real connection always can.
 	_ = http.NewResponseController(rw.w).SetWriteDeadline(rw.front.Now().Add(rw.front.Limits.WriteTimeout))
--- a/io/front/slope_test.go
+++ b/io/front/slope_test.go
@@ -23,20 +23,20 @@
 // streamServer answers every job with as many pieces as its value says.
 type streamServer int
 
-func (n streamServer) Serve(_ context.Context, _ flow.Job, s flow.ResponseWriter) (flow.Result, error) {
-	if err := s.WriteHead(engine.Head{Status: http.StatusOK, ContentType: "text/event-stream"}, "m/v1"); err != nil {
+func (n streamServer) Serve(_ context.Context, _ flow.Job, writer flow.ResponseWriter) (flow.Result, error) {
+	if err := writer.WriteHead(engine.Head{Status: http.StatusOK, ContentType: "text/event-stream"}, "m/v1"); err != nil {
 		return flow.Result{}, err
 	}
 	piece := engine.Piece{Data: []byte(`{"id":"x","object":"chat.completion.chunk","choices":[{"index":0,"delta":{"content":" word"}}]}`)}
 	for range int(n) {
-		if err := s.Write(piece); err != nil {
+		if err := writer.Write(piece); err != nil {
 			return flow.Result{}, err
 		}
 	}
-	return flow.Result{}, s.End(engine.Usage{})
+	return flow.Result{}, writer.End(engine.Usage{})
 }
 
-// discardWriter is a response writer that drops everything.
+// discardWriter is an http.ResponseWriter that discards everything.
 type discardWriter struct{ header http.Header }
 
 func (d discardWriter) Header() http.Header         { return d.header }
