--- a/io/engine/errors.go
+++ b/io/engine/errors.go
@@ -18,7 +18,7 @@
 
 // Error names both tokens.
 func (s StaleTokenError) Error() string {
-	return fmt.Sprintf("fencing token %d is stale: server has seen %d", s.Sent, s.Highest)
+	return fmt.Sprintf("fencing token %d is stale: server has received %d", s.Sent, s.Highest)
 }
 
 // StatusError is the error of an answer whose status means that the call failed.
@@ -28,18 +28,18 @@
 }
 
 // Error gives the status and the start of the answer's body.
-func (b StatusError) Error() string {
-	return fmt.Sprintf("backend server answered %d: %s", b.Status, b.Detail)
+func (s StatusError) Error() string {
+	return fmt.Sprintf("backend server answered %d: %s", s.Status, s.Detail)
 }
 
 // Permanent reports whether the request itself caused the failure, so that a retry at another server
 // would fail too.
-func (b StatusError) Permanent() bool {
-	return b.Status >= http.StatusBadRequest && b.Status < http.StatusInternalServerError &&
-		b.Status != http.StatusTooManyRequests && b.Status != http.StatusRequestTimeout
+func (s StatusError) Permanent() bool {
+	return s.Status >= http.StatusBadRequest && s.Status < http.StatusInternalServerError &&
+		s.Status != http.StatusTooManyRequests && s.Status != http.StatusRequestTimeout
 }
 
 // Overloaded reports whether the server refused the call for lack of capacity.
-func (b StatusError) Overloaded() bool {
-	return b.Status == http.StatusTooManyRequests || b.Status == http.StatusServiceUnavailable
+func (s StatusError) Overloaded() bool {
+	return s.Status == http.StatusTooManyRequests || s.Status == http.StatusServiceUnavailable
 }
--- a/io/engine/http.go
+++ b/io/engine/http.go
@@ -21,7 +21,7 @@
 	headerRequest  = "X-Request-Id"
 	headerPriority = "X-Priority"
 	headerKey      = "Idempotency-Key"
-	// maxErrorDetailBytes bounds how much of a failed answer's body goes into its BadStatus.
+	// maxErrorDetailBytes bounds how much of a failed answer's body goes into its StatusError.
 	maxErrorDetailBytes = 1 << 10
 	idleTimeout         = 90 * time.Second
 )
@@ -175,7 +175,7 @@
 		minFailure = http.StatusMultipleChoices
 	}
 	if resp.StatusCode >= minFailure {
-		return badStatus(resp)
+		return readStatusError(resp)
 	}
 	echoedID := resp.Header.Get(headerRequest)
 	if echoedID != "" && echoedID != string(c.Request) {
@@ -185,8 +185,8 @@
 	return nil
 }
 
-// badStatus closes the response and returns its status and the start of its body as an error.
-func badStatus(resp *http.Response) error {
+// readStatusError closes the response and returns its status and the start of its body as an error.
+func readStatusError(resp *http.Response) error {
 	defer resp.Body.Close()
 	detail, err := io.ReadAll(io.LimitReader(resp.Body, maxErrorDetailBytes))
 	if err != nil {
--- a/io/engine/http_test.go
+++ b/io/engine/http_test.go
@@ -75,7 +75,7 @@
 	}
 }
 
-func TestTruncatedStreamReturnsErrCutOff(t *testing.T) {
+func TestTruncatedStreamReturnsErrTruncated(t *testing.T) {
 	chat := &fakes.Chat{Name: "x"}
 	chat.SetFault(fakes.FaultTruncate)
 	a, b := newAdapter(t, chat)
@@ -124,7 +124,7 @@
 	var stale engine.StaleTokenError
 	assert.Assert(t, errors.As(err, &stale))
 	assert.Equal(t, stale, engine.StaleTokenError{Sent: 6, Highest: 7})
-	loaded, err := a.Carried(t.Context(), b)
+	loaded, err := a.LoadedVersions(t.Context(), b)
 	assert.NilError(t, err)
 	assert.DeepEqual(t, loaded, []value.VersionKey{"m/v2"})
 	err = a.Send(t.Context(), b, engine.Order{Verb: engine.OrderRole, Role: "prefill", FencingToken: 8})
--- a/io/engine/order.go
+++ b/io/engine/order.go
@@ -65,7 +65,7 @@
 		return StaleTokenError{Sent: o.FencingToken, Highest: highest}
 	}
 	if resp.StatusCode != http.StatusOK {
-		return badStatus(resp)
+		return readStatusError(resp)
 	}
 	_ = resp.Body.Close()
 	return nil
--- a/io/engine/port.go
+++ b/io/engine/port.go
@@ -57,7 +57,7 @@
 	// Head returns the status and media type.
 	Head() Head
 	// Next returns the next piece; io.EOF follows the last piece of a complete answer, and an error
-	// that wraps ErrCutOff means that the answer is incomplete.
+	// that wraps ErrTruncated means that the answer is incomplete.
 	Next(ctx context.Context) (Piece, error)
 	// Usage returns the usage reported so far; it is complete once Next has returned io.EOF.
 	Usage() Usage
@@ -109,13 +109,13 @@
 	OrderRole   OrderVerb = "Role"
 )
 
-// Order tells a backend server to load or unload a version, or to change its role.
+// Order is an instruction to a backend server to load or unload a version, or to change its role.
 type Order struct {
 	Verb    OrderVerb
 	Version value.VersionKey
 	Role    string
-	// FencingToken is the fencing token; a server that checks it refuses a token lower than its highest so
-	// far.
+	// FencingToken lets a server that supports fencing refuse orders of an earlier leaseholder: it
+	// refuses a token lower than the highest one that it has received.
 	FencingToken int64
 }
 
--- a/io/engine/report.go
+++ b/io/engine/report.go
@@ -70,8 +70,9 @@
 	return nil, fmt.Errorf("cache events: %w", ErrUnsupported)
 }
 
-// Carried reads the server's list of models and returns their identifiers, which are version keys.
-func (h *HTTP) Carried(ctx context.Context, b value.BackendServer) ([]value.VersionKey, error) {
+// LoadedVersions reads the server's list of models and returns their identifiers, which are version
+// keys.
+func (h *HTTP) LoadedVersions(ctx context.Context, b value.BackendServer) ([]value.VersionKey, error) {
 	body, err := h.get(ctx, b, modelsPath)
 	if err != nil {
 		return nil, fmt.Errorf("read versions of %s: %w", b.ID, err)
@@ -102,7 +103,7 @@
 		return nil, fmt.Errorf("get %s: %w", path, err)
 	}
 	if resp.StatusCode != http.StatusOK {
-		return nil, badStatus(resp)
+		return nil, readStatusError(resp)
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxReportBytes))
