--- a/io/once/commit.go
+++ b/io/once/commit.go
@@ -9,13 +9,13 @@
 	"endivehitch/io/plat"
 )
 
-// maxCommitAttempts bounds how often one group is decided, counting the repeats after conflicts and
+// maxCommitAttempts bounds how often one group is decided, counting the retries after conflicts and
 // lost responses.
 const maxCommitAttempts = 8
 
 var errContended = errors.New("other writers kept coming first")
 
-// commit decides the group, and delivers the verdicts only after the journal is written.
+// commit decides the group, writes the journal if it changes, and only then delivers the verdicts.
 func (s *slot) commit(ctx context.Context, group []submission) {
 	verdicts, err := s.decide(ctx, group)
 	if err != nil || !s.guard.decidesLocally(s.number) {
@@ -26,8 +26,8 @@
 }
 
 // decide returns the verdicts on the group once they are safe: either the journal with their
-// changes has been written, or nothing changes and the journal is the store's, not the one that
-// this worker wrote last.
+// changes has been written, or nothing changes and the journal came from the store, since the one
+// that this worker wrote last may have been replaced there.
 func (s *slot) decide(ctx context.Context, group []submission) ([]ledger.Verdict, error) {
 	ops := make([]ledger.Op, len(group))
 	for i, sub := range group {
@@ -39,7 +39,7 @@
 		if err != nil {
 			return nil, uncertainIf(mayBeWritten, err)
 		}
-		next, verdicts, changed := current.journal.Decide(ops, s.guard.config.Rule, s.guard.ledgerSetting())
+		next, verdicts, changed := current.journal.Decide(ops, s.guard.config.Rule, s.guard.decisionInputs())
 		if !changed && current.fromWrite {
 			s.last = snapshot{}
 			continue
@@ -62,15 +62,15 @@
 	return nil, uncertainIf(mayBeWritten, errContended)
 }
 
-// ledgerSetting returns what decisions depend on besides the journal.
-func (g *Guard) ledgerSetting() ledger.DecisionInputs {
+// decisionInputs returns what decisions depend on besides the journal.
+func (g *Guard) decisionInputs() ledger.DecisionInputs {
 	return ledger.DecisionInputs{Now: g.config.Now(), HasDeparted: g.config.HasDeparted}
 }
 
 // load returns the journal as this worker last wrote it, or else as the store has it. After a
-// conflict the store is read although the conflict included the present journal, which may have
-// changed during the wait for the write rate. If the read gives no later revision, the conflict's
-// journal is used, since a read may be stale.
+// conflict the store is read although the conflict included the current journal, because that may
+// have changed during the wait for the write rate. If the read gives no later revision, the
+// conflict's journal is used, since a read may be stale.
 func (s *slot) load(ctx context.Context) (snapshot, error) {
 	if s.last.valid && s.last.fromWrite {
 		return s.last, nil
@@ -114,15 +114,15 @@
 }
 
 // prepareRetry reports whether the group may be decided again after a failed write, and remembers
-// the journal that a conflict included. A write that may have taken effect can be repeated:
+// the journal that a conflict included. A write that may have taken effect can be retried:
 // operations are idempotent by their token, so a journal that already holds them does not change.
 func (s *slot) prepareRetry(err error) bool {
 	s.last = snapshot{}
 	var conflict plat.Conflict
 	if errors.As(err, &conflict) {
 		s.guard.updateStats(func(stats Stats) Stats { stats.Conflicts++; return stats })
-		if present, decodeErr := decodeEntry(conflict.Current); decodeErr == nil {
-			s.last = present
+		if current, decodeErr := decodeEntry(conflict.Current); decodeErr == nil {
+			s.last = current
 		}
 		return true
 	}
--- a/io/once/full_test.go
+++ b/io/once/full_test.go
@@ -29,7 +29,7 @@
 		h := newHarness(t)
 		h.configure = func(c *once.Config) { c.Slots = 1; c.Rule.MaxBytes = 20 << 10 }
 		a := h.guard("a")
-		kept := 0
+		granted := 0
 		for i := range 50 {
 			c, _, err := a.Claim(t.Context(), request(fmt.Sprint("\"k\\\xff<", i)))
 			if err != nil {
@@ -39,12 +39,12 @@
 				assert.Assert(t, refusal.NotRun)
 				continue
 			}
-			kept++
+			granted++
 			assert.NilError(t, c.Finish(t.Context(), storedAnswer(string(make([]byte, 900)))))
 		}
 		entry, err := h.store.Get(t.Context(), "once/00000")
 		assert.NilError(t, err)
 		assert.Assert(t, len(entry.Value) <= 20<<10, "journal has %d bytes", len(entry.Value))
-		assert.Assert(t, kept > 10 && kept < 50, "kept %d", kept)
+		assert.Assert(t, granted > 10 && granted < 50, "granted %d", granted)
 	})
 }
--- a/io/once/guard.go
+++ b/io/once/guard.go
@@ -17,8 +17,8 @@
 // retryAfter is the delay that a refused caller is asked to wait before a retry.
 const retryAfter = 2 * time.Second
 
-// Claim returns the right to run the request, or the stored answer of an earlier run; the error is a
-// value.Refusal.
+// Claim returns the right to run the request, or the stored answer of an earlier run; the error is
+// a value.Refusal.
 func (g *Guard) Claim(ctx context.Context, r value.Request) (flow.Claim, *flow.StoredAnswer, error) {
 	op := ledger.Op{
 		Verb:        ledger.VerbClaim,
@@ -109,9 +109,9 @@
 	return c.guard.recordEnd(ctx, c.op.WithVerb(ledger.VerbMarkInDoubt))
 }
 
-// recordEnd records the end of a claim. It returns once that is written or SettleWait has passed.
-// In the latter case the record is written in the background, and until then retries are refused
-// because the call may still be running.
+// recordEnd records the end of a claim. It returns once the record is written, RecordWait has
+// passed or the context is done. In the last two cases the record is written in the background, and
+// until then retries are refused because the call may still be running.
 func (g *Guard) recordEnd(ctx context.Context, op ledger.Op) error {
 	recorded, err := g.recordEndAsync(op)
 	if err != nil {
@@ -139,7 +139,7 @@
 var errBacklog = errors.New("too many claims wait for their end to be recorded")
 
 // recordEndAsync records the end of a claim in the background, with retries; the channel is closed
-// once it is written.
+// once the record is written, and never if the guard is closed before.
 func (g *Guard) recordEndAsync(op ledger.Op) (<-chan struct{}, error) {
 	if !g.reserveBacklog() {
 		return nil, fmt.Errorf("record end of claim: %w", errBacklog)
--- a/io/once/once.go
+++ b/io/once/once.go
@@ -34,14 +34,15 @@
 	Slots int
 	// WriteRate is the number of journal writes per second that this instance may make.
 	WriteRate float64
-	// WriteInterval is the least time between two writes of one journal; operations that arrive meanwhile
-	// share the next write.
+	// WriteInterval is the least time between two writes of one journal; operations that arrive
+	// meanwhile share the next write.
 	WriteInterval time.Duration
 	// MaxGroup bounds the operations in one write.
 	MaxGroup int
 	// MaxQueue bounds the operations waiting at one slot.
 	MaxQueue int
-	// OwnerTimeout bounds a forwarded operation, at both ends; after it the sender writes itself.
+	// OwnerTimeout bounds a forwarded operation at the sender and at the owner; after it the sender
+	// decides the operation itself.
 	OwnerTimeout time.Duration
 	// StoreTimeout bounds each call to the store.
 	StoreTimeout time.Duration
@@ -77,8 +78,8 @@
 
 // Stats holds the counters of a Guard.
 type Stats struct {
-	// Operations counts the operations decided by this instance, Commits the journal writes tried for
-	// them.
+	// Operations counts the operations that this instance tried to decide, Commits the journal writes
+	// that it tried for them.
 	Operations int64
 	Commits    int64
 	// Conflicts counts the writes that failed because another writer had changed the journal.
@@ -87,7 +88,7 @@
 	Forwarded int64
 }
 
-// Guard implements flow.Guard with journals in the platform's key-value store.
+// Guard implements flow.IdempotencyGuard with journals in the platform's key-value service.
 type Guard struct {
 	config  Config
 	limiter *rate.Limiter
--- a/io/once/once_test.go
+++ b/io/once/once_test.go
@@ -54,8 +54,8 @@
 	})
 }
 
-// Guards against a verdict from the journal that the instance wrote last, which another instance has
-// changed since.
+// Guards against a verdict from the journal that the instance wrote last, which another instance
+// has changed since.
 func TestStaleCachedJournalIsRereadBeforeVerdict(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t)
@@ -263,7 +263,7 @@
 	})
 }
 
-func TestReleasedClaimIsFreeAndDoubtedClaimIsNot(t *testing.T) {
+func TestReleasedClaimIsFreeAndClaimInDoubtIsNot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t)
 		h.setOwner("owner")
--- a/io/once/slot.go
+++ b/io/once/slot.go
@@ -41,8 +41,8 @@
 type snapshot struct {
 	journal  ledger.Journal
 	revision int64
-	// fromWrite is set if this worker wrote the snapshot itself, so that the next decision may be based
-	// on it without a read from the store.
+	// fromWrite is set if this worker wrote the snapshot itself, so that the next decision may be
+	// based on it without a read from the store.
 	fromWrite bool
 	// valid is false in the zero value, which stands for no known journal.
 	valid bool
