--- a/io/bills/bench_test.go
+++ b/io/bills/bench_test.go
@@ -19,8 +19,7 @@
 )
 
 // BenchmarkKeep compares ways to store bills: one write to the store for each bill, grouped writes,
-// and copies at holders with a flush in segments. It keeps 200 bills at a time, with an instance's
-// share of 40 writes a second.
+// and copies at holders with a flush in segments. 200 callers store bills concurrently.
 func BenchmarkKeep(b *testing.B) {
 	const callers, each = 200, 20
 	ways := []struct {
@@ -132,7 +131,7 @@
 	cancelled, cancel := context.WithCancel(context.Background())
 	cancel()
 	for i := tail - missed; i < tail; i++ {
-		// The bill is added to the tail, and Keep doesn't wait until it is safe.
+		// The bill is added to the tail, and Store doesn't wait until it is safe.
 		_ = a.Store(cancelled, bill(i))
 	}
 	before, start := a.port.Sent().Bytes, time.Now()
--- a/io/bills/bills.go
+++ b/io/bills/bills.go
@@ -25,14 +25,14 @@
 	// Holders returns the instances that are to store copies. They stay the same as long as the fleet
 	// does.
 	Holders func() []value.Instance
-	// NeedsTakeover reports whether the holders should write the rest of the instance's chain, because the
-	// instance has departed or is about to.
+	// NeedsTakeover reports whether the holders should write the rest of the instance's chain, because
+	// the instance has departed or has been leaving for too long.
 	NeedsTakeover func(value.InstanceID) bool
-	// MinCopies is the number of holders that must have a bill before Keep returns.
+	// MinCopies is the number of holders that must have a bill before Biller.Store returns.
 	MinCopies int
 	// FlushInterval returns the time between two flushes; it may change with the size of the fleet.
 	FlushInterval func() time.Duration
-	// StoreTimeout limits how long Keep waits.
+	// StoreTimeout limits how long Biller.Store waits until a bill is safe.
 	StoreTimeout time.Duration
 	// CallTimeout limits each call to a holder or the store.
 	CallTimeout time.Duration
@@ -54,11 +54,11 @@
 	case c.Store == nil:
 		return errors.New("bills: no store")
 	case c.Holders == nil || c.NeedsTakeover == nil:
-		return errors.New("bills: functions Holders and Gone are required")
+		return errors.New("bills: functions Holders and NeedsTakeover are required")
 	case c.MinCopies < 1 || c.MaxBacklog < 1 || c.MaxHeldEntries < 1:
-		return errors.New("bills: Copies, Backlog and HeldEntries must be positive")
+		return errors.New("bills: MinCopies, MaxBacklog and MaxHeldEntries must be positive")
 	case c.FlushInterval == nil || c.StoreTimeout <= 0 || c.CallTimeout <= 0:
-		return errors.New("bills: Flush is required, and Patience and Timeout must be positive")
+		return errors.New("bills: FlushInterval is required, and StoreTimeout and CallTimeout must be positive")
 	case c.MaxSegmentBytes < 1 || c.MaxSegmentBytes > plat.ValueLimit:
 		return fmt.Errorf("bills: segment size of %d bytes is out of range", c.MaxSegmentBytes)
 	}
@@ -98,9 +98,8 @@
 
 // heldTail is the copy of another instance's tail, of which this instance is a holder.
 //
-// Once its owner is known to be gone, it stays an orphan until the owner sends further entries: the
-// membership list removes departed instances after a while, and the store may be unreachable for
-// longer.
+// Once it needs takeover, it stays an orphan until the owner sends further entries: the membership
+// list removes departed instances after a while, and the store may be unreachable for longer.
 type heldTail struct {
 	tail   ledger.Tail
 	orphan bool
@@ -124,7 +123,7 @@
 	return b, nil
 }
 
-// Run flushes the tail of this instance and the tails of departed instances until the context ends.
+// Run flushes the tail of this instance and takes over orphaned tails until the context ends.
 func (b *Biller) Run(ctx context.Context) {
 	// The first delay is random, so that the instances don't write at the same times.
 	delay := b.randomDelay(b.config.FlushInterval())
@@ -153,15 +152,15 @@
 // Store stores the bill and returns once it survives the loss of this instance; the error is a
 // value.Refusal.
 //
-// A bill whose wait ends too early stays in the tail and is still stored later, because its attempt
-// has taken place. Only a bill that finds the backlog full is not added to the tail.
+// A bill that is not safe when the wait ends stays in the tail and is still stored later, because
+// its request has run. Only a bill that finds the backlog full is not added to the tail.
 func (b *Biller) Store(ctx context.Context, bill value.Bill) error {
 	sequence, err := b.addToTail(bill)
 	if err != nil {
 		return err
 	}
 	if b.startSenders() < b.config.MinCopies {
-		b.flushSoon()
+		b.flushEarly()
 	}
 	ctx, cancel := context.WithTimeout(ctx, b.config.StoreTimeout)
 	defer cancel()
@@ -186,8 +185,8 @@
 	return int(max(b.tail.Last()-safe, 0))
 }
 
-// HasCapacity reports whether the backlog has capacity for a further bill. Otherwise new requests must be
-// refused.
+// HasCapacity reports whether the backlog has capacity for a further bill. Otherwise new requests
+// must be refused.
 func (b *Biller) HasCapacity() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/io/bills/bills_test.go
+++ b/io/bills/bills_test.go
@@ -13,9 +13,9 @@
 	"endivehitch/io/fakes"
 )
 
-// keep keeps the bills with the numbers from, from+1 and so on up to to-1, and fails the test if
-// one is refused.
-func keep(t *testing.T, b biller, from, to int) {
+// storeBills stores the bills numbered from, from+1 and so on up to to-1, and fails the test if one
+// is refused.
+func storeBills(t *testing.T, b biller, from, to int) {
 	t.Helper()
 	for i := from; i < to; i++ {
 		assert.NilError(t, b.Store(t.Context(), bill(i)))
@@ -28,7 +28,7 @@
 		a := harness.biller("a")
 		harness.biller("b")
 		harness.biller("c")
-		keep(t, a, 0, 100)
+		storeBills(t, a, 0, 100)
 		assert.Equal(t, a.UnsafeCount(), 0)
 		harness.kill(a, "a")
 		assert.Equal(t, len(harness.audit(100).Missing), 100, "nothing has been flushed yet")
@@ -45,12 +45,12 @@
 		harness := newHarness(t)
 		a := harness.biller("a")
 		harness.biller("b")
-		keep(t, a, 0, 10)
+		storeBills(t, a, 0, 10)
 		harness.setFaults(fakes.StoreFaults{}.WithDown(true))
 		harness.kill(a, "a")
 		time.Sleep(3 * flushInterval)
 		harness.mu.Lock()
-		delete(harness.gone, "a")
+		delete(harness.departed, "a")
 		harness.mu.Unlock()
 		time.Sleep(10 * time.Minute)
 		harness.setFaults(fakes.StoreFaults{})
@@ -74,11 +74,11 @@
 				a := harness.biller("a")
 				harness.biller("b")
 				harness.biller("c")
-				keep(t, a, 0, 60)
+				storeBills(t, a, 0, 60)
 				harness.setFaults(f)
-				// The other instances assume that a is gone, while it continues to run.
+				// The other instances assume that a has departed, while it continues to run.
 				harness.mu.Lock()
-				harness.gone["a"] = true
+				harness.departed["a"] = true
 				harness.mu.Unlock()
 				for i := 60; i < 200; i++ {
 					assert.NilError(t, a.Store(t.Context(), bill(i)))
@@ -88,7 +88,7 @@
 				time.Sleep(3 * flushInterval)
 				assert.NilError(t, a.Flush(t.Context()))
 				got := harness.audit(200)
-				assert.Assert(t, got.IsClean(), "missing %d, doubled %d, unknown %d", len(got.Missing), len(got.Duplicated), len(got.Unknown))
+				assert.Assert(t, got.IsClean(), "missing %d, duplicated %d, unknown %d", len(got.Missing), len(got.Duplicated), len(got.Unknown))
 				assert.Equal(t, len(got.Charges), 200)
 			})
 		})
@@ -102,7 +102,7 @@
 		harness.biller("b")
 		harness.setFaults(fakes.StoreFaults{}.WithDown(true))
 		for i := range 100 {
-			keep(t, a, i, i+1)
+			storeBills(t, a, i, i+1)
 			time.Sleep(500 * time.Millisecond)
 		}
 		harness.setFaults(fakes.StoreFaults{})
@@ -126,7 +126,7 @@
 				harness.biller("b")
 				harness.setPartitioned(true)
 				harness.setFaults(f)
-				keep(t, a, 0, 5)
+				storeBills(t, a, 0, 5)
 				harness.setFaults(fakes.StoreFaults{})
 				got := harness.audit(5)
 				assert.Assert(t, got.IsClean(), "%+v", got)
@@ -168,10 +168,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		harness := newHarness(t)
 		a, b := harness.biller("a"), harness.biller("b")
-		keep(t, a, 0, 2)
-		keep(t, a, 0, 2)
+		storeBills(t, a, 0, 2)
+		storeBills(t, a, 0, 2)
 		assert.NilError(t, a.Flush(t.Context()))
-		keep(t, a, 0, 1)
+		storeBills(t, a, 0, 1)
 		late := bill(1).WithCost(999)
 		late.At = late.At.Add(time.Minute)
 		assert.NilError(t, b.Store(t.Context(), late))
@@ -189,14 +189,14 @@
 		harness := newHarness(t)
 		a := harness.biller("a")
 		harness.biller("b")
-		keep(t, a, 0, 20)
+		storeBills(t, a, 0, 20)
 		a.port.Pause()
 		harness.mu.Lock()
-		harness.gone["a"] = true
+		harness.departed["a"] = true
 		harness.mu.Unlock()
 		time.Sleep(3 * flushInterval)
 		a.port.Resume()
-		keep(t, a, 20, 40)
+		storeBills(t, a, 20, 40)
 		time.Sleep(3 * flushInterval)
 		got := harness.audit(40)
 		assert.Assert(t, got.IsClean(), "%+v", got)
@@ -210,16 +210,16 @@
 		a := harness.biller("a")
 		harness.biller("b")
 		harness.biller("c")
-		keep(t, a, 0, 400)
-		// Keep waits for one holder only; the other receives its copy a little later.
+		storeBills(t, a, 0, 400)
+		// Store waits for one holder only; the other receives its copy a little later.
 		synctest.Wait()
 		dropToB := func(_, to value.Instance) fakes.Delivery { return fakes.Delivery{Unsent: to.ID == "b"} }
 		harness.mesh.SetDelivery(dropToB)
-		keep(t, a, 400, 420)
+		storeBills(t, a, 400, 420)
 		before := a.port.Sent()
 		harness.mesh.SetDelivery(func(_, _ value.Instance) fakes.Delivery { return fakes.Delivery{} })
 		time.Sleep(5 * time.Second)
-		keep(t, a, 420, 421)
+		storeBills(t, a, 420, 421)
 		synctest.Wait()
 		partial := a.port.Sent().Bytes - before.Bytes
 		full := before.Bytes / 2
--- a/io/bills/flush.go
+++ b/io/bills/flush.go
@@ -36,10 +36,10 @@
 	}
 }
 
-// flushSoon starts a flush at once, because holders do not accept the bills. It is repeated until
-// the tail is empty or a flush fails. Bills that are appended during a flush go into its next
-// segment.
-func (b *Biller) flushSoon() {
+// flushEarly starts a flush without waiting for the flush interval, because too few holders have
+// the bills. The flush is repeated until the tail is empty or a flush fails. Bills that are
+// appended during a flush go into its next segment.
+func (b *Biller) flushEarly() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.closed || b.flushingEarly {
@@ -89,7 +89,7 @@
 	return stored.Last(), nil
 }
 
-// takeOverTails writes the held tails of departed instances to the store.
+// takeOverTails writes the orphaned tails to the store.
 func (b *Biller) takeOverTails(ctx context.Context) error {
 	var failed error
 	for _, t := range b.orphanedTails() {
@@ -100,19 +100,19 @@
 	return failed
 }
 
-// orphanedTails marks the held tails whose owner is gone as orphans and returns all orphans.
+// orphanedTails marks the held tails that need takeover as orphans and returns all orphans.
 func (b *Biller) orphanedTails() []ledger.Tail {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var list []ledger.Tail
-	for id, c := range b.heldTails {
-		c.orphan = c.orphan || b.config.NeedsTakeover(id)
-		b.heldTails[id] = c
-		if c.orphan {
-			list = append(list, c.tail)
+	var orphans []ledger.Tail
+	for id, held := range b.heldTails {
+		held.orphan = held.orphan || b.config.NeedsTakeover(id)
+		b.heldTails[id] = held
+		if held.orphan {
+			orphans = append(orphans, held.tail)
 		}
 	}
-	return list
+	return orphans
 }
 
 // takeOver writes the part of the tail that is not yet in the store, and then drops the tail.
@@ -138,8 +138,8 @@
 	return nil
 }
 
-// lastStored returns the last sequence number of the owner's chain in the store, or zero where
-// there is no chain.
+// lastStored returns the last sequence number of the owner's chain in the store, or zero if there
+// is no chain.
 func (b *Biller) lastStored(ctx context.Context, owner value.InstanceID) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, b.config.CallTimeout)
 	defer cancel()
--- a/io/bills/harness_test.go
+++ b/io/bills/harness_test.go
@@ -29,8 +29,8 @@
 	mesh  fakes.Mesh
 	mu    sync.Mutex
 	fleet []value.Instance
-	// gone holds the instances that the others take to have departed.
-	gone map[value.InstanceID]bool
+	// departed holds the instances that the others take to have departed.
+	departed map[value.InstanceID]bool
 	// adjust changes the configuration of the billers that are created after it is set.
 	adjust func(*bills.Config)
 }
@@ -39,7 +39,7 @@
 	t.Helper()
 	e, err := plat.NewEmbedded(plat.EmbeddedConfig{Now: time.Now, History: 100})
 	assert.NilError(t, err)
-	h := &billsHarness{t: t, store: fakes.NewStore(e), gone: map[value.InstanceID]bool{}, adjust: func(*bills.Config) {}}
+	h := &billsHarness{t: t, store: fakes.NewStore(e), departed: map[value.InstanceID]bool{}, adjust: func(*bills.Config) {}}
 	t.Cleanup(h.store.Drain)
 	t.Cleanup(h.mesh.Drain)
 	return h
@@ -77,7 +77,7 @@
 		NeedsTakeover: func(id value.InstanceID) bool {
 			h.mu.Lock()
 			defer h.mu.Unlock()
-			return h.gone[id]
+			return h.departed[id]
 		},
 		MinCopies:       1,
 		FlushInterval:   func() time.Duration { return flushInterval },
@@ -105,13 +105,13 @@
 	return biller{Biller: b, port: port, stop: stop}
 }
 
-// kill stops the instance without a flush and marks it as gone.
+// kill stops the instance without a flush and marks it as departed.
 func (h *billsHarness) kill(b biller, id value.InstanceID) {
 	h.mesh.Remove(string(id))
 	b.stop()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.gone[id] = true
+	h.departed[id] = true
 	for i := range h.fleet {
 		if h.fleet[i].ID == id {
 			h.fleet[i] = h.fleet[i].WithState(value.InstanceGone)
--- a/io/bills/replicate.go
+++ b/io/bills/replicate.go
@@ -74,8 +74,8 @@
 // sendTail sends entries to the holder until it has the whole tail or a call fails. Entries that
 // are appended during a call are sent by the next one.
 //
-// After a failed call, or one after which the holder has no more than before, it starts an early
-// flush, since the bills may otherwise not become safe, and pauses the sender.
+// After a failed call, or one after which the holder has no more entries than before, it starts an
+// early flush, since the bills may otherwise not become safe, and pauses the sender.
 func (b *Biller) sendTail(h *holder) {
 	for {
 		c, more := b.nextCopy(h)
@@ -84,7 +84,7 @@
 		}
 		have, err := b.sendCopy(h.instance, c)
 		if err != nil || have == h.acked {
-			b.flushSoon()
+			b.flushEarly()
 			b.pauseSender(h)
 			return
 		}
