--- a/io/gossip/disseminator.go
+++ b/io/gossip/disseminator.go
@@ -44,16 +44,16 @@
 	Entries []wireEntry
 }
 
-var methodPull = peer.Method[wirePull, wirePulled]{Name: "Spread.Pull"}
+var pullMethod = peer.Method[wirePull, wirePulled]{Name: "Spread.Pull"}
 
 // disseminator distributes the configuration for one instance: it installs entries that it reads
 // from the key-value service or pulls from other instances, and serves them to others.
 type disseminator struct {
 	Config
-	rnd      *lockedRand
-	listRead <-chan struct{}
-	current  policy.Cell[entrySet]
-	wanted   chan state.FetchConfig
+	rnd          *lockedRand
+	listRead     <-chan struct{}
+	current      policy.Cell[entrySet]
+	pullRequests chan state.FetchConfig
 	// installLock is a lock of capacity one; its holder puts entries in force.
 	installLock chan struct{}
 	pullSlots   chan struct{}
@@ -61,17 +61,17 @@
 
 func newDisseminator(c Config, rnd *lockedRand, listRead <-chan struct{}) *disseminator {
 	return &disseminator{
-		Config:      c,
-		rnd:         rnd,
-		listRead:    listRead,
-		wanted:      make(chan state.FetchConfig, 1),
-		installLock: make(chan struct{}, 1),
-		pullSlots:   make(chan struct{}, maxServedPulls),
+		Config:       c,
+		rnd:          rnd,
+		listRead:     listRead,
+		pullRequests: make(chan state.FetchConfig, 1),
+		installLock:  make(chan struct{}, 1),
+		pullSlots:    make(chan struct{}, maxServedPulls),
 	}
 }
 
 func (d *disseminator) serve(r peer.Registrar) error {
-	return methodPull.Serve(r, d.handlePull)
+	return pullMethod.Serve(r, d.handlePull)
 }
 
 func (d *disseminator) run(ctx context.Context) error {
@@ -83,9 +83,9 @@
 
 // requestPull asks for a pull unless one is already requested; a request that is dropped comes
 // again with the next probe for as long as the instance lags.
-func (d *disseminator) requestPull(b state.FetchConfig) {
+func (d *disseminator) requestPull(r state.FetchConfig) {
 	select {
-	case d.wanted <- b:
+	case d.pullRequests <- r:
 	default:
 	}
 }
@@ -93,23 +93,24 @@
 func (d *disseminator) runPulls(ctx context.Context) error {
 	for {
 		select {
-		case b := <-d.wanted:
-			d.catchUp(ctx, b)
+		case r := <-d.pullRequests:
+			d.catchUp(ctx, r)
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-// catchUp pulls from the instance that announced the revision, then from other instances. It reads
-// the key-value service only after a long lag, so that the whole fleet never reads it at once.
-func (d *disseminator) catchUp(ctx context.Context, b state.FetchConfig) {
-	if b.Revision <= d.current.Get().revision {
+// catchUp pulls from the instance that announced the revision, then from others until one pull
+// succeeds. If none does, it reads the key-value service, but only after a long lag, so that the
+// whole fleet never reads it at once.
+func (d *disseminator) catchUp(ctx context.Context, announced state.FetchConfig) {
+	if announced.Revision <= d.current.Get().revision {
 		return
 	}
 	snapshot := d.Control.Snapshot()
 	others := query.PushTargets(snapshot, d.Timing, d.rnd, time.Now())
-	for i, from := range append([]value.Instance{b.Source}, others...) {
+	for i, from := range append([]value.Instance{announced.Source}, others...) {
 		err := d.pull(ctx, from, pullTimeout<<(i/2))
 		if err == nil || ctx.Err() != nil {
 			return
@@ -124,7 +125,7 @@
 func (d *disseminator) pull(ctx context.Context, from value.Instance, timeout time.Duration) error {
 	bounded, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	pulled, err := methodPull.Call(bounded, d.Caller, from, wirePull{After: d.current.Get().revision})
+	pulled, err := pullMethod.Call(bounded, d.Caller, from, wirePull{After: d.current.Get().revision})
 	if err != nil {
 		return err
 	}
@@ -183,7 +184,7 @@
 	command, decodeErr := d.Decode(changed)
 	command.Revision = next.revision
 	command.Rejected = decodeErr != nil
-	// The entries are stored first, because the command's effects announce the revision and others may
+	// The set is replaced first, because the command's effects announce the revision and others may
 	// pull the entries at once.
 	d.current.Update(func(entrySet) entrySet { return next })
 	if err := d.Control.Do(ctx, command); err != nil {
--- a/io/gossip/disseminator_test.go
+++ b/io/gossip/disseminator_test.go
@@ -56,9 +56,9 @@
 		time.Sleep(5 * time.Second)
 		var sent atomic.Int64
 		fx.mesh.SetDelivery(func(from, to value.Instance) fakes.Delivery {
-			f := latency(from, to)
-			f.LoseRequest = sent.Add(1)%10 == 0
-			return f
+			d := latency(from, to)
+			d.LoseRequest = sent.Add(1)%10 == 0
+			return d
 		})
 		fx.platform.putEntry("document", "new", 7)
 		time.Sleep(15 * time.Second)
@@ -194,7 +194,7 @@
 	})
 }
 
-func TestSurveyShowsWhichInstanceLags(t *testing.T) {
+func TestStatusQueryShowsWhichInstanceLags(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fx := newFixture(t, 40)
 		fx.platform.putEntry("document", "old", 5)
@@ -203,9 +203,9 @@
 		slow.port.Pause()
 		fx.platform.putEntry("document", "new", 7)
 		time.Sleep(5 * time.Second)
-		survey := fx.processes[0].gossip.QueryStatus(t.Context())
-		assert.Equal(t, len(survey), 40)
-		for _, i := range survey {
+		reported := fx.processes[0].gossip.QueryStatus(t.Context())
+		assert.Equal(t, len(reported), 40)
+		for _, i := range reported {
 			assert.Equal(t, i.Revision == 7, i.ID != slow.self.ID, "%s reports revision %d", i.ID, i.Revision)
 		}
 	})
--- a/io/gossip/fixture_test.go
+++ b/io/gossip/fixture_test.go
@@ -187,8 +187,7 @@
 	}
 }
 
-// newFixture starts n instances that are on the instance list. Messages are delayed as latency
-// says.
+// newFixture starts n instances that are on the instance list; latency delays their messages.
 func newFixture(t testing.TB, n int) *fixture {
 	t.Helper()
 	fx := newFixtureWithReaders(t, n, fleet.DefaultTiming().Readers)
@@ -285,9 +284,9 @@
 	f.processes = slices.DeleteFunc(f.processes, func(q *process) bool { return q == p })
 }
 
-// countHolding returns how many processes consider the instance to be in the state; an unknown
+// countInState returns how many processes consider the instance to be in the state; an unknown
 // instance counts as gone.
-func (f *fixture) countHolding(id value.InstanceID, s value.InstanceState) int {
+func (f *fixture) countInState(id value.InstanceID, s value.InstanceState) int {
 	n := 0
 	for _, p := range f.processes {
 		i, ok := p.loop.Snapshot().Instance(id)
--- a/io/gossip/gossip.go
+++ b/io/gossip/gossip.go
@@ -92,7 +92,7 @@
 	case c.Store == nil || c.Decode == nil:
 		return errors.New("gossip: Store or Decode is not set")
 	case c.Timing.Period <= 0 || c.Timing.Rotation <= 0 || c.Timing.ProbesPerReconnect < 1:
-		return errors.New("gossip: Timing needs positive Period, Rotation and Reconnect")
+		return errors.New("gossip: Timing needs positive Period, Rotation and ProbesPerReconnect")
 	}
 	return nil
 }
@@ -128,7 +128,7 @@
 	return nil
 }
 
-// sendNotices sends new configurations and the departure notice without waiting for the next probe.
+// sendNotices announces new configurations and the departure without waiting for the next probe.
 func (g *Gossip) sendNotices(ctx context.Context) error {
 	for {
 		select {
--- a/io/gossip/measure_test.go
+++ b/io/gossip/measure_test.go
@@ -55,8 +55,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// awaitInForce waits until that many instances have the revision in force, at most a minute, and
-// returns how long that took.
+// awaitInForce waits until the given number of instances has the revision in force, or for a
+// minute, and returns how long it waited.
 func (f *fixture) awaitInForce(revision int64, instances int) time.Duration {
 	start := time.Now()
 	for f.countInForce(revision) < instances && time.Since(start) < time.Minute {
@@ -85,15 +85,16 @@
 	changePause = 10 * time.Second
 )
 
-// measureSpread runs a fleet without changes first and then with a sequence of document changes.
-func measureSpread(t *testing.T, n, readers, lossPercent int) measurement {
+// measureDissemination runs a fleet without changes first and then with a sequence of document
+// changes.
+func measureDissemination(t *testing.T, n, readers, lossPercent int) measurement {
 	fx := newFixtureWithReaders(t, n, readers)
 	defer fx.stop()
 	var sent atomic.Int64
 	fx.mesh.SetDelivery(func(from, to value.Instance) fakes.Delivery {
-		f := latency(from, to)
-		f.LoseRequest = int(sent.Add(1)*37%100) < lossPercent
-		return f
+		d := latency(from, to)
+		d.LoseRequest = int(sent.Add(1)*37%100) < lossPercent
+		return d
 	})
 	fx.platform.putEntry("document", document(0), 1)
 	time.Sleep(settleTime)
@@ -138,7 +139,7 @@
 	b.Helper()
 	var result measurement
 	for range b.N {
-		runInVirtualTime(b, func(t *testing.T) { result = measureSpread(t, n, readers, lossPercent) })
+		runInVirtualTime(b, func(t *testing.T) { result = measureDissemination(t, n, readers, lossPercent) })
 	}
 	result.report(b)
 }
--- a/io/gossip/membership.go
+++ b/io/gossip/membership.go
@@ -35,10 +35,10 @@
 
 func (m *membership) serve(r peer.Registrar) error {
 	return errors.Join(
-		methodPing.Serve(r, m.handlePing),
-		methodProbe.Serve(r, m.handleProbe),
-		methodMembershipList.Serve(r, m.handleMembershipList),
-		methodStatus.Serve(r, m.handleStatus),
+		pingMethod.Serve(r, m.handlePing),
+		probeMethod.Serve(r, m.handleProbe),
+		membershipListMethod.Serve(r, m.handleMembershipList),
+		statusMethod.Serve(r, m.handleStatus),
 	)
 }
 
@@ -67,7 +67,9 @@
 	}
 }
 
-// followInstanceList reads the instance list at once and then at every interval.
+// followInstanceList reads the instance list at once and then at every interval; after the first
+// read and after every listReadsPerMembershipFetch further reads, it fetches a peer's membership
+// list.
 func (m *membership) followInstanceList(ctx context.Context) error {
 	reads := 0
 	readOnce := func(ctx context.Context) error {
@@ -110,7 +112,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
-	reply, err := methodMembershipList.Call(ctx, m.Caller, to, wireRoll{})
+	reply, err := membershipListMethod.Call(ctx, m.Caller, to, wireRoll{})
 	if err != nil {
 		return
 	}
--- a/io/gossip/membership_test.go
+++ b/io/gossip/membership_test.go
@@ -28,17 +28,17 @@
 func TestKilledInstanceIsRemovedAndSuccessorAtSameAddressJoins(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fx := newFixture(t, 7)
-		dead := fx.processes[3]
-		fx.kill(dead)
+		killed := fx.processes[3]
+		fx.kill(killed)
 		time.Sleep(20 * time.Second)
-		assert.Equal(t, fx.countHolding(dead.self.ID, value.InstanceGone), 6)
+		assert.Equal(t, fx.countInState(killed.self.ID, value.InstanceGone), 6)
 		slots := 0
 		for _, p := range fx.processes {
 			slots += len(query.OwnedSlots(p.loop.Snapshot()))
 		}
 		assert.Equal(t, slots, 256)
 		// The successor has the same address and is not on the instance list yet.
-		next := dead.self
+		next := killed.self
 		next.ID = "instance-3b"
 		fx.processes = append(fx.processes, fx.start(next))
 		time.Sleep(10 * time.Second)
@@ -56,7 +56,7 @@
 		fx.processes = append(fx.processes, fx.start(next))
 		time.Sleep(15 * time.Second)
 		assert.NilError(t, fx.checkAllLive())
-		assert.Equal(t, fx.countHolding(old.self.ID, value.InstanceGone), 7)
+		assert.Equal(t, fx.countInState(old.self.ID, value.InstanceGone), 7)
 	})
 }
 
@@ -67,7 +67,7 @@
 		paused := fx.processes[5]
 		paused.port.Pause()
 		time.Sleep(time.Minute)
-		assert.Equal(t, fx.countHolding(paused.self.ID, value.InstanceGone), 6)
+		assert.Equal(t, fx.countInState(paused.self.ID, value.InstanceGone), 6)
 		paused.port.Resume()
 		time.Sleep(30 * time.Second)
 		assert.NilError(t, fx.checkAllLive())
@@ -81,9 +81,9 @@
 		fx := newFixture(t, 7)
 		a, b := fx.processes[0].self.ID, fx.processes[1].self.ID
 		fx.mesh.SetDelivery(func(from, to value.Instance) fakes.Delivery {
-			f := latency(from, to)
-			f.LoseRequest = from.ID == a && to.ID == b || from.ID == b && to.ID == a
-			return f
+			d := latency(from, to)
+			d.LoseRequest = from.ID == a && to.ID == b || from.ID == b && to.ID == a
+			return d
 		})
 		time.Sleep(time.Minute)
 		assert.NilError(t, fx.checkAllLive())
@@ -97,11 +97,11 @@
 		var count atomic.Int64
 		fx.mesh.SetDelivery(func(from, to value.Instance) fakes.Delivery {
 			n := count.Add(1)
-			f := latency(from, to)
-			f.LoseRequest = n%20 == 0
-			f.Duplicate = n%7 == 0
-			f.Delay *= time.Duration(1 + n%5)
-			return f
+			d := latency(from, to)
+			d.LoseRequest = n%20 == 0
+			d.Duplicate = n%7 == 0
+			d.Delay *= time.Duration(1 + n%5)
+			return d
 		})
 		time.Sleep(time.Minute)
 		for _, p := range fx.processes {
@@ -113,15 +113,15 @@
 func TestPartitionBetweenFailureDomainsHeals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fx := newFixture(t, 12)
-		apart := func(i value.Instance) bool { return i.FailureDomain == "domain-1" }
+		isCutOff := func(i value.Instance) bool { return i.FailureDomain == "domain-1" }
 		fx.mesh.SetDelivery(func(from, to value.Instance) fakes.Delivery {
-			f := latency(from, to)
-			f.LoseRequest = apart(from) != apart(to)
-			return f
+			d := latency(from, to)
+			d.LoseRequest = isCutOff(from) != isCutOff(to)
+			return d
 		})
 		time.Sleep(5 * time.Minute)
-		assert.Equal(t, fx.countHolding("instance-1", value.InstanceGone), 9)
-		assert.Equal(t, fx.countHolding("instance-0", value.InstanceGone), 3)
+		assert.Equal(t, fx.countInState("instance-1", value.InstanceGone), 9)
+		assert.Equal(t, fx.countInState("instance-0", value.InstanceGone), 3)
 		// A change of the configuration during the partition reaches both sides, because each has readers
 		// of its own.
 		fx.platform.putEntry("document", "during the cut", 7)
@@ -140,7 +140,7 @@
 		leaver := fx.processes[4]
 		assert.NilError(t, leaver.loop.Do(t.Context(), cmds.Leave{}))
 		time.Sleep(time.Second)
-		assert.Equal(t, fx.countHolding(leaver.self.ID, value.InstanceLeaving), 12)
+		assert.Equal(t, fx.countInState(leaver.self.ID, value.InstanceLeaving), 12)
 		for _, p := range fx.processes {
 			assert.Assert(t, !p.loop.Snapshot().Owners().Has(leaver.self.ID))
 		}
--- a/io/gossip/probe.go
+++ b/io/gossip/probe.go
@@ -52,7 +52,7 @@
 	results := make(chan bool, len(helpers)+1)
 	for _, h := range helpers {
 		go func() {
-			reply, err := methodProbe.Call(ctx, m.Caller, h, wireProbe{Target: encodeInstance(target)})
+			reply, err := probeMethod.Call(ctx, m.Caller, h, wireProbe{Target: encodeInstance(target)})
 			results <- err == nil && reply.Reached
 		}()
 	}
@@ -72,7 +72,7 @@
 	bounded, cancel := context.WithTimeout(ctx, m.Timing.Timeout)
 	defer cancel()
 	message, sent := m.buildMessage(to.ID)
-	reply, err := methodPing.Call(bounded, m.Caller, to, message)
+	reply, err := pingMethod.Call(bounded, m.Caller, to, message)
 	if err != nil {
 		return err
 	}
@@ -94,8 +94,8 @@
 	snapshot := m.Control.Snapshot()
 	updates := query.Updates(snapshot, m.Timing, to)
 	ids := make([]value.InstanceID, 0, len(updates))
-	for _, n := range updates {
-		ids = append(ids, n.ID)
+	for _, u := range updates {
+		ids = append(ids, u.ID)
 	}
 	return wirePing{From: encodeSelf(snapshot.Self), News: encodeUpdates(updates)}, cmds.CountSentUpdates{IDs: ids}
 }
--- a/io/gossip/status.go
+++ b/io/gossip/status.go
@@ -8,13 +8,13 @@
 	"endivehitch/io/peer"
 )
 
-// maxStatusCalls bounds the concurrent calls of one Survey.
+// maxStatusCalls bounds the concurrent calls of one QueryStatus.
 const maxStatusCalls = 32
 
 // wireWhere asks for an instance's statement about itself.
 type wireWhere struct{}
 
-var methodStatus = peer.Method[wireWhere, wireSelf]{Name: "Member.Where"}
+var statusMethod = peer.Method[wireWhere, wireSelf]{Name: "Member.Where"}
 
 // QueryStatus queries every instance for the configuration it has in force and since when it lags.
 //
@@ -48,7 +48,7 @@
 func (m *membership) queryStatus(ctx context.Context, i value.Instance) value.Instance {
 	ctx, cancel := context.WithTimeout(ctx, m.Timing.Period)
 	defer cancel()
-	reply, err := methodStatus.Call(ctx, m.Caller, i, wireWhere{})
+	reply, err := statusMethod.Call(ctx, m.Caller, i, wireWhere{})
 	if err != nil || reply.Instance.ID != string(i.ID) {
 		return i
 	}
--- a/io/gossip/wire.go
+++ b/io/gossip/wire.go
@@ -45,9 +45,9 @@
 type wireRoll struct{}
 
 var (
-	methodPing           = peer.Method[wirePing, wirePing]{Name: "Member.Ping"}
-	methodProbe          = peer.Method[wireProbe, wireProbed]{Name: "Member.Probe"}
-	methodMembershipList = peer.Method[wireRoll, wirePing]{Name: "Member.Roll"}
+	pingMethod           = peer.Method[wirePing, wirePing]{Name: "Member.Ping"}
+	probeMethod          = peer.Method[wireProbe, wireProbed]{Name: "Member.Probe"}
+	membershipListMethod = peer.Method[wireRoll, wirePing]{Name: "Member.Roll"}
 )
 
 func encodeInstance(i value.Instance) wireInstance {
@@ -80,16 +80,16 @@
 
 func encodeUpdates(list []value.Instance) []wireInstance {
 	updates := make([]wireInstance, len(list))
-	for i, n := range list {
-		updates[i] = encodeInstance(n)
+	for i, instance := range list {
+		updates[i] = encodeInstance(instance)
 	}
 	return updates
 }
 
 func decodeUpdates(list []wireInstance) []value.Instance {
 	updates := make([]value.Instance, len(list))
-	for i, n := range list {
-		updates[i] = n.value()
+	for i, w := range list {
+		updates[i] = w.value()
 	}
 	return updates
 }
