--- a/io/peer/client.go
+++ b/io/peer/client.go
@@ -30,10 +30,10 @@
 	TLS *tls.Config
 	// Dial opens connections; nil means TCP.
 	Dial DialFunc
-	// PerPeer bounds the concurrent calls to one instance; zero means 64.
-	PerPeer int
-	// Idle is how long an unused connection stays open; zero means one minute.
-	Idle time.Duration
+	// MaxCallsPerPeer bounds the concurrent calls to one instance; zero means 64.
+	MaxCallsPerPeer int
+	// IdleTimeout is how long an unused connection stays open; zero means one minute.
+	IdleTimeout time.Duration
 	// Seed makes the jitter of the backoff reproducible.
 	Seed uint64
 }
@@ -57,8 +57,8 @@
 	if config.Dial == nil {
 		config.Dial = (&net.Dialer{Timeout: defaultDialTimeout}).DialContext
 	}
-	config.PerPeer = orDefault(config.PerPeer, defaultPerPeer)
-	config.Idle = orDefault(config.Idle, defaultIdle)
+	config.MaxCallsPerPeer = orDefault(config.MaxCallsPerPeer, defaultMaxCalls)
+	config.IdleTimeout = orDefault(config.IdleTimeout, defaultIdleTimeout)
 	return &Client{
 		config: config,
 		links:  make(map[string]*link),
@@ -116,7 +116,7 @@
 	l = &link{
 		client:   c,
 		address:  address,
-		slots:    make(chan struct{}, c.config.PerPeer),
+		slots:    make(chan struct{}, c.config.MaxCallsPerPeer),
 		dialLock: make(chan struct{}, 1),
 		backoff:  policy.Backoff{InitialDelay: initialBackoff, MaxDelay: maxBackoff},
 		nextDial: now,
--- a/io/peer/codec.go
+++ b/io/peer/codec.go
@@ -18,8 +18,8 @@
 
 var errTooLarge = errors.New("message exceeds the limit")
 
-// request is a call on its way to the client's codec, which sets sent once the complete message is
-// written.
+// request is what the client passes to net/rpc as the arguments of a call; clientCodec sends args,
+// and sets sent once the complete message is written.
 type request struct {
 	args any
 	sent atomic.Bool
@@ -127,19 +127,19 @@
 type serverCodec struct {
 	*codec
 	// slots bounds the concurrent requests of one connection.
-	slots chan struct{}
-	idle  time.Duration
+	slots       chan struct{}
+	idleTimeout time.Duration
 	// draining is set once the server stops, after which no further requests are read.
 	draining *atomic.Bool
 }
 
 func (c serverCodec) ReadRequestHeader(r *rpc.Request) error {
 	c.in.reset()
-	if err := c.conn.SetReadDeadline(time.Now().Add(c.idle)); err != nil {
+	if err := c.conn.SetReadDeadline(time.Now().Add(c.idleTimeout)); err != nil {
 		return fmt.Errorf("set read deadline: %w", err)
 	}
-	// A stopping server sets draining before its own read deadline. If the deadline above replaced
-	// that one, the flag is already set here.
+	// A stopping server sets draining and then a read deadline in the present. If the deadline above
+	// has replaced that one, the flag is already set here.
 	if c.draining.Load() {
 		return io.EOF
 	}
--- a/io/peer/link.go
+++ b/io/peer/link.go
@@ -18,7 +18,7 @@
 )
 
 // link manages the connection to one instance: it dials on demand, with backoff after failures, and
-// closes the connection after the idle time.
+// closes the connection after the idle timeout.
 type link struct {
 	client  *Client
 	address string
@@ -148,7 +148,7 @@
 	defer l.mu.Unlock()
 	l.session = s
 	l.backoff = l.backoff.WithSuccess()
-	s.idleTimer = time.AfterFunc(l.client.config.Idle, func() { l.closeIfIdle(s) })
+	s.idleTimer = time.AfterFunc(l.client.config.IdleTimeout, func() { l.closeIfIdle(s) })
 }
 
 func (l *link) currentSession() *session {
@@ -176,12 +176,12 @@
 	l.backoff = l.backoff.WithFailure()
 }
 
-// isUnused reports whether the link has no session and could have dialled for longer than the idle
-// time.
+// isUnused reports whether the link has no session and the earliest time of its next dial passed
+// longer ago than the idle timeout.
 func (l *link) isUnused(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.session == nil && now.After(l.nextDial.Add(l.client.config.Idle))
+	return l.session == nil && now.After(l.nextDial.Add(l.client.config.IdleTimeout))
 }
 
 // closeSession closes the session; the next call dials again.
@@ -198,7 +198,7 @@
 // closeIfIdle closes the session and removes the link, unless calls are in progress.
 func (l *link) closeIfIdle(s *session) {
 	if s.isBusy() {
-		s.idleTimer.Reset(l.client.config.Idle)
+		s.idleTimer.Reset(l.client.config.IdleTimeout)
 		return
 	}
 	l.client.removeLink(l)
@@ -211,9 +211,9 @@
 	}
 }
 
-// endCall restarts the idle time and frees the call's slot.
+// endCall restarts the idle timer and frees the call's slot.
 func (l *link) endCall(s *session) {
-	s.endCall(l.client.config.Idle)
+	s.endCall(l.client.config.IdleTimeout)
 	<-l.slots
 }
 
--- a/io/peer/method.go
+++ b/io/peer/method.go
@@ -12,8 +12,8 @@
 	Name string
 }
 
-// Frame wraps a message. net/rpc requires exported argument and reply types, so that Frame lets
-// other packages keep their message types unexported.
+// Frame wraps a message. net/rpc requires exported argument and reply types; Frame lets other
+// packages keep their message types unexported.
 type Frame[T any] struct {
 	Body T
 }
--- a/io/peer/peer_test.go
+++ b/io/peer/peer_test.go
@@ -126,128 +126,128 @@
 
 func TestClientReusesOneConnectionAndClosesItWhenIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newFixture(t, peer.ClientConfig{Idle: time.Minute})
+		fx := newFixture(t, peer.ClientConfig{IdleTimeout: time.Minute})
 		for range 5 {
-			assert.NilError(t, r.call(t, echo, "hello"))
+			assert.NilError(t, fx.call(t, echo, "hello"))
 			time.Sleep(50 * time.Second)
 		}
-		assert.Equal(t, r.listener.dials, 1)
+		assert.Equal(t, fx.listener.dials, 1)
 		time.Sleep(time.Minute)
 		synctest.Wait()
-		assert.Equal(t, r.client.OpenConnections(), 0)
-		assert.NilError(t, r.call(t, echo, "again"))
-		assert.Equal(t, r.listener.dials, 2)
+		assert.Equal(t, fx.client.OpenConnections(), 0)
+		assert.NilError(t, fx.call(t, echo, "again"))
+		assert.Equal(t, fx.listener.dials, 2)
 	})
 }
 
 func TestHandlerErrorIsNotReportedAsUnreachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newFixture(t, peer.ClientConfig{})
-		err := r.call(t, echo, "fail")
+		fx := newFixture(t, peer.ClientConfig{})
+		err := fx.call(t, echo, "fail")
 		assert.ErrorContains(t, err, "refused by handler")
 		assert.Assert(t, !errors.Is(err, peer.ErrUnreachable))
-		assert.NilError(t, r.call(t, echo, "fine"))
-		assert.Equal(t, r.listener.dials, 1)
+		assert.NilError(t, fx.call(t, echo, "fine"))
+		assert.Equal(t, fx.listener.dials, 1)
 	})
 }
 
 func TestRefusedDialReportsUnreachableAndBacksOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newFixture(t, peer.ClientConfig{})
-		r.listener.refuse = true
+		fx := newFixture(t, peer.ClientConfig{})
+		fx.listener.refuse = true
 		for range 100 {
-			assert.ErrorIs(t, r.call(t, echo, "hello"), peer.ErrUnreachable)
+			assert.ErrorIs(t, fx.call(t, echo, "hello"), peer.ErrUnreachable)
 			time.Sleep(100 * time.Millisecond)
 		}
-		assert.Assert(t, r.listener.dials < 12, "%d dials within 10 s", r.listener.dials)
-		r.listener.refuse = false
+		assert.Assert(t, fx.listener.dials < 12, "%d dials within 10 s", fx.listener.dials)
+		fx.listener.refuse = false
 		time.Sleep(10 * time.Second)
-		assert.NilError(t, r.call(t, echo, "hello"))
+		assert.NilError(t, fx.call(t, echo, "hello"))
 	})
 }
 
 func TestTimedOutCallIsNotReportedAsUnreachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newFixture(t, peer.ClientConfig{})
-		err := r.call(t, hang, "slow")
+		fx := newFixture(t, peer.ClientConfig{})
+		err := fx.call(t, hang, "slow")
 		assert.ErrorIs(t, err, context.DeadlineExceeded)
 		assert.Assert(t, !errors.Is(err, peer.ErrUnreachable))
 		// The connection without a reply is closed, so that the next call reaches a replaced instance.
-		assert.NilError(t, r.call(t, echo, "hello"))
-		assert.Equal(t, r.listener.dials, 2)
+		assert.NilError(t, fx.call(t, echo, "hello"))
+		assert.Equal(t, fx.listener.dials, 2)
 	})
 }
 
 func TestBrokenConnectionIsNotReportedAsUnreachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newFixture(t, peer.ClientConfig{})
+		fx := newFixture(t, peer.ClientConfig{})
 		failed := make(chan error, 1)
-		go func() { failed <- r.call(t, hang, "slow") }()
+		go func() { failed <- fx.call(t, hang, "slow") }()
 		synctest.Wait()
-		assert.NilError(t, r.listener.last.Close())
+		assert.NilError(t, fx.listener.last.Close())
 		err := <-failed
 		assert.Assert(t, err != nil)
 		assert.Assert(t, !errors.Is(err, peer.ErrUnreachable), "%v", err)
-		assert.NilError(t, r.call(t, echo, "hello"))
+		assert.NilError(t, fx.call(t, echo, "hello"))
 	})
 }
 
 func TestCallsBeyondPerPeerLimitAreRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newFixture(t, peer.ClientConfig{PerPeer: 2})
+		fx := newFixture(t, peer.ClientConfig{MaxCallsPerPeer: 2})
 		failed := make(chan error, 2)
 		for range 2 {
-			go func() { failed <- r.call(t, hang, "slow") }()
+			go func() { failed <- fx.call(t, hang, "slow") }()
 		}
 		synctest.Wait()
-		assert.ErrorIs(t, r.call(t, echo, "third"), peer.ErrUnreachable)
+		assert.ErrorIs(t, fx.call(t, echo, "third"), peer.ErrUnreachable)
 		assert.Assert(t, <-failed != nil)
 		assert.Assert(t, <-failed != nil)
 		synctest.Wait()
-		assert.NilError(t, r.call(t, echo, "fourth"))
+		assert.NilError(t, fx.call(t, echo, "fourth"))
 	})
 }
 
 func TestOversizedMessageFailsAndNextCallSucceeds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newFixture(t, peer.ClientConfig{})
-		assert.Assert(t, r.call(t, echo, strings.Repeat("x", 3<<20)) != nil)
-		assert.NilError(t, r.call(t, echo, "small"))
+		fx := newFixture(t, peer.ClientConfig{})
+		assert.Assert(t, fx.call(t, echo, strings.Repeat("x", 3<<20)) != nil)
+		assert.NilError(t, fx.call(t, echo, "small"))
 	})
 }
 
 func TestClosedClientRejectsCallsWithoutDialing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newFixture(t, peer.ClientConfig{})
-		r.client.Close()
-		assert.ErrorIs(t, r.call(t, echo, "late"), peer.ErrUnreachable)
-		assert.Equal(t, r.listener.dials, 0)
+		fx := newFixture(t, peer.ClientConfig{})
+		fx.client.Close()
+		assert.ErrorIs(t, fx.call(t, echo, "late"), peer.ErrUnreachable)
+		assert.Equal(t, fx.listener.dials, 0)
 	})
 }
 
 func TestStoppingServerFinishesCallsInProgressAndRejectsNewOnes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newFixture(t, peer.ClientConfig{})
+		fx := newFixture(t, peer.ClientConfig{})
 		failed := make(chan error, 1)
-		go func() { failed <- r.call(t, hang, "slow") }()
+		go func() { failed <- fx.call(t, hang, "slow") }()
 		synctest.Wait()
-		r.stop()
+		fx.stop()
 		synctest.Wait()
 		late := make(chan error, 1)
-		go func() { late <- r.call(t, echo, "late") }()
+		go func() { late <- fx.call(t, echo, "late") }()
 		synctest.Wait()
-		r.release <- struct{}{}
+		fx.release <- struct{}{}
 		assert.NilError(t, <-failed)
 		assert.Assert(t, <-late != nil)
-		assert.NilError(t, <-r.ended)
+		assert.NilError(t, <-fx.ended)
 	})
 }
 
 func TestStoppingServerReportsCallsThatExceedGracePeriod(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newFixture(t, peer.ClientConfig{})
-		assert.Assert(t, r.call(t, hang, "stuck") != nil)
-		r.stop()
-		assert.ErrorContains(t, <-r.ended, "outlasted the grace time")
+		fx := newFixture(t, peer.ClientConfig{})
+		assert.Assert(t, fx.call(t, hang, "stuck") != nil)
+		fx.stop()
+		assert.ErrorContains(t, <-fx.ended, "outlasted the grace time")
 	})
 }
--- a/io/peer/server.go
+++ b/io/peer/server.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	defaultConnections = 512
-	defaultPerPeer     = 64
-	defaultIdle        = time.Minute
-	defaultGrace       = 10 * time.Second
-	writeTimeout       = 5 * time.Second
+	defaultMaxConnections = 512
+	defaultMaxCalls       = 64
+	defaultIdleTimeout    = time.Minute
+	defaultShutdownGrace  = 10 * time.Second
+	writeTimeout          = 5 * time.Second
 	// serverIdleFactor makes the server's idle timeout longer than the client's, so that the client
 	// closes an idle connection first and no call is sent on a connection that the server is closing.
 	serverIdleFactor = 3
@@ -27,15 +27,15 @@
 type ServerConfig struct {
 	// TLS must require and verify client certificates; nil means connections without TLS.
 	TLS *tls.Config
-	// Connections bounds the concurrent connections; zero means 512.
-	Connections int
-	// PerConnection bounds the concurrent calls of one connection; zero means 64.
-	PerConnection int
-	// Idle is how long clients keep an unused connection open; zero means one minute. The server
-	// closes idle connections only after three times as long.
-	Idle time.Duration
-	// Grace is how long calls in progress may take once the server stops; zero means 10 s.
-	Grace time.Duration
+	// MaxConnections bounds the concurrent connections; zero means 512.
+	MaxConnections int
+	// MaxCallsPerConnection bounds the concurrent calls of one connection; zero means 64.
+	MaxCallsPerConnection int
+	// ClientIdleTimeout is how long clients keep an unused connection open; zero means one minute.
+	// The server closes idle connections only after three times as long.
+	ClientIdleTimeout time.Duration
+	// ShutdownGrace is how long calls in progress may take once the server stops; zero means 10 s.
+	ShutdownGrace time.Duration
 }
 
 // Server serves the registered methods to other instances.
@@ -56,14 +56,14 @@
 	if config.TLS != nil && config.TLS.ClientAuth != tls.RequireAndVerifyClientCert {
 		return nil, errors.New("peer server: TLS does not verify client certificates")
 	}
-	config.Connections = orDefault(config.Connections, defaultConnections)
-	config.PerConnection = orDefault(config.PerConnection, defaultPerPeer)
-	config.Idle = orDefault(config.Idle, defaultIdle)
-	config.Grace = orDefault(config.Grace, defaultGrace)
+	config.MaxConnections = orDefault(config.MaxConnections, defaultMaxConnections)
+	config.MaxCallsPerConnection = orDefault(config.MaxCallsPerConnection, defaultMaxCalls)
+	config.ClientIdleTimeout = orDefault(config.ClientIdleTimeout, defaultIdleTimeout)
+	config.ShutdownGrace = orDefault(config.ShutdownGrace, defaultShutdownGrace)
 	return &Server{
 		config:          config,
 		rpc:             rpc.NewServer(),
-		connectionSlots: make(chan struct{}, config.Connections),
+		connectionSlots: make(chan struct{}, config.MaxConnections),
 		conns:           make(map[net.Conn]struct{}),
 	}, nil
 }
@@ -77,7 +77,7 @@
 }
 
 // Serve serves calls until the context ends and then lets calls in progress finish within the grace
-// time.
+// time; it returns an error if some take longer.
 func (s *Server) Serve(ctx context.Context, listener net.Listener) error {
 	stop := context.AfterFunc(ctx, func() { s.drain(listener) })
 	defer stop()
@@ -115,7 +115,7 @@
 		handlers.Wait()
 		close(ended)
 	}()
-	grace := time.NewTimer(s.config.Grace)
+	grace := time.NewTimer(s.config.ShutdownGrace)
 	defer grace.Stop()
 	select {
 	case <-ended:
@@ -144,10 +144,10 @@
 		conn = tlsConn
 	}
 	s.rpc.ServeCodec(serverCodec{
-		codec:    newCodec(conn, writeTimeout),
-		slots:    make(chan struct{}, s.config.PerConnection),
-		idle:     s.config.Idle * serverIdleFactor,
-		draining: &s.draining,
+		codec:       newCodec(conn, writeTimeout),
+		slots:       make(chan struct{}, s.config.MaxCallsPerConnection),
+		idleTimeout: s.config.ClientIdleTimeout * serverIdleFactor,
+		draining:    &s.draining,
 	})
 }
 
