--- a/io/lookup/trace.go
+++ b/io/lookup/trace.go
@@ -17,8 +17,8 @@
 // Config configures a Finder.
 type Config struct {
 	Self value.InstanceID
-	// LocalDecisions returns the decisions that this instance stores about a request, in the order they were
-	// made.
+	// LocalDecisions returns the decisions that this instance stores about a request, in the order
+	// they were made.
 	LocalDecisions func(value.RequestID) []value.Decision
 	// Instances returns the instances that may store decisions; this instance is skipped.
 	Instances func() []value.Instance
@@ -39,11 +39,11 @@
 func New(c Config) (*Finder, error) {
 	switch {
 	case c.LocalDecisions == nil || c.Instances == nil:
-		return nil, errors.New("trace: local decisions or instances function not configured")
+		return nil, errors.New("lookup: local decisions or instances function not configured")
 	case c.Caller == nil:
-		return nil, errors.New("trace: no caller configured")
+		return nil, errors.New("lookup: no caller configured")
 	case c.MaxParallel < 1 || c.Timeout <= 0:
-		return nil, errors.New("trace: parallel queries must be at least 1 and the timeout positive")
+		return nil, errors.New("lookup: parallel queries must be at least 1 and the timeout positive")
 	}
 	return &Finder{config: c}, nil
 }
@@ -51,7 +51,7 @@
 // Register registers the method with which the others query this instance.
 func (f *Finder) Register(r peer.Registrar) error {
 	return findMethod.Serve(r, func(w wireFind) (wireFound, error) {
-		return wireFound{Decisions: toWire(f.config.LocalDecisions(w.Request))}, nil
+		return wireFound{Decisions: encodeDecisions(f.config.LocalDecisions(w.Request))}, nil
 	})
 }
 
@@ -97,12 +97,12 @@
 	defer cancel()
 	w, err := findMethod.Call(ctx, f.config.Caller, instance, wireFind{Request: id})
 	if err != nil {
-		return nil, fmt.Errorf("ask instance %s: %w", instance.ID, err)
+		return nil, fmt.Errorf("query instance %s: %w", instance.ID, err)
 	}
-	return fromWire(w.Decisions), nil
+	return decodeDecisions(w.Decisions), nil
 }
 
-// result returns the decisions found, or the error that tells why there are none.
+// result returns the decisions found, or the error that says why there are none.
 func (f *Finder) result(id value.RequestID, found []value.Decision, unanswered int64) ([]value.Decision, error) {
 	switch {
 	case len(found) > 0:
--- a/io/lookup/trace_test.go
+++ b/io/lookup/trace_test.go
@@ -13,7 +13,7 @@
 )
 
 // newFinders returns a finder for each instance in the map, which stores the decisions about one
-// request; the listed instances are queried, also those that do not exist.
+// request; each finder queries the listed instances, including those that do not exist.
 func newFinders(t *testing.T, requests map[value.InstanceID]value.RequestID, listed ...value.InstanceID) map[value.InstanceID]*lookup.Finder {
 	t.Helper()
 	var mesh fakes.Mesh
--- a/io/lookup/wire.go
+++ b/io/lookup/wire.go
@@ -36,7 +36,7 @@
 	At         time.Time
 }
 
-func toWire(list []value.Decision) []wireDecision {
+func encodeDecisions(list []value.Decision) []wireDecision {
 	wires := make([]wireDecision, len(list))
 	for i, d := range list {
 		wires[i] = wireDecision(d)
@@ -44,7 +44,7 @@
 	return wires
 }
 
-func fromWire(wires []wireDecision) []value.Decision {
+func decodeDecisions(wires []wireDecision) []value.Decision {
 	list := make([]value.Decision, len(wires))
 	for i, w := range wires {
 		list[i] = value.Decision(w)
