--- a/io/plat/budget.go
+++ b/io/plat/budget.go
@@ -15,7 +15,7 @@
 	"endivehitch/io/clock"
 )
 
-// LimitedStoreConfig configures a Budget.
+// LimitedStoreConfig configures a LimitedStore.
 type LimitedStoreConfig struct {
 	Store Store
 	// Reads and Writes are the calls per second that this instance may make; a watch counts as one
@@ -53,7 +53,8 @@
 	return target == ErrUnavailable
 }
 
-// Usage counts the calls that a Budget has made to its store, and those that it saved or rejected.
+// Usage counts the calls that a LimitedStore has made to its store, and those that it
+// coalesced or rejected.
 type Usage struct {
 	Reads   int64
 	Writes  int64
@@ -68,8 +69,8 @@
 	Throttled int64
 }
 
-// LimitedStore is a store client that limits the rate of calls, coalesces identical reads, retries reads,
-// and settles changes whose answers were lost.
+// LimitedStore is a store client that limits the rate of calls, coalesces identical reads, retries
+// reads, and settles changes whose answers were lost.
 //
 // To settle a swap, it reads the entry back; an entry with the swap's value means that the swap
 // took effect. So each change must write a unique value, for instance one with an identifier of the
@@ -86,16 +87,16 @@
 	rnd      *rand.Rand
 }
 
-// NewLimitedStore returns a client over the store, or an error that names the missing or invalid fields
-// of the configuration.
+// NewLimitedStore returns a client over the store, or an error that names the missing or invalid
+// fields of the configuration.
 func NewLimitedStore(c LimitedStoreConfig) (*LimitedStore, error) {
 	switch {
 	case c.Store == nil:
-		return nil, errors.New("store budget: the store is missing")
+		return nil, errors.New("limited store: Store is missing")
 	case c.Reads <= 0 || c.Writes <= 0 || c.Burst < 1:
-		return nil, errors.New("store budget: Reads, Writes and Burst must be positive")
+		return nil, errors.New("limited store: Reads, Writes and Burst must be positive")
 	case c.Queue < 1 || c.MaxAttempts < 1 || c.Timeout <= 0:
-		return nil, errors.New("store budget: Queue, Tries and Timeout must be positive")
+		return nil, errors.New("limited store: Queue, MaxAttempts and Timeout must be positive")
 	}
 	return &LimitedStore{
 		config:  c,
@@ -107,38 +108,38 @@
 }
 
 // Usage returns the counts so far.
-func (b *LimitedStore) Usage() Usage {
-	return b.usage.Get()
+func (l *LimitedStore) Usage() Usage {
+	return l.usage.Get()
 }
 
-func (b *LimitedStore) updateUsage(apply func(Usage) Usage) {
-	b.usage.Update(apply)
+func (l *LimitedStore) updateUsage(apply func(Usage) Usage) {
+	l.usage.Update(apply)
 }
 
 // admit waits in the bounded queue until the limiter lets the call pass, or returns a Throttled
 // error.
-func (b *LimitedStore) admit(ctx context.Context, l *rate.Limiter) error {
-	defer b.queued.Add(-1)
-	if b.queued.Add(1) > int64(b.config.Queue) {
-		return b.reject("queue is full")
+func (l *LimitedStore) admit(ctx context.Context, limiter *rate.Limiter) error {
+	defer l.queued.Add(-1)
+	if l.queued.Add(1) > int64(l.config.Queue) {
+		return l.reject("queue is full")
 	}
-	if err := l.Wait(ctx); err != nil {
-		return b.reject(err.Error())
+	if err := limiter.Wait(ctx); err != nil {
+		return l.reject(err.Error())
 	}
 	return nil
 }
 
 // reject counts a call that was not made and returns its error.
-func (b *LimitedStore) reject(reason string) error {
-	b.updateUsage(func(u Usage) Usage { u.Throttled++; return u })
+func (l *LimitedStore) reject(reason string) error {
+	l.updateUsage(func(u Usage) Usage { u.Throttled++; return u })
 	return Throttled{Reason: reason}
 }
 
 // waitBackoff waits for the backoff that follows the given number of failed attempts.
-func (b *LimitedStore) waitBackoff(ctx context.Context, failed int) error {
-	b.rndMutex.Lock()
-	d := b.config.Backoff.WithFailures(failed - 1).Delay(b.rnd)
-	b.rndMutex.Unlock()
+func (l *LimitedStore) waitBackoff(ctx context.Context, failed int) error {
+	l.rndMutex.Lock()
+	d := l.config.Backoff.WithFailures(failed - 1).Delay(l.rnd)
+	l.rndMutex.Unlock()
 	if err := clock.Wait(ctx, d); err != nil {
 		return fmt.Errorf("wait for the next attempt: %w", err)
 	}
--- a/io/plat/budget_test.go
+++ b/io/plat/budget_test.go
@@ -15,26 +15,26 @@
 	"endivehitch/io/plat"
 )
 
-func newBudget(t *testing.T) (*plat.LimitedStore, *fakes.Store) {
+func newLimitedStore(t *testing.T) (*plat.LimitedStore, *fakes.Store) {
 	t.Helper()
 	faulty := fakes.NewStore(newEmbedded(t))
-	b, err := plat.NewLimitedStore(plat.LimitedStoreConfig{
+	store, err := plat.NewLimitedStore(plat.LimitedStoreConfig{
 		Store: faulty, Reads: 100, Writes: 10, Burst: 2, Queue: 30, MaxWatches: 1, RetriesPerSecond: 1,
 		Timeout: time.Second, MaxAttempts: 4,
 		Backoff: policy.Backoff{InitialDelay: 50 * time.Millisecond, MaxDelay: time.Second},
 	})
 	assert.NilError(t, err)
-	return b, faulty
+	return store, faulty
 }
 
 func TestBudgetKeepsToItsWriteRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b, faulty := newBudget(t)
+		store, faulty := newLimitedStore(t)
 		began := time.Now()
 		var group sync.WaitGroup
 		for i := range 22 {
 			group.Go(func() {
-				_, err := b.Swap(t.Context(), plat.Swap{Key: string(rune('a' + i))})
+				_, err := store.Swap(t.Context(), plat.Swap{Key: string(rune('a' + i))})
 				assert.Check(t, err)
 			})
 		}
@@ -46,18 +46,18 @@
 
 func TestBudgetJoinsIdenticalReads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b, faulty := newBudget(t)
+		store, faulty := newLimitedStore(t)
 		assert.NilError(t, faulty.SetFaults(fakes.StoreFaults{}.WithDelay(100*time.Millisecond)))
 		cancelled, cancel := context.WithCancel(t.Context())
 		var group sync.WaitGroup
 		group.Go(func() {
-			_, err := b.Get(cancelled, "a")
+			_, err := store.Get(cancelled, "a")
 			assert.Check(t, errors.Is(err, plat.ErrUnavailable))
 		})
 		synctest.Wait()
 		for range 49 {
 			group.Go(func() {
-				_, err := b.Get(t.Context(), "a")
+				_, err := store.Get(t.Context(), "a")
 				assert.Check(t, err)
 			})
 		}
@@ -65,22 +65,22 @@
 		cancel()
 		group.Wait()
 		assert.Equal(t, faulty.Reads(), int64(1))
-		assert.Equal(t, b.Usage().Coalesced, int64(49))
+		assert.Equal(t, store.Usage().Coalesced, int64(49))
 	})
 }
 
 func TestBudgetReadSeesOwnWriteWhileAnOlderReadIsInFlight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b, faulty := newBudget(t)
+		store, faulty := newLimitedStore(t)
 		assert.NilError(t, faulty.SetFaults(fakes.StoreFaults{}.WithDelay(400*time.Millisecond).WithStale(true)))
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		go func() { _, _ = b.Get(ctx, "a") }()
+		go func() { _, _ = store.Get(ctx, "a") }()
 		synctest.Wait()
 		assert.NilError(t, faulty.SetFaults(fakes.StoreFaults{}))
-		revision, err := b.Swap(t.Context(), plat.Swap{Key: "a", Value: []byte("1")})
+		revision, err := store.Swap(t.Context(), plat.Swap{Key: "a", Value: []byte("1")})
 		assert.NilError(t, err)
-		got, err := b.Get(t.Context(), "a")
+		got, err := store.Get(t.Context(), "a")
 		assert.NilError(t, err)
 		assert.Equal(t, got.Revision, revision)
 	})
@@ -88,11 +88,11 @@
 
 func TestBudgetTurnsCallsAwayWhenItsQueueIsFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b, faulty := newBudget(t)
+		store, faulty := newLimitedStore(t)
 		results := make(chan error, 40)
 		for range 40 {
 			go func() {
-				_, err := b.Grant(t.Context(), time.Minute)
+				_, err := store.Grant(t.Context(), time.Minute)
 				results <- err
 			}()
 		}
@@ -111,14 +111,14 @@
 
 func TestBudgetRetriesReadsOnlyInsideItsRetryBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b, faulty := newBudget(t)
+		store, faulty := newLimitedStore(t)
 		assert.NilError(t, faulty.SetFaults(fakes.StoreFaults{}.WithDown(true)))
 		for range 50 {
-			_, err := b.Get(t.Context(), "a")
+			_, err := store.Get(t.Context(), "a")
 			assert.ErrorIs(t, err, plat.ErrUnavailable)
 		}
 		assert.Assert(t, faulty.Reads() < 60, "%d reads for 50 calls", faulty.Reads())
-		_, err := b.Swap(t.Context(), plat.Swap{Key: "a"})
+		_, err := store.Swap(t.Context(), plat.Swap{Key: "a"})
 		assert.ErrorIs(t, err, plat.ErrUnavailable)
 		assert.Equal(t, faulty.Writes(), int64(1), "a write must not be retried")
 	})
@@ -133,15 +133,15 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b, faulty := newBudget(t)
-				first, err := b.Swap(t.Context(), plat.Swap{Key: "a", Value: []byte("old")})
+				store, faulty := newLimitedStore(t)
+				first, err := store.Swap(t.Context(), plat.Swap{Key: "a", Value: []byte("old")})
 				assert.NilError(t, err)
 				assert.NilError(t, faulty.SetFaults(faults))
 				time.AfterFunc(1200*time.Millisecond, func() { _ = faulty.SetFaults(fakes.StoreFaults{}) })
-				revision, err := b.Swap(t.Context(), plat.Swap{Key: "a", Expect: first, Value: []byte("new")})
+				revision, err := store.Swap(t.Context(), plat.Swap{Key: "a", Expect: first, Value: []byte("new")})
 				assert.NilError(t, err)
 				time.Sleep(5 * time.Second)
-				got, err := b.Get(t.Context(), "a")
+				got, err := store.Get(t.Context(), "a")
 				assert.NilError(t, err)
 				assert.Equal(t, got.Revision, revision, "the change took effect more than once")
 				assert.Equal(t, got.Revision, first+1)
@@ -152,11 +152,11 @@
 
 func TestBudgetOwnsUpToALostAnswerThatWasReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b, faulty := newBudget(t)
+		store, faulty := newLimitedStore(t)
 		assert.NilError(t, faulty.SetFaults(fakes.StoreFaults{}.WithLostAnswers(1)))
 		done := make(chan error)
 		go func() {
-			_, err := b.Swap(t.Context(), plat.Swap{Key: "a", Value: []byte("ours")})
+			_, err := store.Swap(t.Context(), plat.Swap{Key: "a", Value: []byte("ours")})
 			done <- err
 		}()
 		synctest.Wait()
@@ -172,14 +172,14 @@
 
 func TestBudgetCountsWaitingWatches(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b, _ := newBudget(t)
+		store, _ := newLimitedStore(t)
 		ctx, cancel := context.WithCancel(t.Context())
-		_, err := b.Watch(ctx, "a", 0)
+		_, err := store.Watch(ctx, "a", 0)
 		assert.NilError(t, err)
-		_, err = b.Watch(ctx, "b", 0)
+		_, err = store.Watch(ctx, "b", 0)
 		assert.ErrorIs(t, err, plat.ErrUnavailable)
 		cancel()
 		synctest.Wait()
-		assert.Equal(t, b.Usage().OpenWatches, int64(0))
+		assert.Equal(t, store.Usage().OpenWatches, int64(0))
 	})
 }
--- a/io/plat/embed.go
+++ b/io/plat/embed.go
@@ -15,7 +15,8 @@
 // EmbeddedConfig configures an Embedded store.
 type EmbeddedConfig struct {
 	Now func() time.Time
-	// History is the least number of events that is kept for new watches; older ones may be compacted.
+	// History is the least number of events that stay available to new watches; older ones may be
+	// compacted.
 	History int
 }
 
@@ -85,8 +86,8 @@
 // Delete removes the entry if its revision is the expected one.
 func (e *Embedded) Delete(ctx context.Context, key string, expect int64) error {
 	err := e.update(ctx, func(current snapshot) (snapshot, error) {
-		if present := current.entry(key); present.Revision != expect {
-			return current, Conflict{Current: present}
+		if entry := current.entry(key); entry.Revision != expect {
+			return current, Conflict{Current: entry}
 		}
 		return current.withoutKey(key), nil
 	})
--- a/io/plat/flight.go
+++ b/io/plat/flight.go
@@ -21,8 +21,8 @@
 	err     error
 }
 
-// join returns the flight of that name, and whether it was in flight already; otherwise it starts
-// it. The caller must call leave.
+// join returns the flight of that name and true if there is one, and otherwise starts one and
+// returns false. The caller must call leave.
 func (g *flightGroup) join(name string, read func(context.Context) (any, error)) (*flight, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/io/plat/gateway.go
+++ b/io/plat/gateway.go
@@ -92,7 +92,7 @@
 }
 
 // decodeRefusal returns the error for a response with an error status. "Not found" means that the
-// lease does not exist; "resource exhausted" and status 429 mean that the call was turned away; any
+// lease does not exist; "resource exhausted" and status 429 mean that the call was rejected; any
 // other server error (5xx) leaves open whether the call took effect.
 func decodeRefusal(resp *http.Response) error {
 	refused := gatewayError{Status: resp.StatusCode}
--- a/io/plat/lists.go
+++ b/io/plat/lists.go
@@ -8,7 +8,7 @@
 )
 
 // InstanceList is the platform's list of live and leaving instances and backend servers; it lags
-// behind.
+// behind their present state.
 type InstanceList interface {
 	// Servers returns the listed backend servers.
 	Servers(ctx context.Context) ([]value.BackendServer, error)
--- a/io/plat/snapshot.go
+++ b/io/plat/snapshot.go
@@ -14,8 +14,8 @@
 	lastLease LeaseID
 	entries   policy.Table[string, Entry]
 	leases    policy.Table[string, lease]
-	// events is the history, oldest first. Snapshots share its array: a newer one appends behind the
-	// length of the older ones, which is safe because writers run one at a time.
+	// events is the history, oldest first. Snapshots share its array: a newer one appends behind
+	// the length of the older ones, which is safe because writers run one at a time.
 	events []Event
 	// compacted is the last revision that was removed from the events.
 	compacted int64
--- a/io/plat/store.go
+++ b/io/plat/store.go
@@ -11,7 +11,7 @@
 var ErrUnknown = errors.New("outcome of the change is unknown")
 
 // ErrUnavailable marks a call that certainly had no effect, because it was not made, did not reach
-// the service or was turned away there.
+// the service or was rejected there.
 var ErrUnavailable = errors.New("service unavailable")
 
 // ErrLeaseLost marks a lease that has expired or was revoked.
@@ -48,7 +48,7 @@
 	Deleted bool
 }
 
-// Conflict is the error of a swap whose expected revision was not the present one.
+// Conflict is the error of a swap whose expected revision was not the current one.
 type Conflict struct {
 	// Current is the current entry; its revision is zero if there is none.
 	Current Entry
@@ -97,8 +97,8 @@
 
 // Writer has the operations that change the key-value service.
 type Writer interface {
-	// Swap replaces the entry and returns its new revision; it fails with Conflict, ErrUnknown,
-	// ErrUnavailable or ErrLeaseLost.
+	// Swap replaces the entry and returns its new revision; it fails with Conflict, TooLarge,
+	// ErrUnknown, ErrUnavailable or ErrLeaseLost.
 	Swap(ctx context.Context, s Swap) (int64, error)
 	// Delete removes the entry if its revision is the expected one.
 	Delete(ctx context.Context, key string, expect int64) error
--- a/io/plat/writes.go
+++ b/io/plat/writes.go
@@ -14,19 +14,19 @@
 //
 // An error that wraps both ErrUnknown and Conflict means that the change may have taken effect
 // before another writer replaced it.
-func (b *LimitedStore) Swap(ctx context.Context, s Swap) (int64, error) {
-	defer b.flights.forget(flightNameOfGet(s.Key))
-	revision, err := writeOnce(ctx, b, func(ctx context.Context) (int64, error) { return b.config.Store.Swap(ctx, s) })
-	for try := 1; errors.Is(err, ErrUnknown) && try < b.config.MaxAttempts; try++ {
-		if b.waitBackoff(ctx, try) != nil {
+func (l *LimitedStore) Swap(ctx context.Context, s Swap) (int64, error) {
+	defer l.flights.forget(flightNameOfGet(s.Key))
+	revision, err := writeOnce(ctx, l, func(ctx context.Context) (int64, error) { return l.config.Store.Swap(ctx, s) })
+	for try := 1; errors.Is(err, ErrUnknown) && try < l.config.MaxAttempts; try++ {
+		if l.waitBackoff(ctx, try) != nil {
 			break
 		}
-		if revision, settled := b.readBack(ctx, s); settled {
+		if revision, settled := l.readBack(ctx, s); settled {
 			return revision, nil
 		}
-		repeated, retryErr := writeOnce(ctx, b, func(ctx context.Context) (int64, error) { return b.config.Store.Swap(ctx, s) })
+		retried, retryErr := writeOnce(ctx, l, func(ctx context.Context) (int64, error) { return l.config.Store.Swap(ctx, s) })
 		if retryErr == nil {
-			return repeated, nil
+			return retried, nil
 		}
 		var conflict Conflict
 		if errors.As(retryErr, &conflict) {
@@ -38,9 +38,9 @@
 
 // readBack reports whether the entry holds the change, and returns its revision. A stale read may
 // miss the change, so false does not mean that it took no effect.
-func (b *LimitedStore) readBack(ctx context.Context, s Swap) (int64, bool) {
-	b.flights.forget(flightNameOfGet(s.Key))
-	e, err := b.Get(ctx, s.Key)
+func (l *LimitedStore) readBack(ctx context.Context, s Swap) (int64, bool) {
+	l.flights.forget(flightNameOfGet(s.Key))
+	e, err := l.Get(ctx, s.Key)
 	if err != nil || e.Revision <= s.Expect || !bytes.Equal(e.Value, s.Value) {
 		return 0, false
 	}
@@ -48,7 +48,7 @@
 }
 
 // resolveConflict settles a change whose first answer was lost and whose retry met a conflict: the
-// change took effect if the present entry has its value, and otherwise the outcome is unknown.
+// change took effect if the current entry has its value, and otherwise the outcome is unknown.
 func resolveConflict(s Swap, c Conflict) (int64, error) {
 	if c.Current.Revision > s.Expect && bytes.Equal(c.Current.Value, s.Value) {
 		return c.Current.Revision, nil
@@ -58,17 +58,17 @@
 
 // Delete removes the entry if its revision is the expected one. If the answer is lost, it deletes
 // again with the same expected revision; an entry that is then missing counts as deleted.
-func (b *LimitedStore) Delete(ctx context.Context, key string, expect int64) error {
-	defer b.flights.forget(flightNameOfGet(key))
+func (l *LimitedStore) Delete(ctx context.Context, key string, expect int64) error {
+	defer l.flights.forget(flightNameOfGet(key))
 	remove := func(ctx context.Context) (struct{}, error) {
-		return struct{}{}, b.config.Store.Delete(ctx, key, expect)
+		return struct{}{}, l.config.Store.Delete(ctx, key, expect)
 	}
-	_, err := writeOnce(ctx, b, remove)
-	for try := 1; errors.Is(err, ErrUnknown) && try < b.config.MaxAttempts; try++ {
-		if b.waitBackoff(ctx, try) != nil {
+	_, err := writeOnce(ctx, l, remove)
+	for try := 1; errors.Is(err, ErrUnknown) && try < l.config.MaxAttempts; try++ {
+		if l.waitBackoff(ctx, try) != nil {
 			break
 		}
-		_, retryErr := writeOnce(ctx, b, remove)
+		_, retryErr := writeOnce(ctx, l, remove)
 		if retryErr == nil {
 			return nil
 		}
@@ -85,25 +85,25 @@
 }
 
 // Grant returns a new lease; a lease whose answer was lost expires unused.
-func (b *LimitedStore) Grant(ctx context.Context, ttl time.Duration) (LeaseID, error) {
-	return writeOnce(ctx, b, func(ctx context.Context) (LeaseID, error) { return b.config.Store.Grant(ctx, ttl) })
+func (l *LimitedStore) Grant(ctx context.Context, ttl time.Duration) (LeaseID, error) {
+	return writeOnce(ctx, l, func(ctx context.Context) (LeaseID, error) { return l.config.Store.Grant(ctx, ttl) })
 }
 
 // KeepAlive renews the lease once, without retries, since its holder renews it at regular
 // intervals.
-func (b *LimitedStore) KeepAlive(ctx context.Context, id LeaseID) (time.Duration, error) {
-	return writeOnce(ctx, b, func(ctx context.Context) (time.Duration, error) { return b.config.Store.KeepAlive(ctx, id) })
+func (l *LimitedStore) KeepAlive(ctx context.Context, id LeaseID) (time.Duration, error) {
+	return writeOnce(ctx, l, func(ctx context.Context) (time.Duration, error) { return l.config.Store.KeepAlive(ctx, id) })
 }
 
 // Revoke ends the lease and deletes its entries; it is retried if its answer is lost.
-func (b *LimitedStore) Revoke(ctx context.Context, id LeaseID) error {
-	revoke := func(ctx context.Context) (struct{}, error) { return struct{}{}, b.config.Store.Revoke(ctx, id) }
-	_, err := writeOnce(ctx, b, revoke)
-	for try := 1; errors.Is(err, ErrUnknown) && try < b.config.MaxAttempts; try++ {
-		if b.waitBackoff(ctx, try) != nil {
+func (l *LimitedStore) Revoke(ctx context.Context, id LeaseID) error {
+	revoke := func(ctx context.Context) (struct{}, error) { return struct{}{}, l.config.Store.Revoke(ctx, id) }
+	_, err := writeOnce(ctx, l, revoke)
+	for try := 1; errors.Is(err, ErrUnknown) && try < l.config.MaxAttempts; try++ {
+		if l.waitBackoff(ctx, try) != nil {
 			break
 		}
-		_, retryErr := writeOnce(ctx, b, revoke)
+		_, retryErr := writeOnce(ctx, l, revoke)
 		if retryErr == nil || errors.Is(retryErr, ErrLeaseLost) {
 			return nil
 		}
@@ -112,13 +112,13 @@
 }
 
 // writeOnce makes one attempt of a write within the rate limit.
-func writeOnce[T any](ctx context.Context, b *LimitedStore, do func(context.Context) (T, error)) (T, error) {
-	if err := b.admit(ctx, b.writes); err != nil {
+func writeOnce[T any](ctx context.Context, l *LimitedStore, do func(context.Context) (T, error)) (T, error) {
+	if err := l.admit(ctx, l.writes); err != nil {
 		var none T
 		return none, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, b.config.Timeout)
+	ctx, cancel := context.WithTimeout(ctx, l.config.Timeout)
 	defer cancel()
-	b.updateUsage(func(u Usage) Usage { u.Writes++; return u })
+	l.updateUsage(func(u Usage) Usage { u.Writes++; return u })
 	return do(ctx)
 }
