--- a/io/conf/changes.go
+++ b/io/conf/changes.go
@@ -13,7 +13,7 @@
 
 // Changes is the decoded content of entries of an environment's configuration.
 type Changes struct {
-	// Accepted is the document; its revision is zero if none of the entries holds one.
+	// Accepted is the document; its revision is zero if none of the entries holds a valid one.
 	Accepted    value.AcceptedDocument
 	RollOuts    []value.Progress
 	Withdrawals []value.Withdrawal
--- a/io/conf/check.go
+++ b/io/conf/check.go
@@ -169,8 +169,8 @@
 // fullPercent is the percentage of the last stage, at which a roll-out is complete.
 const fullPercent = 100
 
-// checkRollOutVersion reports a version that the model does not have or that is withdrawn. It
-// leaves an unknown model to checkRollOut.
+// checkRollOutVersion reports a version that the model does not have or that is withdrawn. An
+// unknown model is not reported here but by checkRollOut.
 func (c *checker) checkRollOutVersion(path, model, version string) {
 	if _, known := c.models[model]; !known || version == "" {
 		return
--- a/io/conf/doc.go
+++ b/io/conf/doc.go
@@ -8,6 +8,6 @@
 //
 // In the key-value service, a Record holds the document's bytes with its current change and the
 // change history. Entries of their own hold the progress of roll-outs and the withdrawals of
-// versions; Decode turns any of these entries into Changes, and KeepProgress and KeepWithdrawal
-// write them by compare-and-swap.
+// versions; Decode turns any of these entries into Changes. StoreProgress and StoreWithdrawal write
+// the latter two by compare-and-swap.
 package conf
--- a/io/conf/fields.go
+++ b/io/conf/fields.go
@@ -8,10 +8,10 @@
 	Path string
 	// Type is Text, Number, Integer, Duration, Flag, List or Group.
 	Type string
-	// Needed is set if the field is required.
-	Needed bool
-	// Range is the minimum and maximum of the value or of a list's length, such as "0..1"; it is empty
-	// if there is no limit.
+	// Required is set if the field is required.
+	Required bool
+	// Range is the minimum and maximum of the value, or of the length of a list, such as "0..1"; it
+	// is empty if there is no limit.
 	Range string
 }
 
@@ -25,10 +25,10 @@
 	for field := range t.Fields() {
 		at := joinPath(path, field.Name)
 		all = append(all, Field{
-			Path:   at,
-			Type:   typeName(field.Type),
-			Needed: rulesOf(field).required,
-			Range:  field.Tag.Get("range"),
+			Path:     at,
+			Type:     typeName(field.Type),
+			Required: rulesOf(field).required,
+			Range:    field.Tag.Get("range"),
 		})
 		switch {
 		case field.Type.Kind() == reflect.Struct:
--- a/io/conf/fields_test.go
+++ b/io/conf/fields_test.go
@@ -24,7 +24,7 @@
 	}
 	for _, f := range conf.Fields() {
 		needed := "no"
-		if f.Needed {
+		if f.Required {
 			needed = "yes"
 		}
 		have = append(have, fmt.Sprintf("| `%s` | %s | %s | %s", f.Path, f.Type, needed, f.Range))
--- a/io/conf/parse.go
+++ b/io/conf/parse.go
@@ -10,9 +10,10 @@
 	"endivehitch/core/value"
 )
 
-// DocumentLimit is the size of the largest document that Parse accepts, in bytes. A Record holds
-// the document in base64, in which this size comes to 1 MiB, plat.ValueLimit, the largest value
-// that the key-value service takes.
+// DocumentLimit is the size of the largest document that Parse accepts, in bytes. In base64, as a
+// Record holds it, this size comes to 1 MiB, which is plat.ValueLimit, the size of the largest value
+// that the key-value service takes. Because the Record also holds changes, a document slightly
+// smaller than the limit can still be too large to store.
 const DocumentLimit = 768 << 10
 
 // Parse parses and validates a document; the error is of type Faults and lists every fault.
--- a/io/conf/progress.go
+++ b/io/conf/progress.go
@@ -27,8 +27,8 @@
 	}, func(w wireProgress) value.Progress { return value.Progress(w) })
 }
 
-// StoreWithdrawal stores a version's withdrawal unless there is one, since a withdrawal is final,
-// and returns the one that is current afterwards.
+// StoreWithdrawal stores a version's withdrawal unless one is stored already, since a withdrawal is
+// final, and returns the one that is current afterwards.
 func StoreWithdrawal(ctx context.Context, store plat.Store, e value.Environment, w value.Withdrawal) (value.Withdrawal, error) {
 	return storeUnlessNewer(ctx, store, storeRequest[wireWithdrawal]{
 		key:      WithdrawalKey(e, w.Version),
@@ -45,8 +45,8 @@
 	replaces func(current W) bool
 }
 
-// storeUnlessNewer stores the request's value by compare-and-swap, unless it does not replace the
-// current one, and returns the value that is current afterwards.
+// storeUnlessNewer stores the request's value by compare-and-swap if there is none or if it replaces
+// the current one, and returns the value that is current afterwards.
 func storeUnlessNewer[W, V any](ctx context.Context, store plat.Store, request storeRequest[W], toValue func(W) V) (V, error) {
 	var none V
 	data, err := encode(request.value)
--- a/io/conf/progress_test.go
+++ b/io/conf/progress_test.go
@@ -12,31 +12,31 @@
 	"endivehitch/io/plat"
 )
 
-func TestKeepProgressStoresOnlyNewerProgress(t *testing.T) {
+func TestStoreProgressReplacesOnlySupersededProgress(t *testing.T) {
 	inner, err := plat.NewEmbedded(plat.EmbeddedConfig{Now: time.Now, History: 16})
 	assert.NilError(t, err)
 	store := fakes.NewStore(inner)
-	keep := func(p value.Progress) value.Progress {
+	storeProgress := func(p value.Progress) value.Progress {
 		p.Name, p.Version = "r", "m/v"
 		stored, err := conf.StoreProgress(t.Context(), store, "trial", p)
 		assert.NilError(t, err)
 		return stored
 	}
 	staged := value.Progress{Phase: value.PhaseStaged, Epoch: 2}
-	assert.Equal(t, keep(staged).Epoch, int64(2))
-	assert.Equal(t, keep(value.Progress{Phase: value.PhaseStaged, Epoch: 1}).Epoch, int64(2), "older progress must not replace the current record")
+	assert.Equal(t, storeProgress(staged).Epoch, int64(2))
+	assert.Equal(t, storeProgress(value.Progress{Phase: value.PhaseStaged, Epoch: 1}).Epoch, int64(2), "older progress must not replace the current record")
 
 	assert.NilError(t, store.SetFaults(fakes.StoreFaults{LostAnswers: 1}))
 	before := store.Writes()
-	assert.Equal(t, keep(value.Progress{Phase: value.PhaseStaged, Epoch: 3}).Epoch, int64(3))
-	assert.Equal(t, store.Writes(), before+1, "a write whose answer was lost must be read back, not repeated")
+	assert.Equal(t, storeProgress(value.Progress{Phase: value.PhaseStaged, Epoch: 3}).Epoch, int64(3))
+	assert.Equal(t, store.Writes(), before+1, "a write whose answer was lost must be read back, not retried")
 
-	keep(value.Progress{Phase: value.PhaseWithdrawn, Epoch: 1})
-	got := keep(value.Progress{Phase: value.PhaseStaged, Epoch: 9})
+	storeProgress(value.Progress{Phase: value.PhaseWithdrawn, Epoch: 1})
+	got := storeProgress(value.Progress{Phase: value.PhaseStaged, Epoch: 9})
 	assert.Equal(t, got.Phase, value.PhaseWithdrawn, "nothing must replace a withdrawal")
 }
 
-func TestKeepWithdrawalLeavesTheFirstInPlace(t *testing.T) {
+func TestStoreWithdrawalLeavesTheFirstInPlace(t *testing.T) {
 	store, err := plat.NewEmbedded(plat.EmbeddedConfig{Now: time.Now, History: 16})
 	assert.NilError(t, err)
 	for _, reason := range []value.Reason{value.ReasonQuality, value.ReasonOperator} {
--- a/io/conf/record.go
+++ b/io/conf/record.go
@@ -10,7 +10,7 @@
 	"endivehitch/io/plat"
 )
 
-// historyLength is the number of earlier changes that a record holds.
+// historyLength is the largest number of earlier changes that a record holds.
 const historyLength = 32
 
 // Record is a document's bytes with the changes that led to it, as stored in the key-value service.
@@ -35,8 +35,8 @@
 	Digest string
 }
 
-// WithChange returns the record that the change replaces this one by, with the bytes as its
-// document. The replaced record's change becomes the first of the change history.
+// WithChange returns the record that replaces this one: its document is the given bytes, and the
+// replaced record's change, if there is one, becomes the first of its change history.
 func (r Record) WithChange(data []byte, change value.Change) Record {
 	history := r.Current.History
 	if r.Current.Revision > 0 {
@@ -62,7 +62,8 @@
 
 // DecodeRecord decodes an entry; a missing entry gives a record of revision zero.
 //
-// The error is a value.ChangeRefused if the digest of the bytes is not that of the accepted change.
+// The error is a value.ChangeRefused if the digest of the document's bytes is not the one that the
+// record's change states.
 func DecodeRecord(e plat.Entry) (Record, error) {
 	if e.Revision == 0 {
 		return Record{}, nil
