--- a/io/lease/hold.go
+++ b/io/lease/hold.go
@@ -29,13 +29,13 @@
 
 // acquiredLease is a lease that this instance holds and that the duty's key is bound to.
 type acquiredLease struct {
-	id       plat.LeaseID
-	validity *policy.Cell[fleet.HeldLease]
+	id plat.LeaseID
+	// held has the fencing token and the time for which the lease is valid; renewals update it.
+	held *policy.Cell[fleet.HeldLease]
 }
 
 // acquire obtains a lease and binds the duty's key to it by compare-and-swap; the key's revision is
-// the fencing token. If the duty has a holder, the error is a conflict with the
-// present entry.
+// the fencing token. If the duty has a holder, the error is a plat.Conflict with the current entry.
 func (r *Runner) acquire(ctx context.Context, duty string) (acquiredLease, error) {
 	ctx, cancel := context.WithTimeout(ctx, r.Rule.Length-r.Rule.Margin)
 	defer cancel()
@@ -54,11 +54,11 @@
 		r.revoke(ctx, id)
 		return acquiredLease{}, fmt.Errorf("acquire duty %s: %w", duty, err)
 	}
-	return acquiredLease{id: id, validity: policy.NewCell(fleet.NewHeldLease(r.Rule, token, requested))}, nil
+	return acquiredLease{id: id, held: policy.NewCell(fleet.NewHeldLease(r.Rule, token, requested))}, nil
 }
 
-// readBack finds out whether a swap whose answer was lost took effect, and returns the key's
-// revision if it did.
+// readBack finds out whether a swap whose answer was lost took effect. It returns the key's
+// revision if it did, and otherwise a plat.Conflict with the current entry.
 func (r *Runner) readBack(ctx context.Context, key string, id plat.LeaseID) (int64, error) {
 	e, err := r.Store.Get(ctx, key)
 	if err != nil {
@@ -84,11 +84,12 @@
 	}
 	helpers.Go(func() { r.renewUntilEnd(dutyCtx, acquired, end) })
 	helpers.Go(func() { r.awaitLeaving(dutyCtx, end) })
-	err := duty.Run(dutyCtx, Term{rule: r.Rule, validity: acquired.validity})
+	err := duty.Run(dutyCtx, Term{rule: r.Rule, held: acquired.held})
 	stop()
 	helpers.Wait()
-	// Code that still has the term must not act on it any longer, because the next holder may start.
-	acquired.validity.Update(fleet.HeldLease.WithEnd)
+	// Code that still has the term must not act on it any longer, because the next holder may
+	// start.
+	acquired.held.Update(fleet.HeldLease.WithEnd)
 	r.recordEvent("DutyLeft", duty.Name, endReason.Get())
 	r.revoke(context.WithoutCancel(ctx), acquired.id)
 	if err != nil && !errors.Is(err, context.Canceled) {
@@ -101,7 +102,7 @@
 // expire in the key-value service.
 func (r *Runner) renewUntilEnd(ctx context.Context, acquired acquiredLease, end func(value.Reason)) {
 	for {
-		remaining := acquired.validity.Get().Remaining(time.Now())
+		remaining := acquired.held.Get().Remaining(time.Now())
 		if remaining <= 0 {
 			end(ReasonEnded)
 			return
@@ -120,7 +121,7 @@
 // renewOnce renews the lease. The call must end within the renewal interval, so that a failed one
 // can be retried, and within the term.
 func (r *Runner) renewOnce(ctx context.Context, acquired acquiredLease) error {
-	remaining := acquired.validity.Get().Remaining(time.Now())
+	remaining := acquired.held.Get().Remaining(time.Now())
 	ctx, cancel := context.WithTimeout(ctx, min(r.Rule.Renew, max(remaining, 0)))
 	defer cancel()
 	sent := time.Now()
@@ -128,8 +129,8 @@
 	if err != nil {
 		return fmt.Errorf("renew lease: %w", err)
 	}
-	acquired.validity.Update(func(t fleet.HeldLease) fleet.HeldLease {
-		return t.WithRenewal(r.Rule, sent, ttl, time.Now())
+	acquired.held.Update(func(h fleet.HeldLease) fleet.HeldLease {
+		return h.WithRenewal(r.Rule, sent, ttl, time.Now())
 	})
 	return nil
 }
--- a/io/lease/placer.go
+++ b/io/lease/placer.go
@@ -15,7 +15,8 @@
 // PlacerConfig configures the placement duty.
 type PlacerConfig struct {
 	Snapshot func() state.State
-	// Demand returns the present demand and sessions; the placer sets Loads from the weight store.
+	// Demand returns the current demand and sessions; the placer sets MaxLoads from the weight
+	// store.
 	Demand     func() query.PlacementDemand
 	Weights    plat.WeightStore
 	Reconciler Reconciler
@@ -31,7 +32,7 @@
 func NewPlacement(config PlacerConfig) (Duty, error) {
 	switch {
 	case config.Snapshot == nil || config.Demand == nil || config.Weights == nil || config.Reconciler.Commander == nil || config.Record == nil:
-		return Duty{}, errors.New("placement: a function, Weights or Reconciler is not set")
+		return Duty{}, errors.New("placement: Snapshot, Demand, Weights, Reconciler.Commander or Record is not set")
 	case config.Interval <= 0 || config.Rule.VersionsPerServer < 1 || config.Rule.Domains < 1:
 		return Duty{}, errors.New("placement: Interval, VersionsPerServer and Domains must be positive")
 	}
--- a/io/lease/runner.go
+++ b/io/lease/runner.go
@@ -117,7 +117,7 @@
 	return false
 }
 
-// contend acquires and runs the duty, or waits until the present holder has released it.
+// contend acquires and runs the duty, or waits until the current holder has released it.
 func (r *Runner) contend(ctx context.Context, d Duty) error {
 	acquired, err := r.acquire(ctx, d.Name)
 	var conflict plat.Conflict
@@ -130,8 +130,8 @@
 	return r.serveTerm(ctx, d, acquired)
 }
 
-// awaitVacancy returns when the duty's key is deleted, when the watch ends, or after the time for
-// which the candidates stay the same.
+// awaitVacancy returns when the duty's key is deleted, when the watch ends, or after DutyRotation,
+// because the duty's candidates have changed by then.
 func (r *Runner) awaitVacancy(ctx context.Context, held plat.Entry) error {
 	ctx, cancel := context.WithTimeout(ctx, query.DutyRotation)
 	defer cancel()
