--- a/io/stage/collector.go
+++ b/io/stage/collector.go
@@ -16,7 +16,7 @@
 	"endivehitch/io/plat"
 )
 
-// CollectorConfig configures a Feeder.
+// CollectorConfig configures a Collector.
 type CollectorConfig struct {
 	// DrainCounts returns the attempts counted since its last call.
 	DrainCounts func() []value.AttemptCounts
@@ -28,7 +28,7 @@
 	Snapshot func() state.State
 	// Do runs a command in the control loop.
 	Do func(context.Context, Command) error
-	// ReportError is called with each error after which the feeder continues.
+	// ReportError is called with each error after which the collector continues.
 	ReportError func(error)
 	Now         func() time.Time
 	// Interval is the time between reads of the ratings, and the shortest time between reports of
@@ -36,29 +36,29 @@
 	Interval time.Duration
 }
 
-// Collector reports attempts to the instances that evaluate them, passes ratings to the control state
-// and takes the due steps of roll-outs.
+// Collector reports attempts to the instances that evaluate them, passes ratings to the control
+// state and takes the due steps of roll-outs.
 type Collector struct {
 	config CollectorConfig
 	// unsent holds the counts that have not been reported yet; only Run's goroutine accesses it.
 	unsent map[value.VersionKey]value.AttemptCounts
 }
 
-// NewCollector returns a feeder, or an error that names the missing setting.
+// NewCollector returns a collector, or an error that names the missing setting.
 func NewCollector(config CollectorConfig) (*Collector, error) {
 	switch {
 	case config.DrainCounts == nil:
-		return nil, errors.New("feeder: Drain is not set")
+		return nil, errors.New("collector: DrainCounts is not set")
 	case config.Snapshot == nil:
-		return nil, errors.New("feeder: Snapshot is not set")
+		return nil, errors.New("collector: Snapshot is not set")
 	case config.Do == nil:
-		return nil, errors.New("feeder: Do is not set")
+		return nil, errors.New("collector: Do is not set")
 	case config.ReportError == nil:
-		return nil, errors.New("feeder: Failed is not set")
+		return nil, errors.New("collector: ReportError is not set")
 	case config.Now == nil:
-		return nil, errors.New("feeder: Now is not set")
+		return nil, errors.New("collector: Now is not set")
 	case config.Interval <= 0:
-		return nil, errors.New("feeder: Every must be positive")
+		return nil, errors.New("collector: Interval must be positive")
 	}
 	return &Collector{config: config, unsent: make(map[value.VersionKey]value.AttemptCounts)}, nil
 }
@@ -68,28 +68,28 @@
 const ratingsPerCommand = 256
 
 // Run reads ratings and reports attempts until the context ends.
-func (f *Collector) Run(ctx context.Context) error {
+func (c *Collector) Run(ctx context.Context) error {
 	cursor := ""
-	reported := f.config.Now()
-	for clock.WaitFully(ctx, f.config.Interval) {
-		cursor = f.readRatings(ctx, cursor)
-		if now := f.config.Now(); now.Sub(reported) >= f.reportInterval() {
+	reported := c.config.Now()
+	for clock.WaitFully(ctx, c.config.Interval) {
+		cursor = c.readRatings(ctx, cursor)
+		if now := c.config.Now(); now.Sub(reported) >= c.reportInterval() {
 			reported = now
-			f.reportAttempts(ctx)
+			c.reportAttempts(ctx)
 		}
 	}
 	return nil
 }
 
-// TakeDueSteps takes the roll-out steps that are due. One instance of the fleet does this at a time; a
-// second one does no harm, because steps are idempotent.
-func (f *Collector) TakeDueSteps(ctx context.Context) error {
-	for _, d := range query.DueSteps(f.config.Snapshot(), f.config.Now()) {
-		var c Command = cmds.AdvanceRollOut{Name: d.RollOut, Stage: d.Stage}
+// TakeDueSteps takes the roll-out steps that are due. One instance of the fleet does this at a
+// time; a second one does no harm, because steps are idempotent.
+func (c *Collector) TakeDueSteps(ctx context.Context) error {
+	for _, d := range query.DueSteps(c.config.Snapshot(), c.config.Now()) {
+		var command Command = cmds.AdvanceRollOut{Name: d.RollOut, Stage: d.Stage}
 		if d.Withdraw != "" {
-			c = cmds.WithdrawVersion{Version: d.Withdraw, Reason: d.Reason}
+			command = cmds.WithdrawVersion{Version: d.Withdraw, Reason: d.Reason}
 		}
-		if err := f.config.Do(ctx, c); err != nil {
+		if err := c.config.Do(ctx, command); err != nil {
 			return fmt.Errorf("take step of roll-out %s: %w", d.RollOut, err)
 		}
 	}
@@ -98,13 +98,13 @@
 
 // readRatings passes new ratings to the control state and returns the cursor after them, or the
 // same cursor if they could not be read or passed on.
-func (f *Collector) readRatings(ctx context.Context, cursor string) string {
-	if f.config.Ratings == nil {
+func (c *Collector) readRatings(ctx context.Context, cursor string) string {
+	if c.config.Ratings == nil {
 		return cursor
 	}
-	entries, next, err := f.config.Ratings.Ratings(ctx, cursor)
+	entries, next, err := c.config.Ratings.Ratings(ctx, cursor)
 	if err != nil {
-		f.reportError(ctx, fmt.Errorf("read ratings: %w", err))
+		c.reportError(ctx, fmt.Errorf("read ratings: %w", err))
 		return cursor
 	}
 	if len(entries) == 0 {
@@ -115,9 +115,9 @@
 		ratings[i] = value.Rating{Kind: r.Kind, Version: r.Version, Accepted: r.Accepted, Rate: r.Rate, At: r.At}
 	}
 	for batch := range slices.Chunk(ratings, ratingsPerCommand) {
-		if err := f.config.Do(ctx, cmds.ObserveRatings{Ratings: batch}); err != nil {
+		if err := c.config.Do(ctx, cmds.ObserveRatings{Ratings: batch}); err != nil {
 			// The control loop has ended, so the remaining batches would fail too.
-			f.reportError(ctx, err)
+			c.reportError(ctx, err)
 			return cursor
 		}
 	}
@@ -125,8 +125,8 @@
 }
 
 // reportError passes on an error, unless the context has ended.
-func (f *Collector) reportError(ctx context.Context, err error) {
+func (c *Collector) reportError(ctx context.Context, err error) {
 	if err != nil && ctx.Err() == nil {
-		f.config.ReportError(err)
+		c.config.ReportError(err)
 	}
 }
--- a/io/stage/report.go
+++ b/io/stage/report.go
@@ -39,18 +39,18 @@
 )
 
 // Register registers the method by which other instances report attempts.
-func (f *Collector) Register(r peer.Registrar) error {
-	if err := methodRuns.Serve(r, f.handleReport); err != nil {
+func (c *Collector) Register(r peer.Registrar) error {
+	if err := methodRuns.Serve(r, c.handleReport); err != nil {
 		return fmt.Errorf("register method for attempt reports: %w", err)
 	}
 	return nil
 }
 
 // handleReport passes another instance's attempts to the control state.
-func (f *Collector) handleReport(w wireRuns) (wireTaken, error) {
+func (c *Collector) handleReport(w wireRuns) (wireTaken, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 	defer cancel()
-	if err := f.config.Do(ctx, cmds.ObserveAttempts{Counts: []value.AttemptCounts{value.AttemptCounts(w)}}); err != nil {
+	if err := c.config.Do(ctx, cmds.ObserveAttempts{Counts: []value.AttemptCounts{value.AttemptCounts(w)}}); err != nil {
 		return wireTaken{}, err
 	}
 	return wireTaken{Total: w.Total}, nil
@@ -59,35 +59,35 @@
 // reportAttempts reports each version's attempts to the instance that evaluates it, which is the
 // owner of the version's hash slot. One test thus counts the attempts of the whole fleet; separate
 // tests at each instance would each need as many attempts, and their false alarms would add up.
-func (f *Collector) reportAttempts(ctx context.Context) {
-	for _, counts := range f.config.DrainCounts() {
-		f.unsent[counts.Version] = f.unsent[counts.Version].WithCounts(counts)
+func (c *Collector) reportAttempts(ctx context.Context) {
+	for _, counts := range c.config.DrainCounts() {
+		c.unsent[counts.Version] = c.unsent[counts.Version].WithCounts(counts)
 	}
-	for key, counts := range f.unsent {
-		err := f.send(ctx, counts)
+	for key, counts := range c.unsent {
+		err := c.send(ctx, counts)
 		if errors.Is(err, peer.ErrUnreachable) {
-			// The counts stay in unsent for the next report. By then another instance may own the version's
-			// hash slot.
-			f.reportError(ctx, err)
+			// The counts stay in unsent for the next report. By then another instance may own the
+			// version's hash slot.
+			c.reportError(ctx, err)
 			continue
 		}
-		// After any other error the report may have arrived. It is not sent again, because attempts that
-		// are counted twice could cause a false alarm.
-		f.reportError(ctx, err)
-		delete(f.unsent, key)
+		// After any other error the report may have arrived. It is not sent again, because attempts
+		// that are counted twice could cause a false alarm.
+		c.reportError(ctx, err)
+		delete(c.unsent, key)
 	}
 }
 
 // send passes the attempts to the evaluating instance, which may be this one.
-func (f *Collector) send(ctx context.Context, counts value.AttemptCounts) error {
-	s := f.config.Snapshot()
+func (c *Collector) send(ctx context.Context, counts value.AttemptCounts) error {
+	s := c.config.Snapshot()
 	owner, ok := query.Owner(s, query.Slot(string(counts.Version)))
-	if !ok || owner.ID == s.Self.ID || f.config.Caller == nil {
-		return f.config.Do(ctx, cmds.ObserveAttempts{Counts: []value.AttemptCounts{counts}})
+	if !ok || owner.ID == s.Self.ID || c.config.Caller == nil {
+		return c.config.Do(ctx, cmds.ObserveAttempts{Counts: []value.AttemptCounts{counts}})
 	}
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	if _, err := methodRuns.Call(ctx, f.config.Caller, owner, wireRuns(counts)); err != nil {
+	if _, err := methodRuns.Call(ctx, c.config.Caller, owner, wireRuns(counts)); err != nil {
 		return fmt.Errorf("report attempts of %s: %w", counts.Version, err)
 	}
 	return nil
@@ -98,7 +98,7 @@
 //
 // It does not depend on the counts: if failures were reported earlier than successes, the test
 // would overestimate the error rate.
-func (f *Collector) reportInterval() time.Duration {
-	instances := time.Duration(f.config.Snapshot().LiveInstances())
-	return max(f.config.Interval, instances*time.Second/maxReportsPerSecond)
+func (c *Collector) reportInterval() time.Duration {
+	instances := time.Duration(c.config.Snapshot().LiveInstances())
+	return max(c.config.Interval, instances*time.Second/maxReportsPerSecond)
 }
--- a/io/stage/stage_test.go
+++ b/io/stage/stage_test.go
@@ -45,13 +45,13 @@
 	mesh    *fakes.Mesh
 }
 
-// instance is a control state with a keeper and a feeder.
+// instance is a control state with a persister and a collector.
 type instance struct {
-	mu     sync.Mutex
-	state  state.State
-	keeper *stage.Persister
-	feeder *stage.Collector
-	counts []value.AttemptCounts
+	mu        sync.Mutex
+	state     state.State
+	persister *stage.Persister
+	collector *stage.Collector
+	counts    []value.AttemptCounts
 }
 
 func start(ctx context.Context, t *testing.T, f fixture, id value.InstanceID) *instance {
@@ -64,18 +64,18 @@
 	port := f.mesh.Join(self)
 	assert.NilError(t, inst.do(ctx, cmds.InstallConfig{Accepted: value.AcceptedDocument{Document: document(), Revision: 1}}))
 	var err error
-	inst.keeper, err = stage.NewPersister(stage.PersisterConfig{
+	inst.persister, err = stage.NewPersister(stage.PersisterConfig{
 		Store: f.store, Environment: "trial", Do: inst.do, ReportError: func(error) {},
 		RetryDelay: func(int) time.Duration { return time.Second },
 	})
 	assert.NilError(t, err)
-	inst.feeder, err = stage.NewCollector(stage.CollectorConfig{
+	inst.collector, err = stage.NewCollector(stage.CollectorConfig{
 		DrainCounts: inst.drain, Ratings: f.ratings, Caller: port, Snapshot: inst.snapshot, Do: inst.do,
 		ReportError: func(error) {}, Now: time.Now, Interval: time.Second,
 	})
 	assert.NilError(t, err)
-	assert.NilError(t, inst.feeder.Register(port))
-	for _, run := range []func(context.Context) error{inst.keeper.Run, inst.followStore(f.store), inst.feeder.Run} {
+	assert.NilError(t, inst.collector.Register(port))
+	for _, run := range []func(context.Context) error{inst.persister.Run, inst.followStore(f.store), inst.collector.Run} {
 		go func() { assert.Check(t, run(ctx)) }()
 	}
 	return inst
@@ -87,8 +87,8 @@
 	i.state = next
 	i.mu.Unlock()
 	for _, e := range effects {
-		if i.keeper != nil {
-			i.keeper.Enqueue(e)
+		if i.persister != nil {
+			i.persister.Enqueue(e)
 		}
 	}
 	return nil
@@ -185,9 +185,9 @@
 		}
 		settle()
 		// Both instances take the step; the second one finds it taken.
-		assert.NilError(t, a.feeder.TakeDueSteps(ctx))
+		assert.NilError(t, a.collector.TakeDueSteps(ctx))
 		settle()
-		assert.NilError(t, b.feeder.TakeDueSteps(ctx))
+		assert.NilError(t, b.collector.TakeDueSteps(ctx))
 		settle()
 		c := start(ctx, t, f, "c")
 		settle()
