--- a/io/node/components.go
+++ b/io/node/components.go
@@ -22,31 +22,31 @@
 )
 
 const (
-	storeTimeout         = 2 * time.Second
-	storeBurst           = 16
-	maxQueuedStoreCalls  = 1024
-	maxStoreWatches      = 64
-	maxStoreAttempts     = 4
-	storeRetryRate       = 5
-	backoffFirst         = 50 * time.Millisecond
-	backoffLimit         = 5 * time.Second
-	maxJournalBytes      = 512 << 10
-	maxAnswerBytes       = 8 << 10
-	journalRetention     = 24 * time.Hour
-	claimAbandonAfter    = 30 * time.Second
-	journalWriteInterval = 20 * time.Millisecond
-	maxJournalGroup      = 256
-	maxQueuedClaims      = 1024
-	ownerTimeout         = time.Second
-	settleWait           = 2 * time.Second
-	maxSettleBacklog     = 4096
-	billCopies           = 1
-	billKeepTimeout      = 5 * time.Second
-	maxBillBacklog       = 16384
-	maxSegmentBytes      = 256 << 10
+	storeTimeout          = 2 * time.Second
+	storeBurst            = 16
+	maxQueuedStoreCalls   = 1024
+	maxStoreWatches       = 64
+	maxStoreAttempts      = 4
+	storeRetriesPerSecond = 5
+	initialBackoff        = 50 * time.Millisecond
+	maxBackoff            = 5 * time.Second
+	maxJournalBytes       = 512 << 10
+	maxAnswerBytes        = 8 << 10
+	journalRetention      = 24 * time.Hour
+	claimAbandonAfter     = 30 * time.Second
+	journalWriteInterval  = 20 * time.Millisecond
+	maxJournalGroup       = 256
+	maxQueuedClaims       = 1024
+	ownerTimeout          = time.Second
+	claimRecordWait       = 2 * time.Second
+	maxClaimBacklog       = 4096
+	minBillCopies         = 1
+	billStoreTimeout      = 5 * time.Second
+	maxBillBacklog        = 16384
+	maxSegmentBytes       = 256 << 10
 )
 
-// components holds the parts of the node that request flow and duties build on.
+// components holds the parts of the node that the request flow and the duties use.
 type components struct {
 	// store is the key-value service, limited to the instance's call budget.
 	store *plat.LimitedStore
@@ -60,7 +60,7 @@
 }
 
 func newComponents(c Config, control *controlLoop) (*components, error) {
-	store, err := newStoreBudget(c)
+	store, err := newLimitedStore(c)
 	if err != nil {
 		return nil, err
 	}
@@ -80,12 +80,13 @@
 }
 
 func retryBackoff() policy.Backoff {
-	return policy.Backoff{InitialDelay: backoffFirst, MaxDelay: backoffLimit}
+	return policy.Backoff{InitialDelay: initialBackoff, MaxDelay: maxBackoff}
 }
 
-// newStoreBudget limits all calls of the instance to the key-value service to one budget.
-func newStoreBudget(c Config) (*plat.LimitedStore, error) {
-	b, err := plat.NewLimitedStore(plat.LimitedStoreConfig{
+// newLimitedStore returns the store client through which the instance makes all its calls to the
+// key-value service, so that they share one budget.
+func newLimitedStore(c Config) (*plat.LimitedStore, error) {
+	store, err := plat.NewLimitedStore(plat.LimitedStoreConfig{
 		Store:            c.Store,
 		Reads:            c.StoreRates.Reads,
 		Writes:           c.StoreRates.Writes,
@@ -94,14 +95,14 @@
 		MaxWatches:       maxStoreWatches,
 		Timeout:          storeTimeout,
 		MaxAttempts:      maxStoreAttempts,
-		RetriesPerSecond: storeRetryRate,
+		RetriesPerSecond: storeRetriesPerSecond,
 		Backoff:          retryBackoff(),
 		Seed:             c.Seed,
 	})
 	if err != nil {
-		return nil, fmt.Errorf("create call budget of key-value service: %w", err)
+		return nil, fmt.Errorf("create limited client of key-value service: %w", err)
 	}
-	return b, nil
+	return store, nil
 }
 
 func (p *components) addGossip(c Config, control *controlLoop) error {
@@ -141,8 +142,8 @@
 		MaxQueue:      maxQueuedClaims,
 		OwnerTimeout:  ownerTimeout,
 		StoreTimeout:  storeTimeout,
-		RecordWait:    settleWait,
-		MaxBacklog:    maxSettleBacklog,
+		RecordWait:    claimRecordWait,
+		MaxBacklog:    maxClaimBacklog,
 		Backoff:       retryBackoff(),
 		NewToken:      uuid.NewString,
 		Seed:          c.Seed,
@@ -164,9 +165,9 @@
 		Caller:          p.client,
 		Holders:         func() []value.Instance { return query.BillReplicas(control.Snapshot()) },
 		NeedsTakeover:   control.needsBillTakeover,
-		MinCopies:       billCopies,
+		MinCopies:       minBillCopies,
 		FlushInterval:   func() time.Duration { return query.FlushInterval(control.Snapshot()) },
-		StoreTimeout:    billKeepTimeout,
+		StoreTimeout:    billStoreTimeout,
 		CallTimeout:     storeTimeout,
 		MaxBacklog:      maxBillBacklog,
 		MaxSegmentBytes: maxSegmentBytes,
--- a/io/node/config.go
+++ b/io/node/config.go
@@ -23,8 +23,8 @@
 	Keys   map[string]value.AccountName
 	Signer *front.Signer
 	Runner engine.Runner
-	// Reporter reads the load reports of backend servers. Without one, the instance relies on its own
-	// observations.
+	// Reporter reads the load reports of backend servers. Without one, the instance relies on its
+	// own observations.
 	Reporter engine.Reporter
 	// Judge assesses the answers of cascades. Without one, no cascade is run.
 	Judge flow.Judge
@@ -42,11 +42,13 @@
 	Seed    uint64
 	// TLS, if set, is used for connections from callers.
 	TLS *tls.Config
-	// ShutdownGrace is how long requests in flight may take to finish after the node has begun to leave.
+	// ShutdownGrace is how long requests in flight may take to finish after the node has begun to
+	// leave.
 	ShutdownGrace time.Duration
 }
 
-// StoreRates holds the maximum numbers of calls per second to the key-value service by one instance.
+// StoreRates holds the numbers of calls per second that one instance may make to the key-value
+// service.
 type StoreRates struct {
 	Reads  float64
 	Writes float64
@@ -55,7 +57,8 @@
 // Peers configures the connections between the instances of the fleet.
 type Peers struct {
 	Listener net.Listener
-	// Server and Client are the TLS settings for incoming and outgoing connections; nil means no TLS.
+	// Server and Client are the TLS settings for incoming and outgoing connections; nil means no
+	// TLS.
 	Server *tls.Config
 	Client *tls.Config
 }
--- a/io/node/duties.go
+++ b/io/node/duties.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// feedInterval is how often new attempts and ratings are passed to the control state.
-	feedInterval = time.Second
+	// collectInterval is how often new attempts and ratings are passed to the control state.
+	collectInterval = time.Second
 	// stepInterval is how often the roll-outs are checked for steps that are due.
 	stepInterval = 2 * time.Second
 )
@@ -27,13 +27,13 @@
 	return "endivehitch/" + string(e) + "/duty/"
 }
 
-// duties holds the components that work on roll-outs. A duty is a singleton task: it is run by the
-// one instance of the fleet that holds its lease.
+// duties holds the components that work on roll-outs, and the runner of duties. A duty is a
+// singleton task: it is run by the one instance of the fleet that holds its lease.
 type duties struct {
-	// keeper stores the positions of roll-outs and the withdrawals of versions.
-	keeper *stage.Persister
-	// feeder passes attempts and ratings to the control state and takes the steps that are due.
-	feeder *stage.Collector
+	// persister stores the positions of roll-outs and the withdrawals of versions.
+	persister *stage.Persister
+	// collector passes attempts and ratings to the control state and takes the steps that are due.
+	collector *stage.Collector
 	// runner acquires leases and runs their duties.
 	runner *lease.Runner
 }
@@ -41,30 +41,30 @@
 func (n *Node) newDuties() (*duties, error) {
 	d := &duties{}
 	var err error
-	failed := func(err error) { n.config.Log.Warn("RollOutFailed", zap.Error(err)) }
-	if d.keeper, err = stage.NewPersister(stage.PersisterConfig{
+	reportError := func(err error) { n.config.Log.Warn("RollOutFailed", zap.Error(err)) }
+	if d.persister, err = stage.NewPersister(stage.PersisterConfig{
 		Store:       n.components.store,
 		Environment: n.config.Environment,
 		Do:          n.control.Do,
-		ReportError: failed,
+		ReportError: reportError,
 		RetryDelay:  n.newRetryDelay(),
 	}); err != nil {
-		return nil, fmt.Errorf("create roll-out keeper: %w", err)
+		return nil, fmt.Errorf("create roll-out persister: %w", err)
 	}
-	if d.feeder, err = stage.NewCollector(stage.CollectorConfig{
+	if d.collector, err = stage.NewCollector(stage.CollectorConfig{
 		DrainCounts: n.flow.TakeAttemptCounts,
 		Ratings:     n.config.Ratings,
 		Caller:      n.components.client,
 		Snapshot:    n.control.Snapshot,
 		Do:          n.control.Do,
-		ReportError: failed,
+		ReportError: reportError,
 		Now:         time.Now,
-		Interval:    feedInterval,
+		Interval:    collectInterval,
 	}); err != nil {
-		return nil, fmt.Errorf("create roll-out feeder: %w", err)
+		return nil, fmt.Errorf("create roll-out collector: %w", err)
 	}
-	if err = d.feeder.Register(n.components.server); err != nil {
-		return nil, fmt.Errorf("register RPC of roll-out feeder: %w", err)
+	if err = d.collector.Register(n.components.server); err != nil {
+		return nil, fmt.Errorf("register RPC of roll-out collector: %w", err)
 	}
 	if d.runner, err = lease.New(lease.Config{
 		Observer: n.control,
@@ -94,7 +94,7 @@
 		if !t.IsValid(time.Now()) {
 			return lease.ErrTermEnded
 		}
-		if err := d.feeder.TakeDueSteps(ctx); err != nil {
+		if err := d.collector.TakeDueSteps(ctx); err != nil {
 			return err
 		}
 	}
@@ -105,6 +105,6 @@
 func (n *Node) newRetryDelay() func(int) time.Duration {
 	rnd := newRand(n.config.Seed)
 	return func(failures int) time.Duration {
-		return policy.Backoff{InitialDelay: backoffFirst, MaxDelay: backoffLimit}.WithFailures(failures).Delay(rnd)
+		return policy.Backoff{InitialDelay: initialBackoff, MaxDelay: maxBackoff}.WithFailures(failures).Delay(rnd)
 	}
 }
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -150,8 +150,8 @@
 	return n.recorder.ForRequest(id)
 }
 
-// FindDecisions returns the decisions about the request, oldest first: those of this instance or, if it has
-// none, those of another instance that still stores some.
+// FindDecisions returns the decisions about the request, oldest first: those of this instance or,
+// if it has none, those of another instance that still stores some.
 func (n *Node) FindDecisions(ctx context.Context, id value.RequestID) ([]value.Decision, error) {
 	return n.finder.Find(ctx, id)
 }
@@ -186,7 +186,7 @@
 func (n *Node) dispatchEffects() {
 	for e := range n.control.loop.Effects() {
 		n.components.gossip.Handle(e)
-		n.duties.keeper.Enqueue(e)
+		n.duties.persister.Enqueue(e)
 		n.recordEvent(e)
 	}
 }
--- a/io/node/run.go
+++ b/io/node/run.go
@@ -23,8 +23,8 @@
 	idleTimeout       = 90 * time.Second
 	// flushPendingTimeout limits the last writes of an instance that leaves.
 	flushPendingTimeout = 10 * time.Second
-	// reportInterval and reportBatchSize limit the rate at which load reports are read, independently
-	// of the number of backend servers.
+	// reportInterval and reportBatchSize limit the rate at which load reports are read,
+	// independently of the number of backend servers.
 	reportInterval  = time.Second
 	reportBatchSize = 4
 )
@@ -32,8 +32,8 @@
 // Run serves callers on the listener until the context ends. It then lets requests in flight finish
 // and stores their bills and the ends of their claims.
 func (n *Node) Run(ctx context.Context, l net.Listener) error {
-	// The control loop and the RPC connections must outlive ctx, because requests in flight still need
-	// them.
+	// The control loop and the RPC connections must outlive ctx, because requests in flight still
+	// need them.
 	parent, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	g, controlCtx := errgroup.WithContext(parent)
@@ -99,11 +99,11 @@
 }
 
 // startDuties starts the work on roll-outs. Leases and their duties end with ctx, before requests
-// in flight are finished; the keeper and the feeder run until controlCtx ends.
+// in flight are finished; the persister and the collector run until controlCtx ends.
 func (n *Node) startDuties(ctx, controlCtx context.Context, g *errgroup.Group) {
 	d := n.duties
-	g.Go(func() error { return d.keeper.Run(controlCtx) })
-	g.Go(func() error { return d.feeder.Run(controlCtx) })
+	g.Go(func() error { return d.persister.Run(controlCtx) })
+	g.Go(func() error { return d.collector.Run(controlCtx) })
 	serving, stop := context.WithCancel(ctx)
 	context.AfterFunc(controlCtx, stop)
 	g.Go(func() error { return ignoreIfCancelled(serving, d.runner.Run(serving)) })
