--- a/io/clock/clock.go
+++ b/io/clock/clock.go
@@ -20,8 +20,8 @@
 	}
 }
 
-// WaitFully waits like Wait, as the condition of a loop: it reports whether the duration passed before
-// the context ended.
+// WaitFully waits like Wait, for use as the condition of a loop: it reports whether the duration
+// passed before the context ended.
 func WaitFully(ctx context.Context, d time.Duration) bool {
 	return Wait(ctx, d) == nil
 }
--- a/io/clock/clock_test.go
+++ b/io/clock/clock_test.go
@@ -19,6 +19,6 @@
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		assert.ErrorIs(t, clock.Wait(ctx, time.Minute), context.DeadlineExceeded)
-		assert.Assert(t, !clock.WaitFully(ctx, 0), "must report false once the context has ended, even without a duration")
+		assert.Assert(t, !clock.WaitFully(ctx, 0), "must report false once the context has ended, even for a duration of zero")
 	})
 }
