--- a/io/httpd/doc.go
+++ b/io/httpd/doc.go
@@ -1,2 +1,2 @@
-// Package httpd runs HTTP servers until a context ends; Until is its only function.
+// Package httpd runs HTTP servers until a context ends; ServeUntil is its only function.
 package httpd
--- a/io/httpd/until.go
+++ b/io/httpd/until.go
@@ -7,8 +7,9 @@
 	"net/http"
 )
 
-// ServeUntil serves the listener until the context ends; it then calls stop to shut the server down, and
-// returns its error. If the server fails first, Until returns that error without calling stop.
+// ServeUntil serves the listener until the context ends; it then calls stop to shut the server down,
+// and returns the error of stop. If the server fails first, ServeUntil returns the server's error
+// without calling stop.
 func ServeUntil(ctx context.Context, server *http.Server, listener net.Listener, stop func(*http.Server) error) error {
 	failed := make(chan error, 1)
 	go func() { failed <- server.Serve(listener) }()
--- a/io/httpd/until_test.go
+++ b/io/httpd/until_test.go
@@ -14,7 +14,7 @@
 
 var errStopped = errors.New("stopped")
 
-func TestUntilStopsOnContextEndOrServeError(t *testing.T) {
+func TestServeUntilStopsOnContextEndOrServeError(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	ctx, cancel := context.WithCancel(t.Context())
