--- a/io/plat/budget.go
+++ b/io/plat/budget.go
@@ -63,7 +63,7 @@
 	OpenWatches int64
 	// Coalesced is the number of reads that shared the call of another one in flight.
 	Coalesced int64
-	// Retries is the number of reads that were sent again.
+	// Retries is the number of times that a read was retried.
 	Retries int64
 	// Throttled is the number of calls that were rejected.
 	Throttled int64
--- a/io/plat/store.go
+++ b/io/plat/store.go
@@ -110,7 +110,7 @@
 	Revoke(ctx context.Context, id LeaseID) error
 }
 
-// Store is the whole key-value service.
+// Store has all operations of the key-value service.
 type Store interface {
 	Reader
 	Writer
