--- a/io/conf/record.go
+++ b/io/conf/record.go
@@ -19,8 +19,8 @@
 	Current value.CurrentRecord
 }
 
-// wireRecord is the record's format. It holds the document's bytes unchanged, so that their digest
-// stays valid.
+// wireRecord is the record's format; its Trail is the change history. It holds the document's bytes
+// unchanged, so that their digest stays valid.
 type wireRecord struct {
 	Change   wireChange
 	Trail    []wireChange
