--- a/io/lease/hold.go
+++ b/io/lease/hold.go
@@ -21,7 +21,8 @@
 	ReasonVacant value.Reason = "DutyVacant"
 	// ReasonEnded means that the lease was lost or could not be renewed in time.
 	ReasonEnded value.Reason = "TermEnded"
-	// ReasonDone means that the duty's Run function returned.
+	// ReasonDone means that the duty's Run function returned, by itself or because the context of
+	// the Runner ended.
 	ReasonDone value.Reason = "DutyDone"
 	// ReasonLeaving means that this instance is shutting down.
 	ReasonLeaving value.Reason = "InstanceLeaving"
