--- a/core/query/doc.go
+++ b/core/query/doc.go
@@ -11,8 +11,8 @@
 // an outlier. Their estimates come from History, MedianDuration and Throughput, which the caller
 // keeps up to date.
 //
-// Other queries serve the control side: PlanPlacement (placement of versions on servers), Due (steps
-// of roll-outs), View and Updates (gossip), Owner and IsDutyCandidate (division of work among the
-// instances), BillReplicas and Reconcile (bills), OutcomeOf and Promote (changes to the
+// Other queries serve the control side: PlanPlacement (placement of versions on servers), DueSteps
+// (steps of roll-outs), View and Updates (gossip), Owner and IsDutyCandidate (division of work among
+// the instances), BillReplicas and Reconcile (bills), OutcomeOf and Promote (changes to the
 // configuration), Report and Explain (answers to operators).
 package query
--- a/core/query/limit.go
+++ b/core/query/limit.go
@@ -15,8 +15,8 @@
 	shortReserve = 0.25
 )
 
-// LimiterConfigFor returns how the instance limits its concurrent requests at each server of the pool, and
-// false if the pool sets no limit.
+// LimiterConfigFor returns the configuration by which the instance limits its concurrent requests at
+// each server of the pool, and false if the pool sets no limit.
 //
 // The pool's limit applies to one server. Each live instance starts with an equal part of it and
 // adapts to the observed latency, so that an instance with more demand uses capacity that others
--- a/core/query/placement.go
+++ b/core/query/placement.go
@@ -20,7 +20,7 @@
 
 // PlacementRule configures the placement of versions on backend servers.
 type PlacementRule struct {
-	// VersionsPerServer is how many versions one server can carry.
+	// VersionsPerServer is how many versions one server can have loaded.
 	VersionsPerServer int
 	// Domains is in how many failure domains each version is to be loaded, if the pool has as many.
 	Domains int
@@ -32,7 +32,7 @@
 	Demand map[value.VersionKey]float64
 	// Sessions counts the sessions that are pinned to each version.
 	Sessions map[value.VersionKey]int
-	// MaxLoads is how many loads the weight store allows now.
+	// MaxLoads is how many loads the store of model weights allows now.
 	MaxLoads int
 }
 
@@ -57,8 +57,8 @@
 		state:    s,
 		rule:     r,
 		demand:   demand,
-		carried:  make(map[value.ServerID][]value.VersionKey),
-		carriers: make(map[value.VersionKey][]value.BackendServer),
+		versions: make(map[value.ServerID][]value.VersionKey),
+		servers:  make(map[value.VersionKey][]value.BackendServer),
 		domains:  make(map[value.PoolName]int),
 	}
 	for _, pool := range s.Config.Document.Pools {
@@ -73,26 +73,25 @@
 	state  state.State
 	rule   PlacementRule
 	demand PlacementDemand
-	// carried holds the versions of each server, and carriers the servers of each version, that the
-	// orders so far change; the others are as in the state.
-	carried  map[value.ServerID][]value.VersionKey
-	carriers map[value.VersionKey][]value.BackendServer
+	// versions, by server, and servers, by version, hold what the orders so far change; the rest is
+	// as in the state.
+	versions map[value.ServerID][]value.VersionKey
+	servers  map[value.VersionKey][]value.BackendServer
 	// domains counts each pool's failure domains.
 	domains map[value.PoolName]int
 }
 
 // plannedVersions returns the versions on the server once the orders so far are carried out.
 func (p *planner) plannedVersions(b value.BackendServer) []value.VersionKey {
-	if changed, ok := p.carried[b.ID]; ok {
+	if changed, ok := p.versions[b.ID]; ok {
 		return changed
 	}
 	return b.Versions
 }
 
-// plannedCarriers returns the servers that carry the version once the orders so far are carried
-// out.
-func (p *planner) plannedCarriers(k value.VersionKey) []value.BackendServer {
-	if changed, ok := p.carriers[k]; ok {
+// plannedServers returns the servers that have the version once the orders so far are carried out.
+func (p *planner) plannedServers(k value.VersionKey) []value.BackendServer {
+	if changed, ok := p.servers[k]; ok {
 		return changed
 	}
 	return p.state.VersionServers(k)
@@ -110,7 +109,7 @@
 			continue
 		}
 		for _, k := range b.Versions {
-			if !p.state.IsWithdrawn(k) || p.isLastCarrierForSessions(k) {
+			if !p.state.IsWithdrawn(k) || p.isLastServerForSessions(k) {
 				continue
 			}
 			orders = append(orders, p.unload(b, k, ReasonWithdrawn))
@@ -119,8 +118,8 @@
 	return orders
 }
 
-// load returns the orders for the most urgent needs, with at most as many loads as the weight store
-// allows.
+// load returns the orders for the most urgent needs, with at most as many loads as the store of
+// model weights allows.
 func (p *planner) load() []Placement {
 	var orders []Placement
 	for remaining := p.demand.MaxLoads; remaining > 0; {
@@ -137,12 +136,12 @@
 	return orders
 }
 
-// need is a version that lacks carriers, with the server that should load it.
+// need is a version that too few servers have, with the server that should load it.
 type need struct {
 	version value.VersionKey
 	pool    value.PoolName
 	reason  value.Reason
-	// shortage is the version's demand for each server that carries it.
+	// shortage is the version's demand for each server that has it.
 	shortage float64
 	server   value.BackendServer
 	// evict is the version to unload first to free capacity, or empty.
@@ -159,8 +158,8 @@
 	return need{}, false
 }
 
-// needs returns the versions that lack carriers, the most urgent first; no servers are assigned
-// yet.
+// needs returns the versions that too few servers have, the most urgent first; no servers are
+// assigned yet.
 func (p *planner) needs() []need {
 	var needs []need
 	for _, m := range p.state.Config.Document.Models {
@@ -178,14 +177,14 @@
 	if p.state.IsWithdrawn(k) {
 		return need{}, false
 	}
-	carriers := p.plannedCarriers(k)
-	n := need{version: k, pool: v.Pool, shortage: p.demand.Demand[k] / float64(max(1, len(carriers)))}
+	servers := p.plannedServers(k)
+	n := need{version: k, pool: v.Pool, shortage: p.demand.Demand[k] / float64(max(1, len(servers)))}
 	switch {
-	case len(carriers) == 0:
+	case len(servers) == 0:
 		n.reason = ReasonNoCarrier
-	case countDomains(carriers) < p.requiredDomains(v.Pool):
+	case countDomains(servers) < p.requiredDomains(v.Pool):
 		n.reason = ReasonTooFewDomains
-	case float64(len(carriers)) < math.Ceil(p.demand.Demand[k]):
+	case float64(len(servers)) < math.Ceil(p.demand.Demand[k]):
 		n.reason = ReasonDemandExceedsCarriers
 	default:
 		return need{}, false
@@ -203,29 +202,29 @@
 	)
 }
 
-// assignServer picks a server in the failure domain with the fewest carriers, and there the server
-// with the fewest versions.
+// assignServer picks a server in the failure domain where the fewest servers have the version, and
+// there the server with the fewest versions.
 func (p *planner) assignServer(n need) (need, bool) {
-	carriersByDomain := make(map[value.FailureDomain]int)
-	for _, b := range p.plannedCarriers(n.version) {
-		carriersByDomain[b.FailureDomain]++
+	serversByDomain := make(map[value.FailureDomain]int)
+	for _, b := range p.plannedServers(n.version) {
+		serversByDomain[b.FailureDomain]++
 	}
 	found := false
 	for _, b := range p.state.PoolServers(n.pool) {
 		evict, ok := p.evictionFor(b, n)
-		if !ok || n.reason == ReasonTooFewDomains && carriersByDomain[b.FailureDomain] > 0 {
+		if !ok || n.reason == ReasonTooFewDomains && serversByDomain[b.FailureDomain] > 0 {
 			continue
 		}
-		if !found || p.compareServers(b, n.server, carriersByDomain) < 0 {
+		if !found || p.compareServers(b, n.server, serversByDomain) < 0 {
 			n.server, n.evict, found = b, evict, true
 		}
 	}
 	return n, found
 }
 
-func (p *planner) compareServers(a, b value.BackendServer, carriersByDomain map[value.FailureDomain]int) int {
+func (p *planner) compareServers(a, b value.BackendServer, serversByDomain map[value.FailureDomain]int) int {
 	return cmp.Or(
-		cmp.Compare(carriersByDomain[a.FailureDomain], carriersByDomain[b.FailureDomain]),
+		cmp.Compare(serversByDomain[a.FailureDomain], serversByDomain[b.FailureDomain]),
 		cmp.Compare(len(p.plannedVersions(a)), len(p.plannedVersions(b))),
 		cmp.Compare(a.ID, b.ID),
 	)
@@ -234,14 +233,14 @@
 // evictionFor reports whether the server can take the version, and returns the version that has to
 // be unloaded first, if any.
 func (p *planner) evictionFor(b value.BackendServer, n need) (value.VersionKey, bool) {
-	carried := p.plannedVersions(b)
-	if slices.Contains(carried, n.version) {
+	versions := p.plannedVersions(b)
+	if slices.Contains(versions, n.version) {
 		return "", false
 	}
-	if len(carried) < p.rule.VersionsPerServer {
+	if len(versions) < p.rule.VersionsPerServer {
 		return "", true
 	}
-	for _, k := range carried {
+	for _, k := range versions {
 		if p.canEvict(b, k) {
 			return k, true
 		}
@@ -249,13 +248,13 @@
 	return "", false
 }
 
-// canEvict reports whether the version can be unloaded from the server without lacking carriers
-// itself.
+// canEvict reports whether enough other servers have the version for it to be unloaded from this
+// one.
 func (p *planner) canEvict(b value.BackendServer, k value.VersionKey) bool {
-	if p.isLastCarrierForSessions(k) {
+	if p.isLastServerForSessions(k) {
 		return false
 	}
-	remaining := withoutServer(p.plannedCarriers(k), b.ID)
+	remaining := withoutServer(p.plannedServers(k), b.ID)
 	if len(remaining) == 0 || countDomains(remaining) < p.requiredDomains(b.Pool) {
 		return false
 	}
@@ -266,20 +265,20 @@
 	if n.evict != "" {
 		return p.unload(n.server, n.evict, ReasonFreesCapacity)
 	}
-	p.carried[n.server.ID] = append(slices.Clone(p.plannedVersions(n.server)), n.version)
-	p.carriers[n.version] = append(slices.Clone(p.plannedCarriers(n.version)), n.server)
+	p.versions[n.server.ID] = append(slices.Clone(p.plannedVersions(n.server)), n.version)
+	p.servers[n.version] = append(slices.Clone(p.plannedServers(n.version)), n.server)
 	return Placement{Server: n.server, Version: n.version, Load: true, Reason: n.reason}
 }
 
 func (p *planner) unload(b value.BackendServer, k value.VersionKey, reason value.Reason) Placement {
-	p.carried[b.ID] = slices.DeleteFunc(slices.Clone(p.plannedVersions(b)), func(have value.VersionKey) bool { return have == k })
-	p.carriers[k] = withoutServer(p.plannedCarriers(k), b.ID)
+	p.versions[b.ID] = slices.DeleteFunc(slices.Clone(p.plannedVersions(b)), func(have value.VersionKey) bool { return have == k })
+	p.servers[k] = withoutServer(p.plannedServers(k), b.ID)
 	return Placement{Server: b, Version: k, Reason: reason}
 }
 
-// isLastCarrierForSessions reports whether the version has pinned sessions and at most one carrier.
-func (p *planner) isLastCarrierForSessions(k value.VersionKey) bool {
-	return p.demand.Sessions[k] > 0 && len(p.plannedCarriers(k)) <= 1
+// isLastServerForSessions reports whether the version has pinned sessions and at most one server.
+func (p *planner) isLastServerForSessions(k value.VersionKey) bool {
+	return p.demand.Sessions[k] > 0 && len(p.plannedServers(k)) <= 1
 }
 
 func withoutServer(list []value.BackendServer, id value.ServerID) []value.BackendServer {
--- a/core/query/placement_test.go
+++ b/core/query/placement_test.go
@@ -156,7 +156,7 @@
 func applyChecked(t *rapid.T, s state.State, orders []query.Placement, demand query.PlacementDemand) state.State {
 	loads := 0
 	for _, o := range orders {
-		carriersBefore := len(s.VersionServers(o.Version))
+		serversBefore := len(s.VersionServers(o.Version))
 		s = applyOrders(s, []query.Placement{o})
 		v, _ := s.Version(o.Version)
 		b, _ := s.Server(o.Server.ID)
@@ -166,7 +166,7 @@
 			assert.Assert(t, !v.Withdrawn, "a withdrawn version was loaded")
 			continue
 		}
-		assert.Assert(t, carriersBefore > 1 || demand.Sessions[o.Version] == 0, "a version with sessions lost its last server")
+		assert.Assert(t, serversBefore > 1 || demand.Sessions[o.Version] == 0, "a version with sessions lost its last server")
 		assert.Assert(t, v.Withdrawn || countDomains(s, o.Version) >= placementRule.Domains, "an unload left the version in too few failure domains")
 	}
 	assert.Assert(t, loads <= demand.MaxLoads)
--- a/core/query/plan.go
+++ b/core/query/plan.go
@@ -20,8 +20,8 @@
 	Quality float64
 }
 
-// IsCascade reports whether the judge has to accept the first version's answer before the caller gets
-// it.
+// IsCascade reports whether the judge has to accept the first version's answer before the caller
+// gets it.
 func (p Plan) IsCascade() bool {
 	return len(p.Versions) > 1
 }
@@ -43,12 +43,11 @@
 	if p, ok := c.pinnedPlan(); ok {
 		return p, nil
 	}
-	c.requireCarrier = true
+	c.requireServer = true
 	p, ok := c.choose()
 	if !ok {
-		// No live backend server carries an allowed version: plan without servers and let Route
-		// refuse.
-		c.requireCarrier = false
+		// No live backend server has an allowed version: plan without servers and let Route refuse.
+		c.requireServer = false
 		p, ok = c.choose()
 	}
 	if !ok {
@@ -66,8 +65,8 @@
 	kind              value.Kind
 	request           value.Request
 	now               time.Time
-	// requireCarrier restricts the choice to versions that a live backend server carries.
-	requireCarrier bool
+	// requireServer restricts the choice to versions that a live backend server has loaded.
+	requireServer bool
 }
 
 // pinnedPlan returns the version that the session is pinned to, unless it is withdrawn or not
--- a/core/query/plan_measure_test.go
+++ b/core/query/plan_measure_test.go
@@ -19,8 +19,8 @@
 	fewVersions  = 8
 )
 
-// planState returns a state with a model of the given number of versions, which the servers carry
-// in turn.
+// planState returns a state with a model of the given number of versions and with servers that have
+// one version each, in turn.
 func planState(versions, servers int) state.State {
 	d := value.Document{ClientAccounts: []value.ClientAccount{{Name: "ward-12", Kinds: []value.KindName{"spelling"}}}}
 	m := value.Model{Name: "llm"}
--- a/core/query/route.go
+++ b/core/query/route.go
@@ -39,8 +39,8 @@
 	}
 	servers := Servers(s, t)
 	r := router{state: s, target: t, loads: loads, now: now}
-	sampler := policy.RandomChoice[value.BackendServer]{Tries: sampleSize, Score: r.score}
-	b, ok := sampler.Pick(servers, rnd)
+	randomChoice := policy.RandomChoice[value.BackendServer]{Tries: sampleSize, Score: r.score}
+	b, ok := randomChoice.Pick(servers, rnd)
 	if ok {
 		return r.preferPrefix(b, servers), nil
 	}
@@ -50,7 +50,7 @@
 	// All other servers are excluded, so ejected ones are tried too: a slow answer is better than
 	// none.
 	r.includeEjected = true
-	if b, ok = sampler.Pick(servers, rnd); ok {
+	if b, ok = randomChoice.Pick(servers, rnd); ok {
 		return Choice{Server: b, Candidates: len(servers), Reason: value.ReasonLeastLoaded}, nil
 	}
 	if r.saturated {
@@ -59,7 +59,8 @@
 	return Choice{}, refuse(value.ReasonNoServer, "no backend server can take the request")
 }
 
-// IsWithdrawn reports whether the target's version has been withdrawn, so that it receives no new work.
+// IsWithdrawn reports whether the target's version has been withdrawn, so that it receives no new
+// work.
 func IsWithdrawn(s state.State, t Target) bool {
 	return t.Version != "" && s.IsWithdrawn(t.Version)
 }
@@ -87,7 +88,7 @@
 	minWarmUp = 0.1
 )
 
-// Servers returns the live backend servers that carry the target; the slice must not be changed.
+// Servers returns the live backend servers that serve the target; the slice must not be changed.
 func Servers(s state.State, t Target) []value.BackendServer {
 	if t.Version != "" {
 		return s.VersionServers(t.Version)
@@ -149,17 +150,17 @@
 		r.saturated = true
 		return policy.Excluded
 	}
-	cost := expectedWait(l, r.now)
+	cost := expectedFirstToken(l, r.now)
 	if b.FailureDomain != r.state.Self.FailureDomain {
 		cost *= otherDomainFactor
 	}
 	return cost / r.warmUp(b, l)
 }
 
-// expectedWait estimates a new request's time to first token, in nanoseconds, from the observed
-// time to first token and the queue length. The queue length in the server's own report counts less
-// the older it is, because reports arrive late.
-func expectedWait(l value.Load, now time.Time) float64 {
+// expectedFirstToken estimates a new request's time to first token, in nanoseconds, from the
+// observed time to first token and the queue length. The queue length in the server's own report
+// counts less the older it is, because reports arrive late.
+func expectedFirstToken(l value.Load, now time.Time) float64 {
 	estimate := max(l.TimeToFirstByte.MeanAt(estimateHalfLife, now), l.OldestWait(now), minEstimate)
 	queue := float64(l.InFlight + 1)
 	if l.ReportedQueue > 0 {
--- a/core/query/share.go
+++ b/core/query/share.go
@@ -13,7 +13,7 @@
 	Stream      bool
 }
 
-// CanShare reports whether the request may share the attempt of another one with the same question.
+// CanShare reports whether the request may share the attempt of another one with the same ShareKey.
 func CanShare(k value.Kind, r value.Request) bool {
 	return k.Share && k.Idempotent && r.RequestHash != 0
 }
--- a/core/query/stage.go
+++ b/core/query/stage.go
@@ -31,8 +31,8 @@
 	return p
 }
 
-// canTake reports whether the account may use the version and a server carries it, where that is
-// required; it ignores whether the version is held back for its roll-out.
+// canTake reports whether the account may use the version and, if that is required, a server has it
+// loaded; it ignores whether the version is held back for its roll-out.
 func (c *chooser) canTake(i int) bool {
-	return c.allowed(i) && (!c.requireCarrier || len(c.state.VersionServers(c.set.Candidates[i].Key)) > 0)
+	return c.allowed(i) && (!c.requireServer || len(c.state.VersionServers(c.set.Candidates[i].Key)) > 0)
 }
--- a/core/query/status.go
+++ b/core/query/status.go
@@ -12,9 +12,9 @@
 	Instance value.Instance
 	// Lag is for how long the instance has known of a newer configuration than it has in force.
 	Lag time.Duration
-	// SinceLastContact is the time since the last contact; zero for the instance itself and without any
-	// contact. It can be long in a large fleet, where an instance receives the state of most others
-	// only through a few.
+	// SinceLastContact is the time since the last contact; zero for the instance itself and without
+	// any contact. It can be long in a large fleet, where an instance receives the state of most
+	// others only through a few.
 	SinceLastContact time.Duration
 }
 
