--- a/core/relay/load.go
+++ b/core/relay/load.go
@@ -12,7 +12,8 @@
 	Running int
 	Waiting int
 	Slots   int
-	// DurationPercent is how long work takes at present, in percent of the usual time; 0 means not reported.
+	// DurationPercent is how long work takes at present, in percent of the usual time; 0 means not
+	// reported.
 	DurationPercent int
 }
 
--- a/core/relay/query/duty.go
+++ b/core/relay/query/duty.go
@@ -8,11 +8,12 @@
 	"endivehitch/core/relay"
 )
 
-// takeOverDelay is the time between the attempts of two instances to take over a vacant duty.
-const takeOverDelay = 250 * time.Millisecond
+// takeoverInterval is the time between the attempts of two instances to take over a vacant duty.
+const takeoverInterval = 250 * time.Millisecond
 
-// TakeoverDelay reports whether no instance holds the duty for the service's roll-out, and how long this
-// one waits before it tries to take it; the waits differ, so that instances try one after another.
+// TakeoverDelay returns how long this instance waits before it tries to take over the duty for the
+// service's roll-out, and false if an instance holds the duty. The delays differ, so that the
+// instances try one after another.
 func TakeoverDelay(state relay.State, service relay.ServiceName) (time.Duration, bool) {
 	if _, held := state.Duty(service); held {
 		return 0, false
@@ -24,10 +25,10 @@
 			before++
 		}
 	}
-	return time.Duration(min(before, maxTurns)) * takeOverDelay, true
+	return time.Duration(min(before, maxTurns)) * takeoverInterval, true
 }
 
-// maxTurns bounds the wait in a large fleet; the instances after that turn all try at the same time.
+// maxTurns bounds the delay in a large fleet; the instances after that turn all try at the same time.
 const maxTurns = 8
 
 // turnHash orders the instances, differently for each service.
--- a/core/relay/query/escalation.go
+++ b/core/relay/query/escalation.go
@@ -50,8 +50,8 @@
 
 // StepUp returns the position of the larger model to escalate to, and whether the answer is dropped
 // for that model's. The model is the smallest that is expected to reach goodConfidence, or else the
-// largest. Without a larger model, a reported confidence, a further attempt and enough time, the
-// answer is not dropped.
+// largest. An answer is dropped only if it reports its confidence and there are a larger model, a
+// further attempt and enough time.
 func StepUp(route relay.Route, answer ObservedAnswer, gains GainLookup) (int, bool) {
 	if answer.Step >= len(route.Models)-1 || answer.Confidence < 0 || answer.Attempts.Run >= route.Attempts {
 		return 0, false
--- a/core/relay/query/judge.go
+++ b/core/relay/query/judge.go
@@ -14,7 +14,8 @@
 	// revertDeviations is how many standard deviations the number of bad answers must exceed the one
 	// expected at the baseline's share.
 	revertDeviations = 3.0
-	// minRuns is how many answered attempts of a release it takes to complete its roll-out.
+	// minRuns is how many answered attempts of a release it takes to complete its roll-out, unless
+	// the baseline has none.
 	minRuns = 20
 	// minNormalShare is the least share of bad answers assumed for the baseline.
 	minNormalShare = 0.02
--- a/core/relay/query/reader.go
+++ b/core/relay/query/reader.go
@@ -11,7 +11,7 @@
 const maxFollowers = 24
 
 // Reader returns the instance of the own failure domain that reads the store for this one, and
-// whether that is another instance; suspected instances are passed over.
+// whether that is another instance; suspected instances are skipped.
 func Reader(state relay.State, suspected func(relay.MemberName) bool) (relay.Member, bool) {
 	reader := readerOf(state, state.Self.Domain, suspected)
 	return reader, reader.Name != "" && reader.Name != state.Self.Name
--- a/core/relay/query/server.go
+++ b/core/relay/query/server.go
@@ -44,8 +44,9 @@
 	// rankedServers how many of the highest-ranked ones are considered, as some may be ejected.
 	affinityServers = 2
 	rankedServers   = 5
-	// sampledServers is how many randomly drawn servers are compared besides, and maxDraws how many
-	// draws are made for them; a draw may hit an ejected server, or one that is compared already.
+	// sampledServers is how many random draws are compared besides, and maxDraws how many draws are
+	// made for them. A draw that hits an ejected server is discarded; one that hits a server that is
+	// compared already counts.
 	sampledServers = 3
 	maxDraws       = 8
 	// msPerRequest is the expected delay in milliseconds that each running request adds at an
@@ -59,8 +60,8 @@
 	remoteDomainFactor = 1.1
 	// failureRateWeight is the weight of a server's failure rate in its score.
 	failureRateWeight = 8.0
-	// normalPace is the pace that a server reports when work takes as long as usual.
-	normalPace = 100.0
+	// normalDurationPercent is the DurationPercent of a server whose work takes as long as usual.
+	normalDurationPercent = 100.0
 	// warmUpFactor is how much slower a server is assumed to be during its warm-up period.
 	warmUpFactor = 2.0
 )
@@ -236,7 +237,7 @@
 		factor *= warmUpFactor
 	}
 	if load.Report.DurationPercent > 0 && s.now.Sub(load.Reported) < reportLifetime {
-		factor *= math.Max(1, float64(load.Report.DurationPercent)/normalPace)
+		factor *= math.Max(1, float64(load.Report.DurationPercent)/normalDurationPercent)
 	}
 	return factor
 }
--- a/core/relay/query/silence.go
+++ b/core/relay/query/silence.go
@@ -22,20 +22,20 @@
 )
 
 // SilenceTimeout returns what is left of the silence timeout of an attempt that another server could
-// take over; the attempt should be given up when it is zero or negative. begun is set once the
-// caller has received a part of the answer, serverSilent is how long this instance has received
+// take over; the attempt should be given up when it is zero or negative. answerStarted is set once
+// the caller has received a part of the answer, serverSilent is how long this instance has received
 // nothing from the server on any attempt, and silent how long this attempt has been silent; sole is
 // set when this instance has no other attempt at the server.
 //
 // A busy server is slow for all requests, and starting one over elsewhere adds to the load, so only
 // a server that seems to be dead is given up early.
-func SilenceTimeout(route relay.Route, begun, sole bool, serverSilent, silent time.Duration) time.Duration {
+func SilenceTimeout(route relay.Route, answerStarted, sole bool, serverSilent, silent time.Duration) time.Duration {
 	if !route.Stream {
 		return route.Objective*4/5 - silent
 	}
 	serverLimit := max(minSilence, route.Objective*2/5)
 	attemptLimit := maxWaitObjectives * route.Objective
-	if begun {
+	if answerStarted {
 		serverLimit = max(minSilence, route.Gap*3/2)
 		attemptLimit = maxStallGaps * route.Gap
 	}
--- a/core/relay/state_test.go
+++ b/core/relay/state_test.go
@@ -120,7 +120,7 @@
 	assert.Equal(t, len(state.Servers("engine")), 0)
 }
 
-func TestSinceReturnsChangesAfterRevision(t *testing.T) {
+func TestChangesSinceReturnsChangesAfterRevision(t *testing.T) {
 	state := relay.New(relay.Member{}).WithFeed(fullFeed(5, config(1, 5)), start, grace)
 	state = state.WithFeed(feedAfter(5, 6, serverAdded("a", 6)), start, grace)
 	state = state.WithFeed(feedAfter(6, 7, serverAdded("b", 7)), start, grace)
