--- a/core/policy/estimate.go
+++ b/core/policy/estimate.go
@@ -58,9 +58,9 @@
 	Weight float64
 }
 
-// conflictVariance is the squared number of standard deviations beyond which the ratings contradict
-// the stated share.
-const conflictVariance = 4
+// maxSquaredDeviation is the square of the number of standard deviations beyond which the ratings
+// contradict the stated share.
+const maxSquaredDeviation = 4
 
 // NewEstimate returns an estimate from a stated share that counts as weight ratings; a weight of zero
 // means the configured PriorWeight.
@@ -142,7 +142,7 @@
 }
 
 // withPriorChecked lowers the prior's weight where the ratings contradict it: the weight is divided by
-// the ratio of the squared deviation to conflictVariance.
+// the ratio of the squared deviation to maxSquaredDeviation.
 func (e Estimate) withPriorChecked() Estimate {
 	count := e.effectiveCount()
 	if count < 1 || e.priorWeight == 0 {
@@ -150,8 +150,8 @@
 	}
 	variance := max(e.statedShare*(1-e.statedShare), 1/(e.priorWeight+count)) * (1/count + 1/e.priorWeight)
 	difference := e.ratedShare() - e.statedShare
-	if excess := difference * difference / variance; excess > conflictVariance {
-		e.priorWeight *= conflictVariance / excess
+	if squaredDeviation := difference * difference / variance; squaredDeviation > maxSquaredDeviation {
+		e.priorWeight *= maxSquaredDeviation / squaredDeviation
 	}
 	return e
 }
--- a/core/policy/estimate_test.go
+++ b/core/policy/estimate_test.go
@@ -28,18 +28,18 @@
 func withRatings(e policy.Estimate, rnd *rand.Rand, quality float64, answers int, known bool) policy.Estimate {
 	for i := range answers {
 		good := rnd.Float64() < quality
-		p := 0.4
+		rate := 0.4
 		if good {
-			p = 0.1
+			rate = 0.1
 		}
-		if rnd.Float64() >= p {
+		if rnd.Float64() >= rate {
 			continue
 		}
-		s := policy.Rating{Good: good, At: start.Add(time.Duration(i) * time.Second)}
+		rating := policy.Rating{Good: good, At: start.Add(time.Duration(i) * time.Second)}
 		if known {
-			s.Rate = p
+			rating.Rate = rate
 		}
-		e = e.With(s)
+		e = e.With(rating)
 	}
 	return e
 }
--- a/core/policy/limiter.go
+++ b/core/policy/limiter.go
@@ -8,7 +8,8 @@
 // Limiter is an adaptive concurrency limit that follows measured latency; the zero value has the
 // configured initial limit.
 type Limiter struct {
-	limit    float64
+	limit float64
+	// unloaded is the estimated latency of an attempt without queueing; zero means no sample yet.
 	unloaded time.Duration
 }
 
@@ -23,8 +24,8 @@
 	Tolerance float64
 	// Backoff is the factor, from 0 to 1, that a sign of overload multiplies the limit by.
 	Backoff float64
-	// Drift is the share, from 0 to 1, of the difference to each slower sample by which the unloaded
-	// latency rises.
+	// Drift is how far the unloaded latency rises towards each slower sample, as a share, from 0 to 1,
+	// of the difference between them.
 	Drift float64
 }
 
@@ -33,7 +34,7 @@
 	return max(1, int(l.currentLimit(c)))
 }
 
-// WithSample returns the limiter after an attempt of the given latency, with inFlight attempts at once.
+// WithSample returns the limiter after an attempt of the given latency, while inFlight were running.
 func (l Limiter) WithSample(c LimiterConfig, latency time.Duration, inFlight int) Limiter {
 	limit := l.currentLimit(c)
 	l.unloaded = l.baselineAfter(c, latency)
--- a/core/policy/quota.go
+++ b/core/policy/quota.go
@@ -10,7 +10,7 @@
 //
 // Because the bound is a ratio, a quota that holds at every instance also holds for the fleet. A
 // Budget caps a burst at a fixed number; a quota allows all extra attempts of a window in one burst,
-// as a failure of many servers at once needs them.
+// because many requests need one at the same time when many servers fail at once.
 type Quota struct {
 	buckets [quotaBuckets]quotaBucket
 	// newest is the number of the latest bucket, counted from the Unix epoch.
--- a/core/policy/ring.go
+++ b/core/policy/ring.go
@@ -19,7 +19,7 @@
 	next  *link[T]
 }
 
-// NewRing returns an empty ring that keeps the latest size values.
+// NewRing returns an empty ring that holds at most size values, the latest ones.
 func NewRing[T any](size int) Ring[T] {
 	return Ring[T]{size: size}
 }
