--- a/core/query/duration.go
+++ b/core/query/duration.go
@@ -39,7 +39,8 @@
 	medianDurationConfig = policy.QuantileConfig{Level: 0.5, Step: 0.05, MinSamples: 20}
 )
 
-// FirstTokenSmoothing configures the average of a backend server's time to first token.
+// FirstTokenSmoothing configures the average of a backend server's time to first token, which for a
+// plain service is the time to the first part of the answer.
 var FirstTokenSmoothing = policy.DecayingMeanConfig{HalfLife: estimateHalfLife, MaxWeight: 4}
 
 // WithAttempt returns a history that includes a completed attempt of the given duration.
