--- a/core/query/eject.go
+++ b/core/query/eject.go
@@ -43,7 +43,7 @@
 func IsSlow(s state.State, b value.BackendServer, loads LoadLookup, rnd policy.Rand) bool {
 	l := loads(b.ID)
 	median := medianFirstToken(s.PoolServers(b.Pool), b.ID, loads, rnd)
-	return median > 0 && float64(l.TimeToFirstByte.Mean) > slowFactor*float64(median)
+	return median > 0 && float64(l.TimeToFirstToken.Mean) > slowFactor*float64(median)
 }
 
 // HasRecovered reports whether an ejection has ended and the server answers normally again.
@@ -56,7 +56,7 @@
 	if l.Failures >= failuresToEject {
 		return true
 	}
-	if l.Ejections == 0 && l.TimeToFirstByte.Weight < minSamplesToEject {
+	if l.Ejections == 0 && l.TimeToFirstToken.Weight < minSamplesToEject {
 		return false
 	}
 	return IsSlow(s, b, loads, rnd)
@@ -72,7 +72,7 @@
 	start := rnd.IntN(len(members))
 	for i := range min(maxPeersSampled, len(members)) {
 		b := members[(start+i)%len(members)]
-		firstToken := loads(b.ID).TimeToFirstByte
+		firstToken := loads(b.ID).TimeToFirstToken
 		if b.ID != self && firstToken.Weight > 0 {
 			samples = append(samples, firstToken.Mean)
 		}
--- a/core/query/placement.go
+++ b/core/query/placement.go
@@ -11,11 +11,11 @@
 
 // The reasons for placements, loads first by urgency, then unloads.
 const (
-	ReasonNoCarrier             value.Reason = "NoServerCarriesVersion"
-	ReasonTooFewDomains         value.Reason = "TooFewFailureDomains"
-	ReasonDemandExceedsCarriers value.Reason = "DemandExceedsCarriers"
-	ReasonWithdrawn             value.Reason = "VersionWithdrawn"
-	ReasonFreesCapacity         value.Reason = "RoomForAnotherVersion"
+	ReasonNoServerHasVersion   value.Reason = "NoServerCarriesVersion"
+	ReasonTooFewDomains        value.Reason = "TooFewFailureDomains"
+	ReasonDemandExceedsServers value.Reason = "DemandExceedsCarriers"
+	ReasonWithdrawn            value.Reason = "VersionWithdrawn"
+	ReasonFreesCapacity        value.Reason = "RoomForAnotherVersion"
 )
 
 // PlacementRule configures the placement of versions on backend servers.
@@ -181,18 +181,18 @@
 	n := need{version: k, pool: v.Pool, shortage: p.demand.Demand[k] / float64(max(1, len(servers)))}
 	switch {
 	case len(servers) == 0:
-		n.reason = ReasonNoCarrier
+		n.reason = ReasonNoServerHasVersion
 	case countDomains(servers) < p.requiredDomains(v.Pool):
 		n.reason = ReasonTooFewDomains
 	case float64(len(servers)) < math.Ceil(p.demand.Demand[k]):
-		n.reason = ReasonDemandExceedsCarriers
+		n.reason = ReasonDemandExceedsServers
 	default:
 		return need{}, false
 	}
 	return n, true
 }
 
-var urgency = map[value.Reason]int{ReasonNoCarrier: 0, ReasonTooFewDomains: 1, ReasonDemandExceedsCarriers: 2}
+var urgency = map[value.Reason]int{ReasonNoServerHasVersion: 0, ReasonTooFewDomains: 1, ReasonDemandExceedsServers: 2}
 
 func compareNeeds(a, b need) int {
 	return cmp.Or(
--- a/core/query/placement_test.go
+++ b/core/query/placement_test.go
@@ -74,7 +74,7 @@
 	orders := query.PlanPlacement(s, placementRule, demand)
 	assert.Equal(t, len(orders), 3)
 	assert.Equal(t, orders[0].Version, value.VersionKey("m/v2"))
-	assert.Equal(t, orders[0].Reason, query.ReasonNoCarrier)
+	assert.Equal(t, orders[0].Reason, query.ReasonNoServerHasVersion)
 	assert.Equal(t, orders[1].Version, value.VersionKey("m/v0"))
 	assert.Equal(t, orders[2].Version, value.VersionKey("m/v1"))
 	assert.Equal(t, orders[2].Reason, query.ReasonTooFewDomains)
--- a/core/query/plan.go
+++ b/core/query/plan.go
@@ -95,7 +95,7 @@
 	p = c.applyStage(p)
 	p.Candidates = len(c.set.Candidates)
 	if c.request.Pinned != "" && c.state.IsWithdrawn(c.request.Pinned) {
-		p.Reason = value.ReasonVersionRetired
+		p.Reason = value.ReasonVersionWithdrawn
 	}
 	return p, true
 }
--- a/core/query/route.go
+++ b/core/query/route.go
@@ -35,7 +35,7 @@
 // Overloaded if the servers that could take the target have no capacity at present.
 func Route(s state.State, t Target, loads LoadLookup, rnd policy.Rand, now time.Time) (Choice, error) {
 	if IsWithdrawn(s, t) {
-		return Choice{}, refuse(value.ReasonVersionRetired, "version "+string(t.Version)+" is withdrawn")
+		return Choice{}, refuse(value.ReasonVersionWithdrawn, "version "+string(t.Version)+" is withdrawn")
 	}
 	servers := Servers(s, t)
 	r := router{state: s, target: t, loads: loads, now: now}
@@ -161,7 +161,7 @@
 // observed time to first token and the queue length. The queue length in the server's own report
 // counts less the older it is, because reports arrive late.
 func expectedFirstToken(l value.Load, now time.Time) float64 {
-	estimate := max(l.TimeToFirstByte.MeanAt(estimateHalfLife, now), l.OldestWait(now), minEstimate)
+	estimate := max(l.TimeToFirstToken.MeanAt(estimateHalfLife, now), l.OldestWait(now), minEstimate)
 	queue := float64(l.InFlight + 1)
 	if l.ReportedQueue > 0 {
 		age := now.Sub(l.ReportedAt)
--- a/core/query/route_measure_test.go
+++ b/core/query/route_measure_test.go
@@ -42,7 +42,7 @@
 func sampledLoads(servers int, now time.Time) query.LoadLookup {
 	loads := make(map[value.ServerID]value.Load, servers)
 	for i := range servers {
-		l := value.Load{}.WithStart(false, now).WithFirstByte(query.FirstTokenSmoothing, now, now, time.Duration(100+i%50)*time.Millisecond)
+		l := value.Load{}.WithStart(false, now).WithFirstToken(query.FirstTokenSmoothing, now, now, time.Duration(100+i%50)*time.Millisecond)
 		loads[value.ServerID(fmt.Sprint("s", i))] = l
 	}
 	return func(id value.ServerID) value.Load { return loads[id] }
--- a/core/query/route_test.go
+++ b/core/query/route_test.go
@@ -22,7 +22,7 @@
 
 func (s observedLoads) observeFirstToken(id value.ServerID, after time.Duration) {
 	for range 4 {
-		s[id] = s[id].WithFirstByte(query.FirstTokenSmoothing, noon, noon, after)
+		s[id] = s[id].WithFirstToken(query.FirstTokenSmoothing, noon, noon, after)
 	}
 }
 
--- a/core/relay/load.go
+++ b/core/relay/load.go
@@ -25,8 +25,8 @@
 	// theirs yet.
 	Work   time.Duration
 	Report Report
-	// Reported is when the report was made.
-	Reported time.Time
+	// ReportedAt is when the report was made.
+	ReportedAt time.Time
 	// LastReceived is when this instance last received anything from the server.
 	LastReceived time.Time
 	// TimeToFirstByte is the smoothed time until an answer's first byte.
@@ -101,10 +101,10 @@
 
 // WithReport returns a copy that holds the report, unless it holds a newer one.
 func (l Load) WithReport(r Report, at time.Time) Load {
-	if at.Before(l.Reported) {
+	if at.Before(l.ReportedAt) {
 		return l
 	}
-	l.Report, l.Reported = r, at
+	l.Report, l.ReportedAt = r, at
 	return l
 }
 
--- a/core/relay/query/server.go
+++ b/core/relay/query/server.go
@@ -221,7 +221,7 @@
 // requests, or those of all instances if a recent report, discounted by its age, shows more.
 func (s *selector) occupancy(server relay.Server, load relay.Load) float64 {
 	busy := float64(load.InFlight)
-	if age := s.now.Sub(load.Reported); !load.Reported.IsZero() && age < reportLifetime {
+	if age := s.now.Sub(load.ReportedAt); !load.ReportedAt.IsZero() && age < reportLifetime {
 		busy = max(busy, float64(load.Report.Running+load.Report.Waiting)*(1-float64(age)/float64(2*reportLifetime)))
 	}
 	return busy / float64(max(1, server.Slots))
@@ -236,7 +236,7 @@
 	if s.now.Before(server.ColdUntil) {
 		factor *= warmUpFactor
 	}
-	if load.Report.DurationPercent > 0 && s.now.Sub(load.Reported) < reportLifetime {
+	if load.Report.DurationPercent > 0 && s.now.Sub(load.ReportedAt) < reportLifetime {
 		factor *= math.Max(1, float64(load.Report.DurationPercent)/normalDurationPercent)
 	}
 	return factor
--- a/core/value/load.go
+++ b/core/value/load.go
@@ -17,8 +17,8 @@
 	LongInFlight int
 	// WaitingSince holds the start times of the attempts that wait for the first part, oldest first.
 	WaitingSince []time.Time
-	// TimeToFirstByte is the decaying mean of the time to the first part, scaled to a typical request.
-	TimeToFirstByte policy.DecayingMean
+	// TimeToFirstToken is the decaying mean of the time to the first part, scaled to a typical request.
+	TimeToFirstToken policy.DecayingMean
 	// Failures counts consecutive failures since the latest first part or ejection.
 	Failures int
 	// Ejections counts consecutive ejections since the server last recovered.
@@ -52,11 +52,11 @@
 	return l.withoutWaiting(started)
 }
 
-// WithFirstByte returns a copy that counts the first part of the attempt started at the given time. The
+// WithFirstToken returns a copy that counts the first part of the attempt started at the given time. The
 // delay is the time that it took, scaled to a typical request.
-func (l Load) WithFirstByte(c policy.DecayingMeanConfig, started, at time.Time, delay time.Duration) Load {
+func (l Load) WithFirstToken(c policy.DecayingMeanConfig, started, at time.Time, delay time.Duration) Load {
 	l = l.withoutWaiting(started)
-	l.TimeToFirstByte = l.TimeToFirstByte.With(c, delay, at)
+	l.TimeToFirstToken = l.TimeToFirstToken.With(c, delay, at)
 	l.Failures = 0
 	return l
 }
--- a/io/admin/cmds/apply_test.go
+++ b/io/admin/cmds/apply_test.go
@@ -60,7 +60,7 @@
 func (b fixture) load(e value.Environment) conf.Record {
 	b.t.Helper()
 	b.setFaults(fakes.StoreFaults{})
-	r, err := conf.Load(b.t.Context(), b.store, e)
+	r, err := conf.LoadRecord(b.t.Context(), b.store, e)
 	assert.NilError(b.t, err)
 	return r
 }
@@ -116,7 +116,7 @@
 		}()
 		// The first change has taken effect; its writer pauses before it reads the record back.
 		synctest.Wait()
-		applied, err := conf.Load(t.Context(), b.store, trial)
+		applied, err := conf.LoadRecord(t.Context(), b.store, trial)
 		assert.NilError(t, err)
 		_, err = b.apply("mette", "two", applied.Current.Revision, "two")
 		assert.NilError(t, err)
--- a/io/admin/cmds/promote.go
+++ b/io/admin/cmds/promote.go
@@ -39,11 +39,11 @@
 // The error is value.ChangeConflict, value.ChangeRefused, value.ChangeUnavailable or
 // value.ChangeUnknown.
 func Promote(ctx context.Context, c Config, operator string, o PromoteOrder) (value.AppliedChange, error) {
-	from, err := conf.Load(ctx, c.Store, o.From)
+	from, err := conf.LoadRecord(ctx, c.Store, o.From)
 	if err != nil {
 		return value.AppliedChange{}, toReadError(err)
 	}
-	to, err := conf.Load(ctx, c.Store, o.To)
+	to, err := conf.LoadRecord(ctx, c.Store, o.To)
 	if err != nil {
 		return value.AppliedChange{}, toReadError(err)
 	}
--- a/io/admin/cmds/rollout.go
+++ b/io/admin/cmds/rollout.go
@@ -91,7 +91,7 @@
 // readRollOut returns the roll-out's plan from the environment's document and the entry that stores
 // its progress.
 func readRollOut(ctx context.Context, reader plat.Reader, o RollOutOrder) (value.RollOut, plat.Entry, error) {
-	record, err := conf.Load(ctx, reader, o.Environment)
+	record, err := conf.LoadRecord(ctx, reader, o.Environment)
 	if err != nil {
 		return value.RollOut{}, plat.Entry{}, err
 	}
--- a/io/admin/cmds/write.go
+++ b/io/admin/cmds/write.go
@@ -85,7 +85,7 @@
 // attempt reads the record in force and sends the change unless its outcome is already known. It
 // returns nil if another attempt may help.
 func (w *writer) attempt(ctx context.Context) *result {
-	record, err := conf.Load(ctx, w.store, w.request.environment)
+	record, err := conf.LoadRecord(ctx, w.store, w.request.environment)
 	if err != nil {
 		return toRefusal(err)
 	}
--- a/io/admin/query/config.go
+++ b/io/admin/query/config.go
@@ -32,7 +32,7 @@
 // key-value service.
 func ConfigRoute(store plat.Reader) route.Route {
 	return route.New(http.MethodGet, configPath, func(ctx context.Context, w wireEnvironment) (wireRecord, error) {
-		record, err := conf.Load(ctx, store, w.Environment)
+		record, err := conf.LoadRecord(ctx, store, w.Environment)
 		if err != nil {
 			return wireRecord{}, value.ChangeUnavailable{Detail: err.Error()}
 		}
--- a/io/bills/bench_test.go
+++ b/io/bills/bench_test.go
@@ -35,7 +35,7 @@
 			harness := newHarness(b)
 			harness.adjust = func(c *bills.Config) {
 				c.MaxBacklog, c.MaxHeldEntries, c.MaxSegmentBytes = 1<<20, 1<<20, 256<<10
-				c.StoreTimeout = time.Minute
+				c.ReplicationTimeout = time.Minute
 				w.adjust(c)
 			}
 			harness.setFaults(fakes.StoreFaults{}.WithDelay(storeLatency))
@@ -48,7 +48,7 @@
 			for i := range callers {
 				group.Go(func() {
 					for n := range each {
-						assert.Check(b, a.Store(context.Background(), bill(i*each+n)))
+						assert.Check(b, a.StoreBill(context.Background(), bill(i*each+n)))
 					}
 				})
 			}
@@ -75,7 +75,7 @@
 	a := harness.biller("a")
 	harness.biller("b")
 	for i := range 500 {
-		assert.NilError(b, a.Store(context.Background(), bill(i)))
+		assert.NilError(b, a.StoreBill(context.Background(), bill(i)))
 	}
 	assert.NilError(b, a.Flush(context.Background()))
 	l, err := harness.store.List(context.Background(), "bills/")
@@ -125,17 +125,17 @@
 	// tail.
 	harness.setFaults(fakes.StoreFaults{}.WithDown(true))
 	for i := range tail - missed {
-		assert.NilError(b, a.Store(context.Background(), bill(i)))
+		assert.NilError(b, a.StoreBill(context.Background(), bill(i)))
 	}
 	setPartitioned(true)
 	cancelled, cancel := context.WithCancel(context.Background())
 	cancel()
 	for i := tail - missed; i < tail; i++ {
 		// The bill is added to the tail, and Store doesn't wait until it is safe.
-		_ = a.Store(cancelled, bill(i))
+		_ = a.StoreBill(cancelled, bill(i))
 	}
 	before, start := a.port.Sent().Bytes, time.Now()
 	setPartitioned(false)
-	assert.NilError(b, a.Store(context.Background(), bill(tail-1)))
+	assert.NilError(b, a.StoreBill(context.Background(), bill(tail-1)))
 	return a.port.Sent().Bytes - before, time.Since(start)
 }
--- a/io/bills/bills.go
+++ b/io/bills/bills.go
@@ -32,8 +32,8 @@
 	MinCopies int
 	// FlushInterval returns the time between two flushes; it may change with the size of the fleet.
 	FlushInterval func() time.Duration
-	// StoreTimeout limits how long Biller.Store waits until a bill is safe.
-	StoreTimeout time.Duration
+	// ReplicationTimeout limits how long Biller.Store waits until a bill is safe.
+	ReplicationTimeout time.Duration
 	// CallTimeout limits each call to a holder or the store.
 	CallTimeout time.Duration
 	// MaxBacklog is the maximum number of entries in the tail of this instance. While it is reached,
@@ -57,7 +57,7 @@
 		return errors.New("bills: functions Holders and NeedsTakeover are required")
 	case c.MinCopies < 1 || c.MaxBacklog < 1 || c.MaxHeldEntries < 1:
 		return errors.New("bills: MinCopies, MaxBacklog and MaxHeldEntries must be positive")
-	case c.FlushInterval == nil || c.StoreTimeout <= 0 || c.CallTimeout <= 0:
+	case c.FlushInterval == nil || c.ReplicationTimeout <= 0 || c.CallTimeout <= 0:
 		return errors.New("bills: FlushInterval is required, and StoreTimeout and CallTimeout must be positive")
 	case c.MaxSegmentBytes < 1 || c.MaxSegmentBytes > plat.ValueLimit:
 		return fmt.Errorf("bills: segment size of %d bytes is out of range", c.MaxSegmentBytes)
@@ -149,12 +149,12 @@
 	b.background.Wait()
 }
 
-// Store stores the bill and returns once it survives the loss of this instance; the error is a
+// StoreBill stores the bill and returns once it survives the loss of this instance; the error is a
 // value.Refusal.
 //
 // A bill that is not safe when the wait ends stays in the tail and is still stored later, because
 // its request has run. Only a bill that finds the backlog full is not added to the tail.
-func (b *Biller) Store(ctx context.Context, bill value.Bill) error {
+func (b *Biller) StoreBill(ctx context.Context, bill value.Bill) error {
 	sequence, err := b.addToTail(bill)
 	if err != nil {
 		return err
@@ -162,7 +162,7 @@
 	if b.startSenders() < b.config.MinCopies {
 		b.flushEarly()
 	}
-	ctx, cancel := context.WithTimeout(ctx, b.config.StoreTimeout)
+	ctx, cancel := context.WithTimeout(ctx, b.config.ReplicationTimeout)
 	defer cancel()
 	for {
 		safe, progress := b.lastSafe()
--- a/io/bills/bills_test.go
+++ b/io/bills/bills_test.go
@@ -18,7 +18,7 @@
 func storeBills(t *testing.T, b biller, from, to int) {
 	t.Helper()
 	for i := from; i < to; i++ {
-		assert.NilError(t, b.Store(t.Context(), bill(i)))
+		assert.NilError(t, b.StoreBill(t.Context(), bill(i)))
 	}
 }
 
@@ -81,7 +81,7 @@
 				harness.departed["a"] = true
 				harness.mu.Unlock()
 				for i := 60; i < 200; i++ {
-					assert.NilError(t, a.Store(t.Context(), bill(i)))
+					assert.NilError(t, a.StoreBill(t.Context(), bill(i)))
 					time.Sleep(100 * time.Millisecond)
 				}
 				harness.setFaults(fakes.StoreFaults{})
@@ -145,14 +145,14 @@
 		harness.setFaults(fakes.StoreFaults{}.WithDown(true))
 		for i := range 3 {
 			assert.Assert(t, a.HasCapacity())
-			err := a.Store(t.Context(), bill(i))
+			err := a.StoreBill(t.Context(), bill(i))
 			var refusal value.Refusal
 			assert.Assert(t, errors.As(err, &refusal), "%v", err)
 			assert.Equal(t, refusal.Reason, value.ReasonBillNotStored)
 			assert.Assert(t, !refusal.NotRun)
 		}
 		assert.Assert(t, !a.HasCapacity(), "the backlog is bounded")
-		assert.ErrorContains(t, a.Store(t.Context(), bill(3)), "too many bills")
+		assert.ErrorContains(t, a.StoreBill(t.Context(), bill(3)), "too many bills")
 		assert.Equal(t, a.UnsafeCount(), 3)
 		harness.setPartitioned(false)
 		harness.setFaults(fakes.StoreFaults{})
@@ -174,7 +174,7 @@
 		storeBills(t, a, 0, 1)
 		late := bill(1).WithCost(999)
 		late.At = late.At.Add(time.Minute)
-		assert.NilError(t, b.Store(t.Context(), late))
+		assert.NilError(t, b.StoreBill(t.Context(), late))
 		time.Sleep(2 * flushInterval)
 		got := harness.audit(2)
 		assert.Equal(t, len(got.Charges), 2)
--- a/io/bills/harness_test.go
+++ b/io/bills/harness_test.go
@@ -79,15 +79,15 @@
 			defer h.mu.Unlock()
 			return h.departed[id]
 		},
-		MinCopies:       1,
-		FlushInterval:   func() time.Duration { return flushInterval },
-		StoreTimeout:    2 * time.Second,
-		CallTimeout:     time.Second,
-		MaxBacklog:      1000,
-		MaxSegmentBytes: 8 << 10,
-		MaxHeldEntries:  1000,
-		Backoff:         policy.Backoff{InitialDelay: 100 * time.Millisecond, MaxDelay: time.Second},
-		Seed:            uint64(len(id)),
+		MinCopies:          1,
+		FlushInterval:      func() time.Duration { return flushInterval },
+		ReplicationTimeout: 2 * time.Second,
+		CallTimeout:        time.Second,
+		MaxBacklog:         1000,
+		MaxSegmentBytes:    8 << 10,
+		MaxHeldEntries:     1000,
+		Backoff:            policy.Backoff{InitialDelay: 100 * time.Millisecond, MaxDelay: time.Second},
+		Seed:               uint64(len(id)),
 	}
 	h.adjust(&c)
 	b, err := bills.New(c)
--- a/io/bills/slope_test.go
+++ b/io/bills/slope_test.go
@@ -27,7 +27,7 @@
 				harness.biller("b")
 				harness.biller("c")
 				for i := range n {
-					assert.NilError(b, owner.Store(context.Background(), slopeBill(i)))
+					assert.NilError(b, owner.StoreBill(context.Background(), slopeBill(i)))
 				}
 				before := harness.store.Writes()
 				assert.NilError(b, owner.Flush(context.Background()))
--- a/io/conf/record.go
+++ b/io/conf/record.go
@@ -94,8 +94,8 @@
 	return value.AcceptedDocument{Document: d, Digest: r.Current.Change.Digest, Revision: r.Current.Revision}, nil
 }
 
-// Load reads the environment's record from the key-value service.
-func Load(ctx context.Context, store plat.Reader, e value.Environment) (Record, error) {
+// LoadRecord reads the environment's record from the key-value service.
+func LoadRecord(ctx context.Context, store plat.Reader, e value.Environment) (Record, error) {
 	entry, err := store.Get(ctx, DocumentKey(e))
 	if err != nil {
 		return Record{}, fmt.Errorf("read document of %s: %w", e, err)
--- a/io/faults/ports.go
+++ b/io/faults/ports.go
@@ -61,13 +61,13 @@
 	instance *instance
 }
 
-// Store implements flow.Biller.
-func (b stepBiller) Store(ctx context.Context, bill value.Bill) error {
+// StoreBill implements flow.Biller.
+func (b stepBiller) StoreBill(ctx context.Context, bill value.Bill) error {
 	b.instance.fleet.reachStep(StepRecordBill, b.instance)
 	if b.instance.fleet.brokenInvariant == InvariantBilledOnce {
 		return nil
 	}
-	return b.Biller.Store(ctx, bill)
+	return b.Biller.StoreBill(ctx, bill)
 }
 
 // stepGuard reports StepRecordIntent before an intent is recorded.
--- a/io/flow/harness_test.go
+++ b/io/flow/harness_test.go
@@ -189,7 +189,7 @@
 	return engine.Piece{}, io.EOF
 }
 
-func (h *harness) Store(_ context.Context, b value.Bill) error {
+func (h *harness) StoreBill(_ context.Context, b value.Bill) error {
 	h.withLock(func() {
 		if h.billErr == nil {
 			h.bills = append(h.bills, b)
--- a/io/flow/memory_test.go
+++ b/io/flow/memory_test.go
@@ -14,8 +14,8 @@
 	byRequest map[value.RequestID]value.Bill
 }
 
-// Store stores the bill once for each request.
-func (b *memoryBiller) Store(_ context.Context, bill value.Bill) error {
+// StoreBill stores the bill once for each request.
+func (b *memoryBiller) StoreBill(_ context.Context, bill value.Bill) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.byRequest == nil {
--- a/io/flow/ports.go
+++ b/io/flow/ports.go
@@ -34,8 +34,8 @@
 
 // Biller stores bills so that each request is charged once.
 type Biller interface {
-	// Store stores the bill and returns once it survives the loss of this instance.
-	Store(ctx context.Context, b value.Bill) error
+	// StoreBill stores the bill and returns once it survives the loss of this instance.
+	StoreBill(ctx context.Context, b value.Bill) error
 }
 
 // StoredAnswer is the stored answer of an earlier request with the same idempotency key.
--- a/io/flow/settle.go
+++ b/io/flow/settle.go
@@ -138,7 +138,7 @@
 
 func (e *execution) storeBill(ctx context.Context, answer completeAnswer) error {
 	bill := e.newBill(answer)
-	if err := e.flow.Biller.Store(ctx, bill); err != nil {
+	if err := e.flow.Biller.StoreBill(ctx, bill); err != nil {
 		return err
 	}
 	e.record(e.newDecision(value.StepBill).WithChoice(answer.target.Version, answer.server, 1, value.ReasonAnswered).WithCost(bill.CostMicros))
--- a/io/flow/slope_test.go
+++ b/io/flow/slope_test.go
@@ -21,7 +21,7 @@
 	return &onePieceAnswer{}, nil
 }
 
-func (instantBackend) Store(context.Context, value.Bill) error { return nil }
+func (instantBackend) StoreBill(context.Context, value.Bill) error { return nil }
 
 func (instantBackend) Claim(context.Context, value.Request) (flow.Claim, *flow.StoredAnswer, error) {
 	return nil, nil, io.ErrUnexpectedEOF
--- a/io/flow/slot.go
+++ b/io/flow/slot.go
@@ -42,7 +42,7 @@
 		if bounded {
 			l = l.WithLimiter(l.Limiter.WithSample(limits, normalized, l.InFlight))
 		}
-		return l.WithFirstByte(query.FirstTokenSmoothing, s.started, now, normalized)
+		return l.WithFirstToken(query.FirstTokenSmoothing, s.started, now, normalized)
 	})
 	s.updateEjection(e)
 }
@@ -56,12 +56,12 @@
 func (s *serverSlot) observeCancelled(e *execution, elapsed time.Duration) {
 	f := s.allocator.flow
 	assumed := cancelledFactor * e.normalizeFirstToken(elapsed)
-	if assumed <= f.loads.Load(s.choice.Server.ID).TimeToFirstByte.Mean {
+	if assumed <= f.loads.Load(s.choice.Server.ID).TimeToFirstToken.Mean {
 		return
 	}
 	now := f.Now()
 	f.loads.Update(s.choice.Server.ID, func(l value.Load) value.Load {
-		return l.WithFirstByte(query.FirstTokenSmoothing, s.started, now, assumed)
+		return l.WithFirstToken(query.FirstTokenSmoothing, s.started, now, assumed)
 	})
 	s.updateEjection(e)
 }
--- a/io/lease/lease_test.go
+++ b/io/lease/lease_test.go
@@ -49,7 +49,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.active[id] = t
-	l.fences = append(l.fences, t.Fence())
+	l.fences = append(l.fences, t.FencingToken())
 }
 
 // contender is an instance that contends for the test's duty.
--- a/io/lease/placer_test.go
+++ b/io/lease/placer_test.go
@@ -54,7 +54,7 @@
 		assert.ErrorIs(t, err, context.DeadlineExceeded)
 		assert.Equal(t, len(backend.orders), 1)
 		assert.Equal(t, decisions[0].Event, "PlacementLoad")
-		assert.Equal(t, decisions[0].Reason, query.ReasonNoCarrier)
+		assert.Equal(t, decisions[0].Reason, query.ReasonNoServerHasVersion)
 	})
 }
 
--- a/io/lease/reconciler.go
+++ b/io/lease/reconciler.go
@@ -94,7 +94,7 @@
 	if desired.Loaded {
 		verb = engine.OrderLoad
 	}
-	order := engine.Order{Verb: verb, Version: desired.Version, FencingToken: term.Fence()}
+	order := engine.Order{Verb: verb, Version: desired.Version, FencingToken: term.FencingToken()}
 	if err := r.Commander.Send(ctx, desired.Server, order); err != nil {
 		return fmt.Errorf("send order to %s: %w", desired.Server.ID, err)
 	}
--- a/io/lease/term.go
+++ b/io/lease/term.go
@@ -17,8 +17,8 @@
 	held *policy.Cell[fleet.HeldLease]
 }
 
-// Fence returns the fencing token, which grows with each holder of the duty.
-func (t Term) Fence() int64 {
+// FencingToken returns the fencing token, which grows with each holder of the duty.
+func (t Term) FencingToken() int64 {
 	return t.held.Get().Fence
 }
 
--- a/io/node/components.go
+++ b/io/node/components.go
@@ -88,10 +88,10 @@
 func newLimitedStore(c Config) (*plat.LimitedStore, error) {
 	store, err := plat.NewLimitedStore(plat.LimitedStoreConfig{
 		Store:            c.Store,
-		Reads:            c.StoreRates.Reads,
-		Writes:           c.StoreRates.Writes,
+		ReadsPerSecond:   c.StoreRates.Reads,
+		WritesPerSecond:  c.StoreRates.Writes,
 		Burst:            storeBurst,
-		Queue:            maxQueuedStoreCalls,
+		MaxQueue:         maxQueuedStoreCalls,
 		MaxWatches:       maxStoreWatches,
 		Timeout:          storeTimeout,
 		MaxAttempts:      maxStoreAttempts,
@@ -160,20 +160,20 @@
 
 func (p *components) addBiller(c Config, control *controlLoop) error {
 	b, err := bills.New(bills.Config{
-		Self:            c.Self,
-		Store:           p.store,
-		Caller:          p.client,
-		Holders:         func() []value.Instance { return query.BillReplicas(control.Snapshot()) },
-		NeedsTakeover:   control.needsBillTakeover,
-		MinCopies:       minBillCopies,
-		FlushInterval:   func() time.Duration { return query.FlushInterval(control.Snapshot()) },
-		StoreTimeout:    billStoreTimeout,
-		CallTimeout:     storeTimeout,
-		MaxBacklog:      maxBillBacklog,
-		MaxSegmentBytes: maxSegmentBytes,
-		MaxHeldEntries:  maxBillBacklog,
-		Backoff:         retryBackoff(),
-		Seed:            c.Seed,
+		Self:               c.Self,
+		Store:              p.store,
+		Caller:             p.client,
+		Holders:            func() []value.Instance { return query.BillReplicas(control.Snapshot()) },
+		NeedsTakeover:      control.needsBillTakeover,
+		MinCopies:          minBillCopies,
+		FlushInterval:      func() time.Duration { return query.FlushInterval(control.Snapshot()) },
+		ReplicationTimeout: billStoreTimeout,
+		CallTimeout:        storeTimeout,
+		MaxBacklog:         maxBillBacklog,
+		MaxSegmentBytes:    maxSegmentBytes,
+		MaxHeldEntries:     maxBillBacklog,
+		Backoff:            retryBackoff(),
+		Seed:               c.Seed,
 	})
 	if err != nil {
 		return fmt.Errorf("create biller: %w", err)
--- a/io/plat/budget.go
+++ b/io/plat/budget.go
@@ -18,14 +18,14 @@
 // LimitedStoreConfig configures a LimitedStore.
 type LimitedStoreConfig struct {
 	Store Store
-	// Reads and Writes are the calls per second that this instance may make; a watch counts as one
+	// ReadsPerSecond and Writes are the calls per second that this instance may make; a watch counts as one
 	// read when it opens.
-	Reads  float64
-	Writes float64
+	ReadsPerSecond  float64
+	WritesPerSecond float64
 	// Burst is the number of reads, writes and retries that may each be made at once after a pause.
 	Burst int
-	// Queue is the number of calls that may wait for the rate limit; further calls are rejected.
-	Queue int
+	// MaxQueue is the number of calls that may wait for the rate limit; further calls are rejected.
+	MaxQueue int
 	// MaxWatches is the number of watches that may be open at once.
 	MaxWatches int
 	// Timeout bounds each attempt of a call, but not a watch.
@@ -93,15 +93,15 @@
 	switch {
 	case c.Store == nil:
 		return nil, errors.New("limited store: Store is missing")
-	case c.Reads <= 0 || c.Writes <= 0 || c.Burst < 1:
+	case c.ReadsPerSecond <= 0 || c.WritesPerSecond <= 0 || c.Burst < 1:
 		return nil, errors.New("limited store: Reads, Writes and Burst must be positive")
-	case c.Queue < 1 || c.MaxAttempts < 1 || c.Timeout <= 0:
+	case c.MaxQueue < 1 || c.MaxAttempts < 1 || c.Timeout <= 0:
 		return nil, errors.New("limited store: Queue, MaxAttempts and Timeout must be positive")
 	}
 	return &LimitedStore{
 		config:  c,
-		reads:   rate.NewLimiter(rate.Limit(c.Reads), c.Burst),
-		writes:  rate.NewLimiter(rate.Limit(c.Writes), c.Burst),
+		reads:   rate.NewLimiter(rate.Limit(c.ReadsPerSecond), c.Burst),
+		writes:  rate.NewLimiter(rate.Limit(c.WritesPerSecond), c.Burst),
 		retries: rate.NewLimiter(rate.Limit(c.RetriesPerSecond), c.Burst),
 		rnd:     rand.New(rand.NewPCG(c.Seed, c.Seed)),
 	}, nil
@@ -120,7 +120,7 @@
 // error.
 func (l *LimitedStore) admit(ctx context.Context, limiter *rate.Limiter) error {
 	defer l.queued.Add(-1)
-	if l.queued.Add(1) > int64(l.config.Queue) {
+	if l.queued.Add(1) > int64(l.config.MaxQueue) {
 		return l.reject("queue is full")
 	}
 	if err := limiter.Wait(ctx); err != nil {
--- a/io/plat/budget_test.go
+++ b/io/plat/budget_test.go
@@ -19,7 +19,7 @@
 	t.Helper()
 	faulty := fakes.NewStore(newEmbedded(t))
 	store, err := plat.NewLimitedStore(plat.LimitedStoreConfig{
-		Store: faulty, Reads: 100, Writes: 10, Burst: 2, Queue: 30, MaxWatches: 1, RetriesPerSecond: 1,
+		Store: faulty, ReadsPerSecond: 100, WritesPerSecond: 10, Burst: 2, MaxQueue: 30, MaxWatches: 1, RetriesPerSecond: 1,
 		Timeout: time.Second, MaxAttempts: 4,
 		Backoff: policy.Backoff{InitialDelay: 50 * time.Millisecond, MaxDelay: time.Second},
 	})
@@ -27,7 +27,7 @@
 	return store, faulty
 }
 
-func TestBudgetKeepsToItsWriteRate(t *testing.T) {
+func TestLimitedStoreKeepsToItsWriteRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store, faulty := newLimitedStore(t)
 		began := time.Now()
@@ -44,7 +44,7 @@
 	})
 }
 
-func TestBudgetJoinsIdenticalReads(t *testing.T) {
+func TestLimitedStoreCoalescesIdenticalReads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store, faulty := newLimitedStore(t)
 		assert.NilError(t, faulty.SetFaults(fakes.StoreFaults{}.WithDelay(100*time.Millisecond)))
@@ -69,7 +69,7 @@
 	})
 }
 
-func TestBudgetReadSeesOwnWriteWhileAnOlderReadIsInFlight(t *testing.T) {
+func TestLimitedStoreReadReturnsOwnWriteWhileAnOlderReadIsInFlight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store, faulty := newLimitedStore(t)
 		assert.NilError(t, faulty.SetFaults(fakes.StoreFaults{}.WithDelay(400*time.Millisecond).WithStale(true)))
@@ -86,7 +86,7 @@
 	})
 }
 
-func TestBudgetTurnsCallsAwayWhenItsQueueIsFull(t *testing.T) {
+func TestLimitedStoreRejectsCallsWhenItsQueueIsFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store, faulty := newLimitedStore(t)
 		results := make(chan error, 40)
@@ -109,7 +109,7 @@
 	})
 }
 
-func TestBudgetRetriesReadsOnlyInsideItsRetryBudget(t *testing.T) {
+func TestLimitedStoreRetriesReadsOnlyWithinItsRetryBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store, faulty := newLimitedStore(t)
 		assert.NilError(t, faulty.SetFaults(fakes.StoreFaults{}.WithDown(true)))
@@ -124,7 +124,7 @@
 	})
 }
 
-func TestBudgetSettlesALostAnswer(t *testing.T) {
+func TestLimitedStoreSettlesALostAnswer(t *testing.T) {
 	for name, faults := range map[string]fakes.StoreFaults{
 		"answer lost once":                fakes.StoreFaults{}.WithLostAnswers(1),
 		"answer lost twice":               fakes.StoreFaults{}.WithLostAnswers(2),
@@ -150,7 +150,7 @@
 	}
 }
 
-func TestBudgetOwnsUpToALostAnswerThatWasReplaced(t *testing.T) {
+func TestLimitedStoreReportsUnknownOutcomeIfALostSwapWasReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store, faulty := newLimitedStore(t)
 		assert.NilError(t, faulty.SetFaults(fakes.StoreFaults{}.WithLostAnswers(1)))
@@ -170,7 +170,7 @@
 	})
 }
 
-func TestBudgetCountsWaitingWatches(t *testing.T) {
+func TestLimitedStoreCountsOpenWatches(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store, _ := newLimitedStore(t)
 		ctx, cancel := context.WithCancel(t.Context())
--- a/io/plat/etcd_test.go
+++ b/io/plat/etcd_test.go
@@ -73,7 +73,7 @@
 	}
 }
 
-func TestGatewayTellsUnknownFromUnavailable(t *testing.T) {
+func TestGatewayDistinguishesUnknownFromUnavailable(t *testing.T) {
 	gate, faulty := newGateway(t)
 	assert.NilError(t, faulty.SetFaults(fakes.StoreFaults{}.WithLostAnswers(1)))
 	_, err := gate.Swap(t.Context(), plat.Swap{Key: "a", Value: []byte("1")})
@@ -98,7 +98,7 @@
 	assert.ErrorIs(t, err, plat.ErrUnavailable)
 }
 
-func TestGatewayServerErrorLeavesAWriteOpen(t *testing.T) {
+func TestGatewayServerErrorLeavesAWriteUnknown(t *testing.T) {
 	timedOut := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		_, _ = w.Write([]byte(`{"error":"etcdserver: request timed out","code":14}`))
@@ -112,7 +112,7 @@
 	assert.ErrorIs(t, err, plat.ErrUnavailable)
 }
 
-func TestGatewayWatchBreaksOffWithTheService(t *testing.T) {
+func TestGatewayWatchEndsWhenTheServiceGoesDown(t *testing.T) {
 	gate, faulty := newGateway(t)
 	events, err := gate.Watch(t.Context(), "a", 0)
 	assert.NilError(t, err)
--- a/io/proxy/handler.go
+++ b/io/proxy/handler.go
@@ -214,8 +214,8 @@
 		Server: choice.Server.ID, Release: choice.Server.Release, Model: h.model(), Candidates: choice.Candidates,
 		Score: choice.Score, Revision: state.Revision, PrefillTokens: prefillTokens,
 	}
-	if !load.Reported.IsZero() {
-		h.decision.ReportAge = now.Sub(load.Reported)
+	if !load.ReportedAt.IsZero() {
+		h.decision.ReportAge = now.Sub(load.ReportedAt)
 	}
 }
 
