--- a/io/admin/cmds/promote_test.go
+++ b/io/admin/cmds/promote_test.go
@@ -22,9 +22,9 @@
 	return errors.As(err, into)
 }
 
-func (b fixture) promote(id string, expect int64, digest string) (value.AppliedChange, error) {
+func (f fixture) promote(id string, expect int64, digest string) (value.AppliedChange, error) {
 	o := cmds.PromoteOrder{From: trial, To: production, Change: value.ChangeID(id), Expect: expect, Digest: digest}
-	return cmds.Promote(b.t.Context(), b.Config, "mette", o)
+	return cmds.Promote(f.t.Context(), f.Config, "mette", o)
 }
 
 func reasonOf(t *testing.T, err error) value.Reason {
@@ -35,57 +35,57 @@
 }
 
 func TestPromoteCopiesTheExactBytesOrIsRefused(t *testing.T) {
-	withFixture(t, func(t *testing.T, b fixture) {
-		_, err := b.promote("early", 0, "")
+	withFixture(t, func(t *testing.T, f fixture) {
+		_, err := f.promote("early", 0, "")
 		assert.Equal(t, reasonOf(t, err), value.ReasonNothingStored)
-		one, err := b.apply("asha", "one", 0, "one")
+		one, err := f.apply("asha", "one", 0, "one")
 		assert.NilError(t, err)
-		moved, err := b.promote("p1", 0, one.Change.Digest)
+		moved, err := f.promote("p1", 0, one.Change.Digest)
 		assert.NilError(t, err)
-		assert.DeepEqual(t, b.load(production).Bytes, document(t, "one"))
+		assert.DeepEqual(t, f.load(production).Bytes, document(t, "one"))
 		assert.Equal(t, moved.Change.Digest, one.Change.Digest)
 
-		_, err = b.apply("asha", "two", one.Revision, "two")
+		_, err = f.apply("asha", "two", one.Revision, "two")
 		assert.NilError(t, err)
-		_, err = b.promote("p2", moved.Revision, one.Change.Digest)
+		_, err = f.promote("p2", moved.Revision, one.Change.Digest)
 		assert.Equal(t, reasonOf(t, err), value.ReasonNotInTrial)
-		assert.DeepEqual(t, b.load(production).Bytes, document(t, "one"))
+		assert.DeepEqual(t, f.load(production).Bytes, document(t, "one"))
 	})
 }
 
 func TestRetriedPromoteAfterALostStoreAnswerWritesOnce(t *testing.T) {
-	withFixture(t, func(t *testing.T, b fixture) {
-		_, err := b.apply("asha", "one", 0, "one")
+	withFixture(t, func(t *testing.T, f fixture) {
+		_, err := f.apply("asha", "one", 0, "one")
 		assert.NilError(t, err)
-		b.setFaults(fakes.StoreFaults{LostAnswers: 1})
+		f.setFaults(fakes.StoreFaults{LostAnswers: 1})
 		done := make(chan error, 1)
 		go func() {
-			_, err := b.promote("p1", 0, "")
+			_, err := f.promote("p1", 0, "")
 			done <- err
 		}()
 		synctest.Wait()
-		b.setFaults(fakes.StoreFaults{Down: true})
+		f.setFaults(fakes.StoreFaults{Down: true})
 		assert.ErrorType(t, <-done, value.ChangeUnknown{})
-		writes := b.store.Writes()
-		b.setFaults(fakes.StoreFaults{})
-		_, err = b.promote("p1", 0, "")
+		writes := f.store.Writes()
+		f.setFaults(fakes.StoreFaults{})
+		_, err = f.promote("p1", 0, "")
 		assert.NilError(t, err, "the retried order is not refused as already in force")
-		assert.Equal(t, b.store.Writes(), writes)
+		assert.Equal(t, f.store.Writes(), writes)
 	})
 }
 
 func TestPromoteRefusesBytesThatDontMatchTheDigest(t *testing.T) {
-	withFixture(t, func(t *testing.T, b fixture) {
-		_, err := b.apply("asha", "one", 0, "one")
+	withFixture(t, func(t *testing.T, f fixture) {
+		_, err := f.apply("asha", "one", 0, "one")
 		assert.NilError(t, err)
-		e, err := b.store.Get(t.Context(), conf.DocumentKey(trial))
+		e, err := f.store.Get(t.Context(), conf.DocumentKey(trial))
 		assert.NilError(t, err)
 		original := base64.StdEncoding.EncodeToString(document(t, "one"))
 		altered := base64.StdEncoding.EncodeToString(document(t, "0ne"))
 		damaged := bytes.Replace(e.Value, []byte(original), []byte(altered), 1)
-		_, err = b.store.Swap(t.Context(), plat.Swap{Key: e.Key, Expect: e.Revision, Value: damaged})
+		_, err = f.store.Swap(t.Context(), plat.Swap{Key: e.Key, Expect: e.Revision, Value: damaged})
 		assert.NilError(t, err)
-		_, err = b.promote("p1", 0, "")
+		_, err = f.promote("p1", 0, "")
 		assert.Equal(t, reasonOf(t, err), value.ReasonDigestMismatch)
 	})
 }
--- a/io/admin/query/status.go
+++ b/io/admin/query/status.go
@@ -40,9 +40,9 @@
 	State         value.InstanceState
 	Revision      int64
 	Digest        string
-	// Lag and SinceLastSeen are durations as text, such as 1.5s.
-	Lag           string
-	SinceLastSeen string `json:"Silent"`
+	// Lag and SinceLastContact are durations as text, such as 1.5s.
+	Lag              string
+	SinceLastContact string `json:"Silent"`
 }
 
 type wireProgress struct {
@@ -76,13 +76,13 @@
 	w := wireStatus{Self: s.Self, Digest: s.Digest, Revision: s.Revision, Newest: s.Newest}
 	for _, f := range s.Fleet {
 		w.Fleet = append(w.Fleet, wireInstance{
-			ID:            f.Instance.ID,
-			FailureDomain: f.Instance.FailureDomain,
-			State:         f.Instance.State,
-			Revision:      f.Instance.Revision,
-			Digest:        f.Instance.Digest,
-			Lag:           f.Lag.String(),
-			SinceLastSeen: f.SinceLastContact.String(),
+			ID:               f.Instance.ID,
+			FailureDomain:    f.Instance.FailureDomain,
+			State:            f.Instance.State,
+			Revision:         f.Instance.Revision,
+			Digest:           f.Instance.Digest,
+			Lag:              f.Lag.String(),
+			SinceLastContact: f.SinceLastContact.String(),
 		})
 	}
 	for _, p := range s.RollOuts {
@@ -111,10 +111,10 @@
 	if err != nil {
 		return query.InstanceStatus{}, fmt.Errorf("decode lag of %s: %w", w.ID, err)
 	}
-	sinceLastSeen, err := time.ParseDuration(w.SinceLastSeen)
+	sinceLastContact, err := time.ParseDuration(w.SinceLastContact)
 	if err != nil {
-		return query.InstanceStatus{}, fmt.Errorf("decode time since %s was last seen: %w", w.ID, err)
+		return query.InstanceStatus{}, fmt.Errorf("decode time since last contact with %s: %w", w.ID, err)
 	}
 	i := value.Instance{ID: w.ID, FailureDomain: w.FailureDomain, State: w.State, Revision: w.Revision, Digest: w.Digest}
-	return query.InstanceStatus{Instance: i, Lag: lag, SinceLastContact: sinceLastSeen}, nil
+	return query.InstanceStatus{Instance: i, Lag: lag, SinceLastContact: sinceLastContact}, nil
 }
--- a/io/admin/route/route.go
+++ b/io/admin/route/route.go
@@ -34,8 +34,8 @@
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
-		// The status is already sent, so that an error here can't be reported; the client receives
-		// a truncated answer.
+		// The results of all routes can be encoded, so that an error here means a lost connection,
+		// which can't be reported to the client.
 		_ = json.NewEncoder(w).Encode(out)
 	})
 	return Route{Method: method, Path: path, Handler: handler}
