--- a/io/shell/doc.go
+++ b/io/shell/doc.go
@@ -2,6 +2,7 @@
 //
 // Run parses the arguments and runs one of Commands. The commands are in three packages, one per
 // file: start holds those that run instances, cmds those that change what the system does, and
-// query those that only show something. The last two call the operators' API of an instance by the
-// flags of package reach. Package exit maps the error of Run to the exit code of the process.
+// query those that only show something. The last two call the operators' API of the instance that
+// the flags of package reach name. Package exit maps the error of Run to the exit code of the
+// process.
 package shell
--- a/io/shell/reach/doc.go
+++ b/io/shell/reach/doc.go
@@ -1,5 +1,6 @@
 // Package reach holds the flags that the commands for the operators' API share.
 //
-// Flags are the instance's address, the operator's key, the authorities that the instance's
-// certificate is checked by, and the time-out. NewClient makes a route.Client of their values.
+// Flags are the instance's address, the operator's key, the file of the certificate authorities that
+// the instance's certificate is checked against, and the time-out. NewClient makes a route.Client of
+// their values.
 package reach
--- a/io/shell/start/demo.go
+++ b/io/shell/start/demo.go
@@ -81,37 +81,38 @@
 func demo(ctx context.Context, out io.Writer, stay bool) error {
 	servers := startFakeServers()
 	defer servers.close()
-	s, err := newDemoFleet(zapcore.Lock(zapcore.AddSync(out)), servers)
+	f, err := newDemoFleet(zapcore.Lock(zapcore.AddSync(out)), servers)
 	if err != nil {
 		return err
 	}
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	g, gctx := errgroup.WithContext(ctx)
-	for _, inst := range s.instances {
+	for _, inst := range f.instances {
 		g.Go(func() error { return inst.run(gctx) })
 	}
 	g.Go(func() error {
 		defer stop()
-		if err := s.applyAndSend(gctx); err != nil {
+		if err := f.applyAndSend(gctx); err != nil {
 			return err
 		}
-		return s.waitIfAsked(gctx, stay)
+		return f.waitIfAsked(gctx, stay)
 	})
 	if err := g.Wait(); err != nil {
 		return fmt.Errorf("demo: %w", err)
 	}
-	return s.audit(context.WithoutCancel(ctx))
+	return f.audit(context.WithoutCancel(ctx))
 }
 
-// audit prints the number of requests that the bills in the key-value service charge for.
-func (s *demoFleet) audit(ctx context.Context) error {
-	segments, err := bills.ReadSegments(ctx, s.store)
+// audit prints how many requests were answered, and how many the bills in the key-value service
+// charge for.
+func (f *demoFleet) audit(ctx context.Context) error {
+	segments, err := bills.ReadSegments(ctx, f.store)
 	if err != nil {
 		return fmt.Errorf("read bills: %w", err)
 	}
 	charged := query.Reconcile(segments, nil).Charges
-	return s.printHeading("%d requests were answered and %d billed; the repeated reorder took effect once", len(demoRequests), len(charged))
+	return f.printHeading("%d requests were answered and %d billed; the repeated reorder took effect once", len(demoRequests), len(charged))
 }
 
 func newDemoFleet(out io.Writer, servers *fakeServers) (*demoFleet, error) {
@@ -127,7 +128,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("create signer: %w", err)
 	}
-	s := &demoFleet{
+	f := &demoFleet{
 		out:     out,
 		store:   store,
 		signer:  signer,
@@ -141,30 +142,30 @@
 		},
 	}
 	for i := range demoInstances {
-		inst, err := s.newInstance(i)
+		inst, err := f.newInstance(i)
 		if err != nil {
 			return nil, err
 		}
-		s.instances = append(s.instances, inst)
+		f.instances = append(f.instances, inst)
 	}
-	s.setInstanceLists()
-	return s, nil
+	f.setInstanceLists()
+	return f, nil
 }
 
 // setInstanceLists gives each instance the list of all instances and backend servers.
-func (s *demoFleet) setInstanceLists() {
-	list := plat.StaticList{ListedServers: s.settings.Servers}
-	for _, inst := range s.instances {
+func (f *demoFleet) setInstanceLists() {
+	list := plat.StaticList{ListedServers: f.settings.Servers}
+	for _, inst := range f.instances {
 		i := inst.node.Self
 		i.PeerAddress = inst.node.Peers.Listener.Addr().String()
 		list.ListedInstances = append(list.ListedInstances, i)
 	}
-	for i := range s.instances {
-		s.instances[i].node.List = list
+	for i := range f.instances {
+		f.instances[i].node.List = list
 	}
 }
 
-func (s *demoFleet) newInstance(i int) (instance, error) {
+func (f *demoFleet) newInstance(i int) (instance, error) {
 	var listeners [3]net.Listener
 	for k := range listeners {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -178,73 +179,73 @@
 		node: node.Config{
 			Self:          value.Instance{ID: id, FailureDomain: demoDomains[i%len(demoDomains)], State: value.InstanceLive},
 			Environment:   demoEnvironment,
-			Keys:          s.settings.Callers,
-			Signer:        s.signer,
-			Runner:        s.runner,
-			Store:         s.store,
+			Keys:          f.settings.Callers,
+			Signer:        f.signer,
+			Runner:        f.runner,
+			Store:         f.store,
 			StoreRates:    node.StoreRates{Reads: defaultReadRate, Writes: defaultWriteRate},
 			Peers:         node.Peers{Listener: listeners[2]},
-			Log:           logs.New(s.out, zapcore.InfoLevel).Named(string(id)),
+			Log:           logs.New(f.out, zapcore.InfoLevel).Named(string(id)),
 			Seed:          uint64(i),
 			ShutdownGrace: demoGrace,
 		},
-		settings:      s.settings,
+		settings:      f.settings,
 		callers:       listeners[0],
 		operators:     listeners[1],
-		onConfigReady: sync.OnceFunc(func() { s.ready <- struct{}{} }),
+		onConfigReady: sync.OnceFunc(func() { f.ready <- struct{}{} }),
 	}, nil
 }
 
 // applyAndSend applies the document, waits until it is in force everywhere and sends the requests.
-func (s *demoFleet) applyAndSend(ctx context.Context) error {
+func (f *demoFleet) applyAndSend(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, demoTimeout)
 	defer cancel()
 	order := cmds.ApplyOrder{Environment: demoEnvironment, Change: value.ChangeID(uuid.NewString()), Document: demoDocument}
-	applied, err := cmds.SendApply(ctx, s.operatorClient(0), order)
+	applied, err := cmds.SendApply(ctx, f.operatorClient(0), order)
 	if err != nil {
 		return fmt.Errorf("apply document: %w", err)
 	}
-	for range s.instances {
+	for range f.instances {
 		select {
-		case <-s.ready:
+		case <-f.ready:
 		case <-ctx.Done():
 			return fmt.Errorf("wait until the document is in force at all instances: %w", ctx.Err())
 		}
 	}
-	if err := s.printHeading("the document with digest %.12s is in force at all %d instances", applied.Change.Digest, len(s.instances)); err != nil {
+	if err := f.printHeading("the document with digest %.12s is in force at all %d instances", applied.Change.Digest, len(f.instances)); err != nil {
 		return err
 	}
-	return s.sendRequests(ctx)
+	return f.sendRequests(ctx)
 }
 
 // waitIfAsked prints the instances' addresses and keys and waits until the context ends. Without
 // stay it returns at once.
-func (s *demoFleet) waitIfAsked(ctx context.Context, stay bool) error {
+func (f *demoFleet) waitIfAsked(ctx context.Context, stay bool) error {
 	if !stay {
 		return nil
 	}
-	for i, inst := range s.instances {
-		if err := s.printHeading("%s: callers %s, operators %s", inst.node.Self.ID, s.callerURL(i), s.operatorClient(i).Base); err != nil {
+	for i, inst := range f.instances {
+		if err := f.printHeading("%s: callers %s, operators %s", inst.node.Self.ID, f.callerURL(i), f.operatorClient(i).Base); err != nil {
 			return err
 		}
 	}
-	if err := s.printHeading("callers' key %s, operators' key %s; stop with SIGINT", demoCallerKey, demoOperatorKey); err != nil {
+	if err := f.printHeading("callers' key %s, operators' key %s; stop with SIGINT", demoCallerKey, demoOperatorKey); err != nil {
 		return err
 	}
 	<-ctx.Done()
 	return nil
 }
 
-func (s *demoFleet) callerURL(i int) string {
-	return "http://" + s.instances[i].callers.Addr().String()
+func (f *demoFleet) callerURL(i int) string {
+	return "http://" + f.instances[i].callers.Addr().String()
 }
 
-func (s *demoFleet) operatorClient(i int) route.Client {
-	return newOperatorClient("http://" + s.instances[i].operators.Addr().String())
+func (f *demoFleet) operatorClient(i int) route.Client {
+	return newOperatorClient("http://" + f.instances[i].operators.Addr().String())
 }
 
-func (s *demoFleet) printHeading(format string, args ...any) error {
-	if _, err := fmt.Fprintf(s.out, "== "+format+"\n", args...); err != nil {
+func (f *demoFleet) printHeading(format string, args ...any) error {
+	if _, err := fmt.Fprintf(f.out, "== "+format+"\n", args...); err != nil {
 		return fmt.Errorf("print heading: %w", err)
 	}
 	return nil
--- a/io/shell/start/demo_requests.go
+++ b/io/shell/start/demo_requests.go
@@ -39,31 +39,31 @@
 
 // sendRequests sends the requests to the instances in turn, and prints an explanation of the menu
 // draft. It fails unless the reorder, which is sent twice, took effect once.
-func (s *demoFleet) sendRequests(ctx context.Context) error {
+func (f *demoFleet) sendRequests(ctx context.Context) error {
 	for i, request := range demoRequests {
-		index := i % len(s.instances)
-		if err := s.printHeading("%s, at %s", request.title, s.instances[index].node.Self.ID); err != nil {
+		index := i % len(f.instances)
+		if err := f.printHeading("%s, at %s", request.title, f.instances[index].node.Self.ID); err != nil {
 			return err
 		}
-		id, err := s.send(ctx, index, request)
+		id, err := f.send(ctx, index, request)
 		if err != nil {
 			return fmt.Errorf("%s: %w", request.title, err)
 		}
 		if request.kind != "menu-draft" {
 			continue
 		}
-		if err := s.explain(ctx, index, id); err != nil {
+		if err := f.explain(ctx, index, id); err != nil {
 			return err
 		}
 	}
-	if placed := s.servers.placedOrders.Load(); placed != 1 {
+	if placed := f.servers.placedOrders.Load(); placed != 1 {
 		return fmt.Errorf("the reorder took effect %d times, not once", placed)
 	}
 	return nil
 }
 
-func (s *demoFleet) send(ctx context.Context, index int, request demoRequest) (value.RequestID, error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, s.callerURL(index)+request.path, strings.NewReader(request.body))
+func (f *demoFleet) send(ctx context.Context, index int, request demoRequest) (value.RequestID, error) {
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, f.callerURL(index)+request.path, strings.NewReader(request.body))
 	if err != nil {
 		return "", fmt.Errorf("build request: %w", err)
 	}
@@ -82,7 +82,7 @@
 	if err != nil {
 		return "", fmt.Errorf("read answer: %w", err)
 	}
-	if _, err := fmt.Fprintf(s.out, "%s\n", bytes.TrimSpace(answer)); err != nil {
+	if _, err := fmt.Fprintf(f.out, "%s\n", bytes.TrimSpace(answer)); err != nil {
 		return "", fmt.Errorf("print answer: %w", err)
 	}
 	if resp.StatusCode != http.StatusOK {
@@ -92,16 +92,16 @@
 }
 
 // explain asks the instance after the one that served the request for the explanation.
-func (s *demoFleet) explain(ctx context.Context, index int, id value.RequestID) error {
-	next := (index + 1) % len(s.instances)
-	if err := s.printHeading("explain %s, asked at %s", id, s.instances[next].node.Self.ID); err != nil {
+func (f *demoFleet) explain(ctx context.Context, index int, id value.RequestID) error {
+	next := (index + 1) % len(f.instances)
+	if err := f.printHeading("explain %s, asked at %s", id, f.instances[next].node.Self.ID); err != nil {
 		return err
 	}
-	explanation, err := query.FetchExplanation(ctx, s.operatorClient(next), id)
+	explanation, err := query.FetchExplanation(ctx, f.operatorClient(next), id)
 	if err != nil {
 		return fmt.Errorf("explain request: %w", err)
 	}
-	return shell.PrintExplanation(s.out, explanation)
+	return shell.PrintExplanation(f.out, explanation)
 }
 
 func newOperatorClient(base string) route.Client {
--- a/io/shell/start/demo_servers.go
+++ b/io/shell/start/demo_servers.go
@@ -46,8 +46,8 @@
 }
 
 func (s *fakeServers) close() {
-	for _, s := range s.servers {
-		s.Close()
+	for _, server := range s.servers {
+		server.Close()
 	}
 }
 
--- a/io/shell/start/edge.go
+++ b/io/shell/start/edge.go
@@ -44,8 +44,8 @@
 }
 
 func (o *edgeOptions) run(ctx context.Context) error {
-	// SIGHUP is caught until the process ends, also while the instance leaves: uncaught, it would
-	// end the process.
+	// SIGHUP is caught until the process ends, also while the instance shuts down: uncaught, it
+	// would end the process.
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	settings, err := boot.Read(o.settings)
--- a/io/shell/start/instance.go
+++ b/io/shell/start/instance.go
@@ -30,7 +30,7 @@
 	settings  conf.Settings
 	callers   net.Listener
 	operators net.Listener
-	// onConfigReady, if set, is called, maybe repeatedly, while a configuration is in force and
+	// onConfigReady, if set, is called, possibly more than once, while a configuration is in force and
 	// backend servers are known.
 	onConfigReady func()
 }
