--- a/io/logs/async.go
+++ b/io/logs/async.go
@@ -14,8 +14,8 @@
 	maxBatchBytes = 32 << 10
 )
 
-// AsyncWriter writes lines to an output on a goroutine of its own, so that callers never wait for the
-// output.
+// AsyncWriter writes lines to an output on a goroutine of its own, so that callers never wait for
+// the output.
 //
 // Lines are dropped and counted while the queue is full.
 type AsyncWriter struct {
@@ -26,7 +26,8 @@
 	closeOnce    sync.Once
 }
 
-// NewAsyncWriter returns an asynchronous writer to the output and starts its goroutine, which Close ends.
+// NewAsyncWriter returns an asynchronous writer to the output and starts its goroutine, which Close
+// ends.
 func NewAsyncWriter(w io.Writer) *AsyncWriter {
 	a := &AsyncWriter{lines: make(chan []byte, maxQueuedLines), done: make(chan struct{})}
 	go a.drain(w)
--- a/io/logs/doc.go
+++ b/io/logs/doc.go
@@ -1,7 +1,7 @@
-// Package logs writes log lines in JSON, one for each decision about a request.
+// Package logs writes log lines in JSON, among them one for each decision about a request.
 //
-// New returns a zap.Logger of such lines; its output may be an Async, which writes in the
+// New returns a zap.Logger of such lines; its output may be an AsyncWriter, which writes in the
 // background and drops lines rather than block. Recorder logs routing decisions and stores the
-// latest of them, from which the explain command reads. Relayed logs the decisions about relayed
-// requests.
+// latest of them, from which the explain command reads. RelayRecorder logs the decisions about
+// relayed requests.
 package logs
--- a/io/logs/relayed.go
+++ b/io/logs/relayed.go
@@ -54,11 +54,11 @@
 	r.Log.Info(string(d.Kind), fields...)
 }
 
-// ReportDroppedLines logs and counts the dropped lines at each tick of every, until stop is closed.
-func ReportDroppedLines(log *zap.Logger, a *AsyncWriter, count func(int64), every <-chan time.Time, stop <-chan struct{}) {
+// ReportDroppedLines logs and counts the dropped lines at each tick, until stop is closed.
+func ReportDroppedLines(log *zap.Logger, a *AsyncWriter, count func(int64), ticks <-chan time.Time, stop <-chan struct{}) {
 	for {
 		select {
-		case <-every:
+		case <-ticks:
 			if n := a.Dropped(); n > 0 {
 				count(n)
 				log.Warn("LinesDropped", zap.Int64("Lines", n))
