--- a/io/stats/instrument.go
+++ b/io/stats/instrument.go
@@ -17,10 +17,10 @@
 	billRefused = "Refused"
 )
 
-// Server serves a job and writes its answer to a flow.Sink; *flow.Flow is one.
+// Server serves a job and writes its answer to a flow.ResponseWriter; *flow.Flow is one.
 type Server interface {
 	// Serve returns once the answer is complete; the error is a value.Refusal.
-	Serve(ctx context.Context, j flow.Job, s flow.ResponseWriter) (flow.Result, error)
+	Serve(ctx context.Context, j flow.Job, w flow.ResponseWriter) (flow.Result, error)
 }
 
 // InstrumentedServer is a server whose answers and refusals are counted.
@@ -35,16 +35,16 @@
 }
 
 // Serve serves the job and counts its answer or refusal; the error is that of the wrapped server.
-func (c InstrumentedServer) Serve(ctx context.Context, j flow.Job, sink flow.ResponseWriter) (flow.Result, error) {
-	c.stats.inFlight.Add(1)
-	defer c.stats.inFlight.Add(-1)
-	timer := &firstTokenTimer{ResponseWriter: sink, stats: c.stats, kind: string(j.Request.Kind), start: c.stats.config.Now()}
-	result, err := c.next.Serve(ctx, j, timer)
+func (s InstrumentedServer) Serve(ctx context.Context, j flow.Job, w flow.ResponseWriter) (flow.Result, error) {
+	s.stats.inFlight.Add(1)
+	defer s.stats.inFlight.Add(-1)
+	timer := &firstTokenTimer{ResponseWriter: w, stats: s.stats, kind: string(j.Request.Kind), start: s.stats.config.Now()}
+	result, err := s.next.Serve(ctx, j, timer)
 	if err != nil {
-		c.stats.recordRefusal(err)
+		s.stats.recordRefusal(err)
 		return result, err
 	}
-	c.stats.recordAnswer(timer, result)
+	s.stats.recordAnswer(timer, result)
 	return result, nil
 }
 
@@ -71,7 +71,7 @@
 	}
 }
 
-// firstTokenTimer is a flow.Sink that records the time to the first piece of an answer.
+// firstTokenTimer is a flow.ResponseWriter that records the time to the first piece of an answer.
 type firstTokenTimer struct {
 	flow.ResponseWriter
 	stats      *Stats
@@ -80,7 +80,7 @@
 	hasStarted bool
 }
 
-// Write passes the piece on to the wrapped Sink.
+// Write passes the piece on to the wrapped writer.
 func (t *firstTokenTimer) Write(p engine.Piece) error {
 	if !t.hasStarted {
 		t.hasStarted = true
--- a/io/stats/relayed.go
+++ b/io/stats/relayed.go
@@ -48,16 +48,17 @@
 	s.count(linesDropped, lines)
 }
 
-// CombinedRecorder is a proxy.Recorder that passes each decision to another recorder and counts it in Stats.
+// CombinedRecorder is a proxy.Recorder that passes each decision to another recorder and counts it
+// in Stats.
 type CombinedRecorder struct {
 	First proxy.Recorder
 	Stats *Stats
 }
 
 // Record records the decision in First and Stats.
-func (b CombinedRecorder) Record(d proxy.Decision) {
-	b.First.Record(d)
-	b.Stats.RecordRelayed(d)
+func (r CombinedRecorder) Record(d proxy.Decision) {
+	r.First.Record(d)
+	r.Stats.RecordRelayed(d)
 }
 
 // RelayPeriod is the Config.Period of an instance that relays requests.
--- a/io/stats/stats_test.go
+++ b/io/stats/stats_test.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// discardWriter is a flow.Sink that discards the answer.
+// discardWriter is a flow.ResponseWriter that discards the answer.
 type discardWriter struct{}
 
 func (discardWriter) WriteHead(engine.Head, value.VersionKey) error { return nil }
