--- a/io/faults/cell.go
+++ b/io/faults/cell.go
@@ -31,8 +31,8 @@
 // ReasonNotApplicable returns why a fault can't occur at the step, or "" if all of them can.
 func (c Cell) ReasonNotApplicable() string {
 	for _, f := range c.Faults {
-		if why := f.ReasonNotApplicable(c.Step); why != "" {
-			return f.Name + ": " + why
+		if reason := f.ReasonNotApplicable(c.Step); reason != "" {
+			return f.Name + ": " + reason
 		}
 	}
 	return ""
@@ -72,7 +72,7 @@
 	_ = clock.Wait(ctx, 2*time.Second)
 	// The first document is applied without faults, also in cells whose faults begin at a change of
 	// the document.
-	fleet.triggered.Store(cell.Step == StepApply || cell.Step == StepSpread)
+	fleet.triggered.Store(cell.Step == StepApply || cell.Step == StepDisseminate)
 	fleet.applyDocument(firstDocument)
 	_ = clock.Wait(ctx, time.Second)
 	fleet.triggered.Store(false)
@@ -154,7 +154,7 @@
 	ctx := context.Background()
 	_ = clock.Wait(ctx, 500*time.Millisecond)
 	f.applyDocument(nextDocument)
-	f.reachStepAtLiveInstance(StepSpread)
+	f.reachStepAtLiveInstance(StepDisseminate)
 	_ = clock.Wait(ctx, time.Second)
 	f.sendCommand(StepStart, cmds.StartRollOut{Name: rollOut})
 	_ = clock.Wait(ctx, 2*time.Second)
@@ -163,8 +163,8 @@
 	f.withdrawVersion()
 	now := time.Now()
 	f.instanceList.markLeaving(leavingServer, now)
-	f.record(func(x Observations) Observations {
-		return x.WithLeaving(Event[value.ServerID]{Subject: leavingServer, At: now})
+	f.record(func(o Observations) Observations {
+		return o.WithLeaving(Event[value.ServerID]{Subject: leavingServer, At: now})
 	})
 	_ = clock.Wait(ctx, time.Second)
 	f.allInstances()[2].leave()
--- a/io/faults/fault.go
+++ b/io/faults/fault.go
@@ -12,8 +12,8 @@
 	Name string
 	// Duration is the time from Begin to End.
 	Duration time.Duration
-	// Begin injects the fault, where it concerns one instance at the one that reached the step. It
-	// must not block.
+	// Begin injects the fault; a fault of one instance affects the one that reached the step. It must
+	// not block.
 	Begin func(f *Fleet, at *instance)
 	// End removes the fault.
 	End func(f *Fleet, at *instance)
@@ -24,16 +24,16 @@
 // faultDuration is the duration of most faults.
 const faultDuration = 6 * time.Second
 
-func appliesEverywhere(Step) string { return "" }
+func noReason(Step) string { return "" }
 
-func appliesDuringAttempt(s Step) string {
+func reasonOutsideAttempt(s Step) string {
 	if !s.IsDuringAttempt() {
 		return "no answer is under way at the step"
 	}
 	return ""
 }
 
-func appliesDuringConfigChange(s Step) string {
+func reasonOutsideConfigChange(s Step) string {
 	if !s.IsDuringConfigChange() {
 		return "no change of the document is under way at the step"
 	}
@@ -52,7 +52,7 @@
 // newStoreFault returns a fault of the key-value store of faultDuration; set switches it on or off.
 func newStoreFault(name string, set func(fakes.StoreFaults, bool) fakes.StoreFaults) Fault {
 	return Fault{
-		Name: name, Duration: faultDuration, ReasonNotApplicable: appliesEverywhere,
+		Name: name, Duration: faultDuration, ReasonNotApplicable: noReason,
 		Begin: func(f *Fleet, _ *instance) {
 			f.updateStoreFaults(func(s fakes.StoreFaults) fakes.StoreFaults { return set(s, true) })
 		},
@@ -70,17 +70,17 @@
 }
 
 func serverFaults() []Fault {
-	reset := newServerFault("ServerResets", Behaviour{Reset: true}, appliesDuringAttempt)
+	reset := newServerFault("ServerResets", Behaviour{Reset: true}, reasonOutsideAttempt)
 	reset.Duration = pieceDelay / 2
 	return []Fault{
-		newServerFault("ServerDies", Behaviour{Reset: true, Server: leavingServer}, appliesEverywhere),
+		newServerFault("ServerDies", Behaviour{Reset: true, Server: leavingServer}, noReason),
 		reset,
-		newServerFault("ServerStalls", Behaviour{Stall: true, Server: "engine-2"}, appliesEverywhere),
-		newServerFault("ServersLate", Behaviour{ExtraDelay: 2 * time.Second}, appliesEverywhere),
-		newServerFault("AnswersAnothers", Behaviour{WrongRequest: true}, appliesEverywhere),
-		newServerFault("ServersRefuse", Behaviour{RefuseConnection: true}, appliesEverywhere),
-		newServerFault("VersionTurnsBad", Behaviour{Status: http.StatusInternalServerError, Version: nextVersion}, appliesEverywhere),
-		newServerFault("PoolRunsOut", Behaviour{Status: http.StatusServiceUnavailable}, appliesEverywhere),
+		newServerFault("ServerStalls", Behaviour{Stall: true, Server: "engine-2"}, noReason),
+		newServerFault("ServersLate", Behaviour{ExtraDelay: 2 * time.Second}, noReason),
+		newServerFault("AnswersAnothers", Behaviour{WrongRequest: true}, noReason),
+		newServerFault("ServersRefuse", Behaviour{RefuseConnection: true}, noReason),
+		newServerFault("VersionTurnsBad", Behaviour{Status: http.StatusInternalServerError, Version: nextVersion}, noReason),
+		newServerFault("PoolRunsOut", Behaviour{Status: http.StatusServiceUnavailable}, noReason),
 	}
 }
 
@@ -101,7 +101,7 @@
 			return s.WithLostAnswers(3)
 		}),
 		{
-			Name: "TwoOperators", ReasonNotApplicable: appliesDuringConfigChange, End: noop,
+			Name: "TwoOperators", ReasonNotApplicable: reasonOutsideConfigChange, End: noop,
 			Begin: func(f *Fleet, _ *instance) { f.runInBackground(func() { f.applyDocument(otherDocument) }) },
 		},
 	}
@@ -109,26 +109,26 @@
 
 func instanceFaults() []Fault {
 	return []Fault{
-		{Name: "InstanceKilled", Begin: func(_ *Fleet, n *instance) { n.kill() }, End: noop, ReasonNotApplicable: appliesEverywhere},
+		{Name: "InstanceKilled", Begin: func(_ *Fleet, n *instance) { n.kill() }, End: noop, ReasonNotApplicable: noReason},
 		{
-			Name: "InstanceReplaced", End: noop, ReasonNotApplicable: appliesEverywhere,
+			Name: "InstanceReplaced", End: noop, ReasonNotApplicable: noReason,
 			Begin: func(f *Fleet, n *instance) {
 				n.kill()
 				f.runInBackground(f.startReplacement)
 			},
 		},
 		{
-			Name: "InstancePaused", Duration: faultDuration, ReasonNotApplicable: appliesEverywhere,
+			Name: "InstancePaused", Duration: faultDuration, ReasonNotApplicable: noReason,
 			Begin: func(_ *Fleet, n *instance) { n.pause() },
 			End:   func(_ *Fleet, n *instance) { n.resume() },
 		},
 		{
-			Name: "PeersCut", Duration: faultDuration, ReasonNotApplicable: appliesEverywhere,
+			Name: "PeersCut", Duration: faultDuration, ReasonNotApplicable: noReason,
 			Begin: func(f *Fleet, _ *instance) { f.setPeersCut(true) },
 			End:   func(f *Fleet, _ *instance) { f.setPeersCut(false) },
 		},
 		{
-			Name: "ListAway", Duration: faultDuration, ReasonNotApplicable: appliesEverywhere,
+			Name: "ListAway", Duration: faultDuration, ReasonNotApplicable: noReason,
 			Begin: func(f *Fleet, _ *instance) { f.instanceList.update(func(l *instanceList) { l.unreachable = true }) },
 			End:   func(f *Fleet, _ *instance) { f.instanceList.update(func(l *instanceList) { l.unreachable = false }) },
 		},
--- a/io/faults/fleet.go
+++ b/io/faults/fleet.go
@@ -20,7 +20,8 @@
 	"endivehitch/io/plat"
 )
 
-// watchHistory is how many past changes the store keeps for watches that start at an old revision.
+// watchHistory is how many past changes the store retains for watches that start at an old
+// revision.
 const watchHistory = 10000
 
 // Fleet is the test environment of one cell: three instances, and the store, network, instance list
@@ -30,7 +31,7 @@
 	brokenInvariant Invariant
 	seed            uint64
 
-	// faultFreeStore is the store below the faults of store.
+	// faultFreeStore is the store beneath store, without its faults.
 	faultFreeStore *plat.Embedded
 	store          *fakes.Store
 	mesh           fakes.Mesh
@@ -112,7 +113,7 @@
 		f.runInBackground(func() {
 			_ = clock.Wait(context.Background(), fault.Duration)
 			fault.End(f, at)
-			f.record(func(x Observations) Observations { return x.WithFaultsEndedAt(time.Now()) })
+			f.record(func(o Observations) Observations { return o.WithFaultsEndedAt(time.Now()) })
 		})
 	}
 }
@@ -128,19 +129,19 @@
 
 // behaviourOf returns the combination of all behaviours in force for the version at the server.
 func (f *Fleet) behaviourOf(server value.ServerID, version value.VersionKey) Behaviour {
-	var joined Behaviour
+	var combined Behaviour
 	for _, b := range f.behaviours.Get().All() {
 		if !b.appliesTo(server, version) {
 			continue
 		}
-		joined.Reset = joined.Reset || b.Reset
-		joined.Stall = joined.Stall || b.Stall
-		joined.WrongRequest = joined.WrongRequest || b.WrongRequest
-		joined.RefuseConnection = joined.RefuseConnection || b.RefuseConnection
-		joined.ExtraDelay = max(joined.ExtraDelay, b.ExtraDelay)
-		joined.Status = max(joined.Status, b.Status)
+		combined.Reset = combined.Reset || b.Reset
+		combined.Stall = combined.Stall || b.Stall
+		combined.WrongRequest = combined.WrongRequest || b.WrongRequest
+		combined.RefuseConnection = combined.RefuseConnection || b.RefuseConnection
+		combined.ExtraDelay = max(combined.ExtraDelay, b.ExtraDelay)
+		combined.Status = max(combined.Status, b.Status)
 	}
-	return joined
+	return combined
 }
 
 func (f *Fleet) updateStoreFaults(change func(fakes.StoreFaults) fakes.StoreFaults) {
@@ -154,8 +155,8 @@
 }
 
 func (f *Fleet) recordAttempt(server value.BackendServer, call engine.Call) {
-	f.record(func(x Observations) Observations {
-		return x.WithAttempt(Attempt{Request: call.Request, Key: call.Key, Server: server.ID, Version: call.Version, StartedAt: time.Now()})
+	f.record(func(o Observations) Observations {
+		return o.WithAttempt(Attempt{Request: call.Request, Key: call.Key, Server: server.ID, Version: call.Version, StartedAt: time.Now()})
 	})
 }
 
@@ -189,7 +190,7 @@
 	case <-n.processCtx.Done():
 		reply = reply.afterProcessEnd(n, served)
 	}
-	f.record(func(x Observations) Observations { return x.WithReply(reply) })
+	f.record(func(o Observations) Observations { return o.WithReply(reply) })
 	return reply
 }
 
@@ -259,13 +260,13 @@
 func (f *Fleet) recordStoreChange(entry plat.Entry, withdrawalPrefix string) {
 	now := time.Now()
 	if entry.Key == conf.DocumentKey(environment) {
-		f.record(func(x Observations) Observations {
-			return x.WithAccepted(Event[value.ChangeID]{Subject: value.ChangeID(entry.Value), Revision: entry.Revision, At: now})
+		f.record(func(o Observations) Observations {
+			return o.WithAccepted(Event[value.ChangeID]{Subject: value.ChangeID(entry.Value), Revision: entry.Revision, At: now})
 		})
 	}
 	if v, ok := strings.CutPrefix(entry.Key, withdrawalPrefix); ok {
-		f.record(func(x Observations) Observations {
-			return x.WithWithdrawn(Event[value.VersionKey]{Subject: value.VersionKey(v), Revision: entry.Revision, At: now})
+		f.record(func(o Observations) Observations {
+			return o.WithWithdrawn(Event[value.VersionKey]{Subject: value.VersionKey(v), Revision: entry.Revision, At: now})
 		})
 	}
 }
--- a/io/faults/instance.go
+++ b/io/faults/instance.go
@@ -30,16 +30,16 @@
 // instance is one instance of the fleet: the real control loop, gossip, idempotency guard, biller
 // and request flow, connected as in a process of its own.
 type instance struct {
-	self   value.Instance
-	fleet  *Fleet
-	loop   *loop.Loop[state.State, state.Effect]
-	port   *fakes.Port
-	store  plat.Store
-	flow   *flow.Flow
-	guard  *once.Guard
-	biller *bills.Biller
-	gossip *gossip.Gossip
-	keeper *stage.Persister
+	self      value.Instance
+	fleet     *Fleet
+	loop      *loop.Loop[state.State, state.Effect]
+	port      *fakes.Port
+	store     plat.Store
+	flow      *flow.Flow
+	guard     *once.Guard
+	biller    *bills.Biller
+	gossip    *gossip.Gossip
+	persister *stage.Persister
 
 	ctx    context.Context
 	cancel context.CancelFunc
@@ -69,7 +69,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("create control loop: %w", err)
 	}
-	for _, build := range []func() error{n.newGossip, n.newGuard, n.newBiller, n.newKeeper, n.newFlow} {
+	for _, build := range []func() error{n.newGossip, n.newGuard, n.newBiller, n.newPersister, n.newFlow} {
 		if err := build(); err != nil {
 			return nil, fmt.Errorf("create instance %s: %w", id, err)
 		}
@@ -130,8 +130,8 @@
 	return n.biller.Register(n.port)
 }
 
-func (n *instance) newKeeper() (err error) {
-	n.keeper, err = stage.NewPersister(stage.PersisterConfig{
+func (n *instance) newPersister() (err error) {
+	n.persister, err = stage.NewPersister(stage.PersisterConfig{
 		Store: n.store, Environment: environment,
 		Do:          func(ctx context.Context, c stage.Command) error { return n.loop.Do(ctx, c) },
 		ReportError: func(error) {},
@@ -169,7 +169,7 @@
 	n.background.Go(n.handleEffects)
 	n.background.Go(func() { _ = n.gossip.Run(n.ctx) })
 	n.background.Go(func() { n.biller.Run(n.ctx) })
-	n.background.Go(func() { _ = n.keeper.Run(n.ctx) })
+	n.background.Go(func() { _ = n.persister.Run(n.ctx) })
 	n.background.Go(func() { n.flow.Follow(n.ctx, n.loop.Watch) })
 	n.background.Go(n.readServers)
 	n.background.Go(n.recordConfigInForce)
@@ -178,7 +178,7 @@
 func (n *instance) handleEffects() {
 	for e := range n.loop.Effects() {
 		n.gossip.Handle(e)
-		n.keeper.Enqueue(e)
+		n.persister.Enqueue(e)
 	}
 }
 
@@ -201,8 +201,8 @@
 		snapshot, changed := n.loop.Watch()
 		if r := snapshot.Config.Revision; r != lastRevision {
 			lastRevision = r
-			n.fleet.record(func(f Observations) Observations {
-				return f.WithInForce(Event[value.InstanceID]{Subject: n.self.ID, Revision: r, At: time.Now()})
+			n.fleet.record(func(o Observations) Observations {
+				return o.WithInForce(Event[value.InstanceID]{Subject: n.self.ID, Revision: r, At: time.Now()})
 			})
 		}
 		select {
@@ -215,7 +215,8 @@
 
 func (n *instance) hasEnded() bool { return n.processCtx.Err() != nil }
 
-// waitWhilePaused returns once the instance is not paused; it fails if the instance has ended.
+// waitWhilePaused returns once the instance is not paused; it fails if the instance or the context
+// has ended.
 func (n *instance) waitWhilePaused(ctx context.Context) error {
 	if paused := n.paused.Get(); paused != nil {
 		select {
@@ -261,7 +262,7 @@
 		return
 	}
 	n.fleet.mesh.Remove(n.self.PeerAddress)
-	n.fleet.record(func(f Observations) Observations { return f.WithEndedInstance(n.self.ID) })
+	n.fleet.record(func(o Observations) Observations { return o.WithEndedInstance(n.self.ID) })
 	n.fleet.instanceList.removeInstance(n.self.ID)
 	n.port.Pause()
 	n.endProcess()
@@ -302,7 +303,7 @@
 	_ = n.biller.Flush(ctx)
 	if !n.hasEnded() {
 		n.fleet.mesh.Remove(n.self.PeerAddress)
-		n.fleet.record(func(f Observations) Observations { return f.WithEndedInstance(n.self.ID) })
+		n.fleet.record(func(o Observations) Observations { return o.WithEndedInstance(n.self.ID) })
 		n.fleet.instanceList.removeInstance(n.self.ID)
 		// ctx ends first: by it sendRequest tells a graceful shutdown from a kill.
 		n.cancel()
--- a/io/faults/invariants.go
+++ b/io/faults/invariants.go
@@ -132,8 +132,8 @@
 
 func (c *checker) countAttempts(id value.RequestID) int {
 	n := 0
-	for _, r := range c.observations.Attempts {
-		if r.Request == id {
+	for _, a := range c.observations.Attempts {
+		if a.Request == id {
 			n++
 		}
 	}
@@ -155,9 +155,9 @@
 
 func (c *checker) checkIdempotency() {
 	effects := make(map[value.IdempotencyKey]int)
-	for _, r := range c.observations.Attempts {
-		if r.Key != "" {
-			effects[r.Key]++
+	for _, a := range c.observations.Attempts {
+		if a.Key != "" {
+			effects[a.Key]++
 		}
 	}
 	for key, n := range effects {
--- a/io/faults/matrix_test.go
+++ b/io/faults/matrix_test.go
@@ -49,7 +49,8 @@
 	}
 }
 
-// Runs one cell for each step, or the whole matrix of single faults or pairs if the flag says so.
+// TestMatrix runs one cell for each step, or the whole matrix of single faults or pairs if the flag
+// says so.
 func TestMatrix(t *testing.T) {
 	switch *matrix {
 	case "Singles":
--- a/io/faults/observations.go
+++ b/io/faults/observations.go
@@ -54,58 +54,58 @@
 }
 
 // WithAttempt returns a copy with the attempt added.
-func (f Observations) WithAttempt(r Attempt) Observations {
-	f.Attempts = append(slices.Clip(f.Attempts), r)
-	return f
+func (o Observations) WithAttempt(a Attempt) Observations {
+	o.Attempts = append(slices.Clip(o.Attempts), a)
+	return o
 }
 
 // WithReply returns a copy with the reply added.
-func (f Observations) WithReply(r Reply) Observations {
-	f.Replies = append(slices.Clip(f.Replies), r)
-	return f
+func (o Observations) WithReply(r Reply) Observations {
+	o.Replies = append(slices.Clip(o.Replies), r)
+	return o
 }
 
 // WithBillSegments returns a copy with the bill segments that the store holds.
-func (f Observations) WithBillSegments(s []ledger.Segment) Observations {
-	f.BillSegments = s
-	return f
+func (o Observations) WithBillSegments(s []ledger.Segment) Observations {
+	o.BillSegments = s
+	return o
 }
 
 // WithAccepted returns a copy with the configuration added that the store accepted.
-func (f Observations) WithAccepted(e Event[value.ChangeID]) Observations {
-	f.Accepted = append(slices.Clip(f.Accepted), e)
-	return f
+func (o Observations) WithAccepted(e Event[value.ChangeID]) Observations {
+	o.Accepted = append(slices.Clip(o.Accepted), e)
+	return o
 }
 
 // WithInForce returns a copy with the configuration added that came into force at an instance.
-func (f Observations) WithInForce(e Event[value.InstanceID]) Observations {
-	f.InForce = append(slices.Clip(f.InForce), e)
-	return f
+func (o Observations) WithInForce(e Event[value.InstanceID]) Observations {
+	o.InForce = append(slices.Clip(o.InForce), e)
+	return o
 }
 
 // WithWithdrawn returns a copy with the withdrawn version added.
-func (f Observations) WithWithdrawn(e Event[value.VersionKey]) Observations {
-	f.Withdrawn = append(slices.Clip(f.Withdrawn), e)
-	return f
+func (o Observations) WithWithdrawn(e Event[value.VersionKey]) Observations {
+	o.Withdrawn = append(slices.Clip(o.Withdrawn), e)
+	return o
 }
 
 // WithLeaving returns a copy with the backend server added that is leaving.
-func (f Observations) WithLeaving(e Event[value.ServerID]) Observations {
-	f.Leaving = append(slices.Clip(f.Leaving), e)
-	return f
+func (o Observations) WithLeaving(e Event[value.ServerID]) Observations {
+	o.Leaving = append(slices.Clip(o.Leaving), e)
+	return o
 }
 
 // WithEndedInstance returns a copy with the instance added to the ended ones.
-func (f Observations) WithEndedInstance(id value.InstanceID) Observations {
-	f.EndedInstances = append(slices.Clip(f.EndedInstances), id)
-	return f
+func (o Observations) WithEndedInstance(id value.InstanceID) Observations {
+	o.EndedInstances = append(slices.Clip(o.EndedInstances), id)
+	return o
 }
 
 // WithFaultsEndedAt returns a copy whose last fault ended at the given time, unless a later end is
 // recorded.
-func (f Observations) WithFaultsEndedAt(at time.Time) Observations {
-	if at.After(f.FaultsEndedAt) {
-		f.FaultsEndedAt = at
+func (o Observations) WithFaultsEndedAt(at time.Time) Observations {
+	if at.After(o.FaultsEndedAt) {
+		o.FaultsEndedAt = at
 	}
-	return f
+	return o
 }
--- a/io/faults/ports.go
+++ b/io/faults/ports.go
@@ -24,35 +24,35 @@
 }
 
 // Get implements plat.Reader.
-func (g pausableStore) Get(ctx context.Context, key string) (plat.Entry, error) {
-	if err := g.instance.waitWhilePaused(ctx); err != nil {
+func (p pausableStore) Get(ctx context.Context, key string) (plat.Entry, error) {
+	if err := p.instance.waitWhilePaused(ctx); err != nil {
 		return plat.Entry{}, err
 	}
-	return g.Store.Get(ctx, key)
+	return p.Store.Get(ctx, key)
 }
 
 // List implements plat.Reader.
-func (g pausableStore) List(ctx context.Context, prefix string) (plat.Listing, error) {
-	if err := g.instance.waitWhilePaused(ctx); err != nil {
+func (p pausableStore) List(ctx context.Context, prefix string) (plat.Listing, error) {
+	if err := p.instance.waitWhilePaused(ctx); err != nil {
 		return plat.Listing{}, err
 	}
-	return g.Store.List(ctx, prefix)
+	return p.Store.List(ctx, prefix)
 }
 
 // Swap implements plat.Writer.
-func (g pausableStore) Swap(ctx context.Context, s plat.Swap) (int64, error) {
-	if err := g.instance.waitWhilePaused(ctx); err != nil {
+func (p pausableStore) Swap(ctx context.Context, s plat.Swap) (int64, error) {
+	if err := p.instance.waitWhilePaused(ctx); err != nil {
 		return 0, errors.Join(plat.ErrUnavailable, err)
 	}
-	return g.Store.Swap(ctx, s)
+	return p.Store.Swap(ctx, s)
 }
 
 // Delete implements plat.Writer.
-func (g pausableStore) Delete(ctx context.Context, key string, expect int64) error {
-	if err := g.instance.waitWhilePaused(ctx); err != nil {
+func (p pausableStore) Delete(ctx context.Context, key string, expect int64) error {
+	if err := p.instance.waitWhilePaused(ctx); err != nil {
 		return errors.Join(plat.ErrUnavailable, err)
 	}
-	return g.Store.Delete(ctx, key, expect)
+	return p.Store.Delete(ctx, key, expect)
 }
 
 // stepBiller reports StepRecordBill before a bill is stored.
@@ -76,7 +76,7 @@
 	instance *instance
 }
 
-// Claim implements flow.Guard.
+// Claim implements flow.IdempotencyGuard.
 func (g stepGuard) Claim(ctx context.Context, r value.Request) (flow.Claim, *flow.StoredAnswer, error) {
 	g.instance.fleet.reachStep(StepRecordIntent, g.instance)
 	if g.instance.fleet.brokenInvariant == InvariantAtMostOnce {
@@ -104,16 +104,16 @@
 	ended    bool
 }
 
-// WriteHead implements flow.Sink.
+// WriteHead implements flow.ResponseWriter.
 func (*responseWriter) WriteHead(engine.Head, value.VersionKey) error { return nil }
 
-// Write implements flow.Sink.
+// Write implements flow.ResponseWriter.
 func (w *responseWriter) Write(p engine.Piece) error {
 	w.text += string(p.Data)
 	return nil
 }
 
-// End implements flow.Sink.
+// End implements flow.ResponseWriter.
 func (w *responseWriter) End(engine.Usage) error {
 	w.instance.fleet.reachStep(StepAnswer, w.instance)
 	if w.instance.hasEnded() {
@@ -123,8 +123,8 @@
 	return nil
 }
 
-// misroute returns a version or server that the broken invariant forbids for the attempt, or the
-// given ones if no such invariant is broken.
+// misroute returns the attempt with a server or version that the broken invariant forbids, or
+// unchanged if no such invariant is broken.
 func misroute(fleet *Fleet, server value.BackendServer, call engine.Call) (value.BackendServer, engine.Call) {
 	request := fleet.requestByID(call.Request)
 	switch {
--- a/io/faults/results.go
+++ b/io/faults/results.go
@@ -55,18 +55,19 @@
 // can't occur at the step.
 const (
 	StateHeld          State = "Held"
-	StateRed           State = "Red"
-	StateMissed        State = "Missed"
+	StateViolated      State = "Red"
+	StateNotReached    State = "Missed"
 	StateNotApplicable State = "NotApplicable"
 )
 
-// State returns StateRed after a violation and StateMissed if the faults never began.
+// State returns StateViolated after a violation, StateNotReached if the faults never began, and
+// otherwise StateHeld.
 func (o Outcome) State() State {
 	switch {
 	case len(o.Violations) > 0:
-		return StateRed
+		return StateViolated
 	case !o.Reached:
-		return StateMissed
+		return StateNotReached
 	}
 	return StateHeld
 }
@@ -77,9 +78,9 @@
 }
 
 // With returns a copy that counts the cell in the state.
-func (g StateCounts) With(cell Cell, state State) StateCounts {
-	next := make(map[Step]map[State]int, len(g.counts)+1)
-	for step, counts := range g.counts {
+func (c StateCounts) With(cell Cell, state State) StateCounts {
+	next := make(map[Step]map[State]int, len(c.counts)+1)
+	for step, counts := range c.counts {
 		next[step] = counts
 	}
 	row := make(map[State]int, len(next[cell.Step])+1)
@@ -92,17 +93,17 @@
 }
 
 // Total returns how many cells are in the state.
-func (g StateCounts) Total(s State) int {
+func (c StateCounts) Total(s State) int {
 	n := 0
-	for _, row := range g.counts {
+	for _, row := range c.counts {
 		n += row[s]
 	}
 	return n
 }
 
 // Print writes a table with a row for each step; Run counts the cells that were run.
-func (g StateCounts) Print(w io.Writer, title string) error {
-	states := []State{StateHeld, StateRed, StateMissed, StateNotApplicable}
+func (c StateCounts) Print(w io.Writer, title string) error {
+	states := []State{StateHeld, StateViolated, StateNotReached, StateNotApplicable}
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(table, "%s\tRun\t", title)
 	for _, s := range states {
@@ -110,16 +111,16 @@
 	}
 	fmt.Fprintln(table)
 	for _, step := range Steps() {
-		row := g.counts[step]
-		fmt.Fprintf(table, "%s\t%d\t", step, row[StateHeld]+row[StateRed]+row[StateMissed])
+		row := c.counts[step]
+		fmt.Fprintf(table, "%s\t%d\t", step, row[StateHeld]+row[StateViolated]+row[StateNotReached])
 		for _, s := range states {
 			fmt.Fprintf(table, "%d\t", row[s])
 		}
 		fmt.Fprintln(table)
 	}
-	fmt.Fprintf(table, "Total\t%d\t", g.Total(StateHeld)+g.Total(StateRed)+g.Total(StateMissed))
+	fmt.Fprintf(table, "Total\t%d\t", c.Total(StateHeld)+c.Total(StateViolated)+c.Total(StateNotReached))
 	for _, s := range states {
-		fmt.Fprintf(table, "%d\t", g.Total(s))
+		fmt.Fprintf(table, "%d\t", c.Total(s))
 	}
 	fmt.Fprintln(table)
 	if err := table.Flush(); err != nil {
--- a/io/faults/step.go
+++ b/io/faults/step.go
@@ -21,20 +21,20 @@
 
 // The steps of control work.
 const (
-	StepApply    Step = "Apply"
-	StepSpread   Step = "Spread"
-	StepStart    Step = "Start"
-	StepAdvance  Step = "Advance"
-	StepWithdraw Step = "Withdraw"
-	StepHandOver Step = "HandOver"
-	StepLeave    Step = "Leave"
+	StepApply       Step = "Apply"
+	StepDisseminate Step = "Spread"
+	StepStart       Step = "Start"
+	StepAdvance     Step = "Advance"
+	StepWithdraw    Step = "Withdraw"
+	StepHandOver    Step = "HandOver"
+	StepLeave       Step = "Leave"
 )
 
 // Steps returns all steps, in the order in which the work passes them.
 func Steps() []Step {
 	return []Step{
 		StepAccept, StepAdmit, StepQueue, StepPin, StepRoute, StepRecordIntent, StepDispatch, StepFirstByte, StepMidStream,
-		StepComplete, StepRecordBill, StepAnswer, StepApply, StepSpread, StepStart, StepAdvance, StepWithdraw,
+		StepComplete, StepRecordBill, StepAnswer, StepApply, StepDisseminate, StepStart, StepAdvance, StepWithdraw,
 		StepHandOver, StepLeave,
 	}
 }
@@ -47,5 +47,5 @@
 // IsDuringConfigChange reports whether an operator's change to the document is in progress at the
 // step.
 func (s Step) IsDuringConfigChange() bool {
-	return s == StepApply || s == StepSpread
+	return s == StepApply || s == StepDisseminate
 }
