--- a/io/fakes/answer.go
+++ b/io/fakes/answer.go
@@ -37,13 +37,13 @@
 
 // chatAnswer is one answer in progress.
 type chatAnswer struct {
-	chat       *Chat
-	w          http.ResponseWriter
-	callerGone <-chan struct{}
-	id         string
-	model      string
-	words      []string
-	usage      chatUsage
+	chat               *Chat
+	w                  http.ResponseWriter
+	callerDisconnected <-chan struct{}
+	id                 string
+	model              string
+	words              []string
+	usage              chatUsage
 }
 
 func (a chatAnswer) writeComplete() {
@@ -76,8 +76,8 @@
 	fmt.Fprint(a.w, "data: [DONE]\n\n")
 }
 
-// waitForWord waits for the time between words. In the middle of the answer it applies FaultStall and
-// FaultCut; it panics with http.ErrAbortHandler to close the connection.
+// waitForWord waits for the time between words. In the middle of the answer it applies FaultStall
+// and FaultTruncate; it panics with http.ErrAbortHandler to close the connection.
 func (a chatAnswer) waitForWord(i int) {
 	wordTime := a.chat.WordTime
 	if wordTime == 0 {
@@ -88,7 +88,7 @@
 	a.chat.mu.Unlock()
 	isMiddle := i == len(a.words)/2
 	if isMiddle && fault == FaultStall {
-		<-a.callerGone
+		<-a.callerDisconnected
 	}
 	if isMiddle && fault == FaultTruncate {
 		panic(http.ErrAbortHandler)
@@ -96,7 +96,7 @@
 	timer := time.NewTimer(wordTime)
 	defer timer.Stop()
 	select {
-	case <-a.callerGone:
+	case <-a.callerDisconnected:
 		panic(http.ErrAbortHandler)
 	case <-timer.C:
 	}
--- a/io/fakes/chat.go
+++ b/io/fakes/chat.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	wordsPerAnswer  = 8
-	defaultWordTime = 2 * time.Millisecond
-	headerRequestID = "X-Request-Id"
-	headerFence     = "Fencing-Token"
-	headerFenceSeen = "Fencing-Token-Seen"
+	wordsPerAnswer         = 8
+	defaultWordTime        = 2 * time.Millisecond
+	headerRequestID        = "X-Request-Id"
+	headerFencingToken     = "Fencing-Token"
+	headerFencingTokenSeen = "Fencing-Token-Seen"
 )
 
 // Fault is a way in which all further attempts at a stand-in backend server fail.
@@ -39,15 +39,16 @@
 	Name string
 	// WordTime is the time from one word to the next.
 	WordTime time.Duration
-	// Fencing makes the server refuse load and unload orders with an outdated fencing token.
+	// Fencing makes the server refuse load and unload orders without a valid fencing token or with
+	// an outdated one.
 	Fencing bool
 
-	mu           sync.Mutex
-	attempts     int
-	running      int
-	fault        Fault
-	versions     []string
-	highestFence int64
+	mu                  sync.Mutex
+	attempts            int
+	running             int
+	fault               Fault
+	versions            []string
+	highestFencingToken int64
 }
 
 // Attempts returns how many attempts the server has started.
@@ -71,6 +72,7 @@
 	c.versions = append(c.versions, versions...)
 }
 
+// beginAttempt counts the attempt, unless a fault refuses it, and returns the fault.
 func (c *Chat) beginAttempt() Fault {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -136,7 +138,7 @@
 		w.Header().Set(headerRequestID, r.Header.Get(headerRequestID))
 	}
 	defer c.endAttempt()
-	answer := chatAnswer{chat: c, w: w, callerGone: r.Context().Done(), id: r.Header.Get(headerRequestID), model: req.Model, words: c.words(req)}
+	answer := chatAnswer{chat: c, w: w, callerDisconnected: r.Context().Done(), id: r.Header.Get(headerRequestID), model: req.Model, words: c.words(req)}
 	answer.usage = chatUsage{PromptTokens: promptTokens(req), CompletionTokens: len(answer.words)}
 	answer.usage.TotalTokens = answer.usage.PromptTokens + answer.usage.CompletionTokens
 	if req.Stream {
@@ -186,13 +188,13 @@
 func (c *Chat) loadOrUnload(w http.ResponseWriter, r *http.Request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	fence, err := strconv.ParseInt(r.Header.Get(headerFence), 10, 64)
-	if c.Fencing && (err != nil || fence < c.highestFence) {
-		w.Header().Set(headerFenceSeen, strconv.FormatInt(c.highestFence, 10))
+	fencingToken, err := strconv.ParseInt(r.Header.Get(headerFencingToken), 10, 64)
+	if c.Fencing && (err != nil || fencingToken < c.highestFencingToken) {
+		w.Header().Set(headerFencingTokenSeen, strconv.FormatInt(c.highestFencingToken, 10))
 		w.WriteHeader(http.StatusConflict)
 		return
 	}
-	c.highestFence = max(c.highestFence, fence)
+	c.highestFencingToken = max(c.highestFencingToken, fencingToken)
 	var order struct {
 		Name string `json:"lora_name"`
 	}
--- a/io/fakes/doc.go
+++ b/io/fakes/doc.go
@@ -1,7 +1,9 @@
-// Package fakes holds stand-ins for backend servers and the platform's services, for demos and tests.
+// Package fakes holds stand-ins for backend servers and the platform's services, for demos and
+// tests.
 //
-// Chat and Plain are HTTP backend servers whose attempts a Fault makes fail. Store is a key-value
-// store with switchable Faults over another store, and Etcd serves a store over the paths of etcd's
-// JSON gateway. Mesh connects instances in memory through a Port each and decides the Fate of each
-// message. InstanceList, Ratings and Weights stand for the platform's other services.
+// Chat and PlainService are HTTP backend servers whose attempts a Fault makes fail. Store is a
+// key-value store with switchable StoreFaults over another store, and Etcd serves a store over the
+// paths of etcd's JSON gateway. Mesh connects instances in memory through a Port each and applies a
+// Delivery to each message. InstanceList, Ratings and Weights stand for the platform's other
+// services.
 package fakes
--- a/io/fakes/etcd.go
+++ b/io/fakes/etcd.go
@@ -9,7 +9,8 @@
 	"endivehitch/io/plat"
 )
 
-// Etcd serves a store over the paths of etcd's v3 JSON gateway; for faults, its store is a Store.
+// Etcd serves a store over the paths of etcd's v3 JSON gateway. To inject faults, set its Store to a
+// fakes.Store.
 type Etcd struct {
 	Store plat.Store
 }
@@ -140,12 +141,12 @@
 }
 
 func (g Etcd) keepAlive(r *http.Request, q etcdLease) (etcdKeepAlive, error) {
-	left, err := g.Store.KeepAlive(r.Context(), plat.LeaseID(q.ID))
+	remaining, err := g.Store.KeepAlive(r.Context(), plat.LeaseID(q.ID))
 	if errors.Is(err, plat.ErrLeaseLost) {
 		// The gateway reports a lost lease by an answer without a TTL.
 		return etcdKeepAlive{Result: etcdLease{ID: q.ID}}, nil
 	}
-	return etcdKeepAlive{Result: etcdLease{ID: q.ID, TTL: int64(left / time.Second)}}, err
+	return etcdKeepAlive{Result: etcdLease{ID: q.ID, TTL: int64(remaining / time.Second)}}, err
 }
 
 func (g Etcd) revoke(r *http.Request, q etcdLease) (etcdListing, error) {
--- a/io/fakes/etcdtxn.go
+++ b/io/fakes/etcdtxn.go
@@ -39,8 +39,8 @@
 
 var errUnsupportedTxn = errors.New("stand-in supports only one comparison of a modification revision and one change")
 
-// put writes unconditionally, as this path of the gateway does: it retries its compare-and-swap until
-// no other writer interferes.
+// put writes unconditionally, as this path of the gateway does: it retries its compare-and-swap
+// until no other writer interferes.
 func (g Etcd) put(r *http.Request, request etcdPut) (etcdListing, error) {
 	for {
 		e, err := g.Store.Get(r.Context(), string(request.Key))
@@ -77,8 +77,8 @@
 	}
 	var conflict plat.Conflict
 	if errors.As(err, &conflict) {
-		present := encodeListing(plat.Listing{Entries: []plat.Entry{conflict.Current}})
-		return etcdTxnResult{Responses: []etcdTxnResponse{{Range: &present}}}, nil
+		current := encodeListing(plat.Listing{Entries: []plat.Entry{conflict.Current}})
+		return etcdTxnResult{Responses: []etcdTxnResponse{{Range: &current}}}, nil
 	}
 	return etcdTxnResult{Header: etcdHeader{Revision: revision}, Succeeded: err == nil}, err
 }
--- a/io/fakes/faults.go
+++ b/io/fakes/faults.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// StoreFaults is the set of faults of a Store; the zero value is a healthy service.
+// StoreFaults is the set of faults of a Store; the zero value is a healthy store.
 type StoreFaults struct {
 	// Down fails every call before it takes effect and ends watches.
 	Down bool
--- a/io/fakes/mesh.go
+++ b/io/fakes/mesh.go
@@ -31,9 +31,9 @@
 
 // Mesh is an in-memory transport between instances.
 type Mesh struct {
-	fate  policy.Cell[func(from, to value.Instance) Delivery]
-	ports sync.Map
-	meter sizeMeter
+	chooseDelivery policy.Cell[func(from, to value.Instance) Delivery]
+	ports          sync.Map
+	meter          sizeMeter
 	// inFlight counts the calls that have not been handled completely.
 	inFlight sync.WaitGroup
 }
@@ -56,9 +56,10 @@
 // frameOverhead is the estimated size of one message's net/rpc, TLS and TCP headers in bytes.
 const frameOverhead = 120
 
-// SetDelivery makes the function, which must be pure, decide the fate of each message from now on.
-func (m *Mesh) SetDelivery(fate func(from, to value.Instance) Delivery) {
-	m.fate.Update(func(func(from, to value.Instance) Delivery) func(from, to value.Instance) Delivery { return fate })
+// SetDelivery makes the function, which must be pure, choose the delivery of each message from now
+// on.
+func (m *Mesh) SetDelivery(choose func(from, to value.Instance) Delivery) {
+	m.chooseDelivery.Update(func(func(from, to value.Instance) Delivery) func(from, to value.Instance) Delivery { return choose })
 }
 
 // Join returns a port that receives the calls to the instance's peer address.
@@ -127,15 +128,15 @@
 		return fmt.Errorf("%w: %w", peer.ErrUnreachable, ctx.Err())
 	}
 	target, ok := p.mesh.ports.Load(to.PeerAddress)
-	fate := p.mesh.fateOf(p.self, to)
-	if !ok || fate.Unsent {
+	delivery := p.mesh.deliveryOf(p.self, to)
+	if !ok || delivery.Unsent {
 		return fmt.Errorf("no instance at %s: %w", to.PeerAddress, peer.ErrUnreachable)
 	}
 	p.countSent(method, args)
 	answered := make(chan meshReply, 2)
-	if !fate.LoseRequest {
+	if !delivery.LoseRequest {
 		p.mesh.inFlight.Go(func() {
-			target.(*Port).deliver(p, fate, method, args, reflect.TypeOf(reply).Elem(), answered)
+			target.(*Port).deliver(p, delivery, method, args, reflect.TypeOf(reply).Elem(), answered)
 		})
 	}
 	defer p.waitWhilePaused()
@@ -150,18 +151,18 @@
 	}
 }
 
-func (p *Port) deliver(from *Port, fate Delivery, method string, args any, reply reflect.Type, answered chan<- meshReply) {
-	delay(fate.Delay)
+func (p *Port) deliver(from *Port, delivery Delivery, method string, args any, reply reflect.Type, answered chan<- meshReply) {
+	delay(delivery.Delay)
 	p.waitWhilePaused()
 	r := p.invoke(method, args, reply)
-	if fate.Duplicate {
+	if delivery.Duplicate {
 		r = p.invoke(method, args, reply)
 	}
 	p.waitWhilePaused()
-	replyFate := p.mesh.fateOf(p.self, from.self)
+	replyDelivery := p.mesh.deliveryOf(p.self, from.self)
 	p.countSent(method, r.reply.Interface())
-	delay(replyFate.Delay)
-	if !fate.LoseReply && !replyFate.LoseRequest && !replyFate.Unsent {
+	delay(replyDelivery.Delay)
+	if !delivery.LoseReply && !replyDelivery.LoseRequest && !replyDelivery.Unsent {
 		answered <- r
 	}
 }
@@ -198,16 +199,16 @@
 	p.sent.Update(func(t Traffic) Traffic { return Traffic{Messages: t.Messages + 1, Bytes: t.Bytes + size} })
 }
 
-func (m *Mesh) fateOf(from, to value.Instance) Delivery {
-	fate := m.fate.Get()
-	if fate == nil {
+func (m *Mesh) deliveryOf(from, to value.Instance) Delivery {
+	choose := m.chooseDelivery.Get()
+	if choose == nil {
 		return Delivery{}
 	}
-	return fate(from, to)
+	return choose(from, to)
 }
 
-// sizeMeter measures the gob encoding of messages without their type descriptions, as on a connection
-// that has carried messages of these types before.
+// sizeMeter measures the gob encoding of messages without their type descriptions, as on a
+// connection that has carried messages of these types before.
 type sizeMeter struct {
 	mu       sync.Mutex
 	encoders map[string]*gob.Encoder
--- a/io/fakes/plain.go
+++ b/io/fakes/plain.go
@@ -7,8 +7,8 @@
 	"sync"
 )
 
-// PlainService is a stand-in for a service that is no model, such as one that places reorders. It counts its
-// effects; its zero value is ready for use.
+// PlainService is a stand-in for a service that is no model, such as one that places reorders. It
+// counts its effects; its zero value is ready for use.
 type PlainService struct {
 	// Name is part of each answer.
 	Name string
@@ -29,7 +29,8 @@
 	return all
 }
 
-// SetFault makes all further calls fail in the given way; only FaultBusy and FaultReset have an effect.
+// SetFault makes all further calls fail in the given way; only FaultBusy and FaultReset have an
+// effect.
 func (p *PlainService) SetFault(f Fault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/io/fakes/services.go
+++ b/io/fakes/services.go
@@ -15,8 +15,8 @@
 	"endivehitch/io/plat"
 )
 
-// InstanceList is the platform's list of instances and backend servers, which shows each change after
-// the lag.
+// InstanceList is the platform's list of instances and backend servers, which shows each change
+// after the lag.
 type InstanceList struct {
 	Lag     time.Duration
 	current policy.Cell[listState]
@@ -49,8 +49,8 @@
 }
 
 // SetUnreachable makes reads of the list fail or succeed from now on, without a lag.
-func (l *InstanceList) SetUnreachable(away bool) {
-	l.current.Update(func(v listState) listState { v.unreachable = away; return v })
+func (l *InstanceList) SetUnreachable(unreachable bool) {
+	l.current.Update(func(v listState) listState { v.unreachable = unreachable; return v })
 }
 
 func (l *InstanceList) updateAfterLag(change func(listState) listState) {
@@ -111,10 +111,10 @@
 }
 
 // SetUnreachable makes reads of the ratings fail or succeed from now on, without a lag.
-func (r *Ratings) SetUnreachable(away bool) {
+func (r *Ratings) SetUnreachable(unreachable bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.unreachable = away
+	r.unreachable = unreachable
 }
 
 // Ratings returns the ratings published after the cursor, and the next cursor; the empty cursor is
--- a/io/fakes/store.go
+++ b/io/fakes/store.go
@@ -228,11 +228,11 @@
 		done <- result[T]{value: v, err: err}
 	})
 	select {
-	case o := <-done:
-		if o.err == nil && s.takeLostAnswer() {
+	case r := <-done:
+		if r.err == nil && s.takeLostAnswer() {
 			return none, fmt.Errorf("%s: %w", what, plat.ErrUnknown)
 		}
-		return o.value, o.err
+		return r.value, r.err
 	case <-ctx.Done():
 		return none, fmt.Errorf("%s: %w: %w", what, plat.ErrUnknown, ctx.Err())
 	}
