--- a/tools/fleet/fleet.go
+++ b/tools/fleet/fleet.go
@@ -48,7 +48,8 @@
 	standIns     *standIns
 	processes    []*process
 	replacements int
-	revision     int64
+	// revision is that of the last document that was applied.
+	revision int64
 }
 
 func startFleet(ctx context.Context, program string, standIns *standIns) (*fleet, error) {
--- a/tools/fleet/load.go
+++ b/tools/fleet/load.go
@@ -20,7 +20,8 @@
 	retryInterval = 250 * time.Millisecond
 	// retryTimeout is how long a caller retries one operation.
 	retryTimeout = 90 * time.Second
-	keyedEvery   = 5
+	// keyedInterval is how many operations a caller runs for each one with an idempotency key.
+	keyedInterval = 5
 )
 
 // outcome is how a caller's operation, that is a request with its retries, ended.
@@ -29,9 +30,10 @@
 	key  string
 	// answeredRequest is the request that got a complete answer; it is empty if none did.
 	answeredRequest value.RequestID
-	isUnknown       bool
-	tries           int
-	duration        time.Duration
+	// isUnknown is set if an instance reported that it can't tell whether the request took effect.
+	isUnknown bool
+	tries     int
+	duration  time.Duration
 }
 
 // loadGenerator runs the callers and collects the outcomes of their operations.
@@ -71,25 +73,25 @@
 			return
 		default:
 		}
-		o := g.runOperation(ctx, random, fmt.Sprintf("%d-%d", caller, n), n%keyedEvery == 0)
+		o := g.runOperation(ctx, random, fmt.Sprintf("%d-%d", caller, n), n%keyedInterval == 0)
 		g.mu.Lock()
 		g.outcomes = append(g.outcomes, o)
 		g.mu.Unlock()
 	}
 }
 
-// runOperation sends the request to random instances until it gets a complete answer, the outcome is
-// reported as unknown, or retryTimeout has passed.
+// runOperation sends the request to random instances until it gets a complete answer, the outcome
+// is reported as unknown, or retryTimeout has passed.
 func (g *loadGenerator) runOperation(ctx context.Context, random *rand.Rand, name string, hasKey bool) outcome {
 	result := outcome{kind: []string{"status-reply", "spelling", "menu-draft"}[random.IntN(3)]}
 	if hasKey {
 		result.kind, result.key = "reorder", "order-"+name
 	}
-	began := time.Now()
-	for time.Since(began) < retryTimeout && ctx.Err() == nil {
+	start := time.Now()
+	for time.Since(start) < retryTimeout && ctx.Err() == nil {
 		result.tries++
 		id, reason := g.sendOnce(ctx, random.IntN(instances), result, name)
-		result.duration = time.Since(began)
+		result.duration = time.Since(start)
 		if reason == "" {
 			result.answeredRequest = id
 			return result
