--- a/io/proxy/attempt.go
+++ b/io/proxy/attempt.go
@@ -36,7 +36,7 @@
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	watch := a.startWatchdog(ctx, cancel)
-	defer func() { a.retryPaid = watch.stop() }()
+	defer func() { a.isRetryCharged = watch.stop() }()
 	answer, err := a.dispatcher.config.Backend.Send(ctx, a.buildAttempt(ctx))
 	if err != nil {
 		return a.handleError(ctx, err), false, nil
@@ -159,10 +159,10 @@
 	a.load.recordFirstByte(a.dispatcher.config.Now())
 	a.responseStarted = true
 	if err := a.writer.WriteHead(answer); err != nil {
-		return 0, true, a.failCallerGone(err)
+		return 0, true, a.failCallerLeft(err)
 	}
 	if err := a.writer.Write(body); err != nil {
-		return 0, true, a.failCallerGone(err)
+		return 0, true, a.failCallerLeft(err)
 	}
 	if len(body) == bufferedBodyBytes {
 		if err := a.copyBody(answer.Body); err != nil {
@@ -211,7 +211,7 @@
 			if len(complete) > 0 {
 				a.load.recordFirstByte(a.dispatcher.config.Now())
 				if err := a.writeEvents(answer, complete); err != nil {
-					return 0, true, a.failCallerGone(err)
+					return 0, true, a.failCallerLeft(err)
 				}
 				if id := splitter.LastID(); id != "" {
 					a.lastEventID = id
@@ -243,8 +243,8 @@
 	return a.writer.Write(events)
 }
 
-// failCallerGone ends a request whose answer could not be written to the caller.
-func (a *attemptHandler[H]) failCallerGone(err error) error {
+// failCallerLeft ends a request whose answer could not be written to the caller.
+func (a *attemptHandler[H]) failCallerLeft(err error) error {
 	return a.fail(relay.Refusal{Reason: relay.ReasonCallerLeft, Detail: err.Error()})
 }
 
--- a/io/proxy/budget.go
+++ b/io/proxy/budget.go
@@ -12,13 +12,13 @@
 type RetryLimits struct {
 	// Window is the length of the sliding window in which the limits apply.
 	Window time.Duration
-	// Ratio is how many further attempts each request allows.
+	// Ratio is how many extra attempts each request allows.
 	Ratio float64
-	// Allowance is how many further attempts the whole fleet may make in addition.
+	// Allowance is how many extra attempts the whole fleet may make in addition.
 	Allowance float64
 }
 
-// budgetUse is what a further attempt is for.
+// budgetUse is what an extra attempt is for.
 type budgetUse int
 
 const (
@@ -48,7 +48,7 @@
 	}
 }
 
-// spendBudget reports whether the service's budget allows a further attempt, and if so counts it.
+// spendBudget reports whether the service's budget allows an extra attempt, and if so counts it.
 func (d *Dispatcher[H]) spendBudget(service relay.ServiceName, use budgetUse) bool {
 	limits, now := d.budgetLimits(), d.config.Now()
 	return d.retryBudgets.Cell(service).TryUpdate(func(q policy.Quota) (policy.Quota, bool) {
--- a/io/proxy/dispatcher.go
+++ b/io/proxy/dispatcher.go
@@ -25,7 +25,7 @@
 	DecisionAnswered DecisionKind = "Answered"
 	// DecisionSteppedUp means that an answer of low confidence was discarded and a larger model is asked.
 	DecisionSteppedUp DecisionKind = "SteppedUp"
-	// DecisionAttemptFailed means that an attempt yielded no answer for the caller.
+	// DecisionAttemptFailed means that an attempt yielded no valid answer, or an error of the server.
 	DecisionAttemptFailed DecisionKind = "RunFailed"
 	// DecisionRefused means that the request was refused and no server has run it.
 	DecisionRefused DecisionKind = "Refused"
@@ -134,7 +134,7 @@
 	return handler.serve(ctx)
 }
 
-// Retain discards the load data of servers that are not in the state, and expired sessions.
+// Retain removes the load data of servers that are not in the state, and the expired sessions.
 func (d *Dispatcher[H]) Retain(s relay.State) {
 	d.loads.retain(func(id relay.ServerID) bool {
 		_, ok := s.Server(id)
--- a/io/proxy/dispatcher_test.go
+++ b/io/proxy/dispatcher_test.go
@@ -22,7 +22,7 @@
 	h := newHarness(t, plainRoute(relay.RetryNever), answerOK("done"))
 	assert.NilError(t, h.serve(t.Context()))
 	assert.Equal(t, h.writer.body.String(), "done")
-	assert.Equal(t, len(h.backend.sends), 1)
+	assert.Equal(t, len(h.backend.attempts), 1)
 	assert.DeepEqual(t, h.recorder.kinds, []proxy.DecisionKind{proxy.DecisionAnswered})
 }
 
@@ -51,7 +51,7 @@
 		}
 		r := h.mustRefuse(err)
 		assert.Assert(t, !r.NotRun, "%s: the request may have run", name)
-		assert.Equal(t, len(h.backend.sends), 1, name)
+		assert.Equal(t, len(h.backend.attempts), 1, name)
 		assert.Equal(t, h.writer.body.Len(), 0, name)
 	}
 }
@@ -61,7 +61,7 @@
 	r := h.mustRefuse(h.serve(t.Context()))
 	assert.Assert(t, r.NotRun)
 	assert.Assert(t, r.RetryAfter > 0)
-	assert.Equal(t, len(h.backend.sends), 3)
+	assert.Equal(t, len(h.backend.attempts), 3)
 }
 
 func TestRetryableRequestIsRetriedOnAnotherServer(t *testing.T) {
@@ -81,10 +81,10 @@
 	assert.NilError(t, h.serve(t.Context()))
 	assert.Equal(t, h.writer.head.Status, 500)
 	assert.Equal(t, h.writer.body.String(), "oops")
-	assert.Equal(t, len(h.backend.sends), 3)
+	assert.Equal(t, len(h.backend.attempts), 3)
 	h = newHarness(t, plainRoute(relay.RetryNever), answerWith(answer{Status: 500, Signed: true}, "oops", io.EOF))
 	assert.NilError(t, h.serve(t.Context()))
-	assert.Equal(t, len(h.backend.sends), 1)
+	assert.Equal(t, len(h.backend.attempts), 1)
 }
 
 const (
@@ -102,8 +102,8 @@
 			h := newHarness(t, streamRoute(relay.RetryResuming), streamAnswer(firstEvent+half, end), streamAnswer(secondEvent, io.EOF))
 			assert.NilError(t, h.serve(t.Context()))
 			assert.Equal(t, h.writer.body.String(), firstEvent+secondEvent)
-			assert.Equal(t, h.backend.sends[1].LastEventID, "1")
-			assert.Equal(t, h.writer.head.Head.name, string(h.backend.sends[0].Server.ID), "the head must be the first server's")
+			assert.Equal(t, h.backend.attempts[1].LastEventID, "1")
+			assert.Equal(t, h.writer.head.Head.name, string(h.backend.attempts[0].Server.ID), "the head must be the first server's")
 			h.assertNoServerTwice()
 		}
 	}
@@ -113,7 +113,7 @@
 	h := newHarness(t, streamRoute(relay.RetryNever), streamAnswer(firstEvent+"id: 2\nda", io.EOF))
 	assert.ErrorIs(t, h.serve(t.Context()), proxy.ErrTruncated)
 	assert.Equal(t, h.writer.body.String(), firstEvent)
-	assert.Equal(t, len(h.backend.sends), 1)
+	assert.Equal(t, len(h.backend.attempts), 1)
 }
 
 func cascadeRoute() relay.Route {
@@ -127,22 +127,22 @@
 	h := newHarness(t, cascadeRoute(), lowConfidence, streamAnswer(secondEvent, io.EOF))
 	assert.NilError(t, h.serve(t.Context()))
 	assert.Equal(t, h.writer.body.String(), secondEvent)
-	assert.Equal(t, h.backend.sends[0].Model, relay.ModelName("small"))
-	assert.Equal(t, h.backend.sends[1].Model, relay.ModelName("large"))
-	assert.Assert(t, h.backend.sends[1].Rank > h.backend.sends[0].Rank, "the larger model must be asked with a less urgent rank")
+	assert.Equal(t, h.backend.attempts[0].Model, relay.ModelName("small"))
+	assert.Equal(t, h.backend.attempts[1].Model, relay.ModelName("large"))
+	assert.Assert(t, h.backend.attempts[1].Rank > h.backend.attempts[0].Rank, "the larger model must be asked with a less urgent rank")
 }
 
 func TestHighConfidenceAnswerIsRelayed(t *testing.T) {
 	h := newHarness(t, cascadeRoute(), answerWith(answer{Status: 200, Signed: true, Stream: true, Confidence: 95}, firstEvent, io.EOF))
 	assert.NilError(t, h.serve(t.Context()))
-	assert.Equal(t, len(h.backend.sends), 1)
+	assert.Equal(t, len(h.backend.attempts), 1)
 }
 
 func TestFailedStepUpIsRetriedWithTheLargerModel(t *testing.T) {
 	lowConfidence := answerWith(answer{Status: 200, Signed: true, Stream: true, Confidence: 5}, firstEvent, io.EOF)
 	h := newHarness(t, cascadeRoute(), lowConfidence, failsWith(proxy.ErrAnswerLost), streamAnswer(secondEvent, io.EOF))
 	assert.NilError(t, h.serve(t.Context()))
-	assert.Equal(t, h.backend.sends[2].Model, relay.ModelName("large"))
+	assert.Equal(t, h.backend.attempts[2].Model, relay.ModelName("large"))
 }
 
 func TestLateLargerModelAnswersReduceStepUps(t *testing.T) {
@@ -160,11 +160,11 @@
 			return late(ctx, sent)
 		}}
 		stepUps := func(requests int) int {
-			before := len(h.backend.sends)
+			before := len(h.backend.attempts)
 			for range requests {
 				assert.NilError(t, h.serveTo(t.Context(), new(responseWriter)))
 			}
-			return len(h.backend.sends) - before - requests
+			return len(h.backend.attempts) - before - requests
 		}
 		assert.Equal(t, stepUps(2), 2)
 		stepUps(20)
@@ -214,7 +214,7 @@
 		r := h.mustRefuse(h.serve(t.Context()))
 		assert.Equal(t, r.Reason, relay.ReasonTimeout)
 		assert.Assert(t, !r.NotRun)
-		assert.Equal(t, len(h.backend.sends), 1)
+		assert.Equal(t, len(h.backend.attempts), 1)
 		assert.Equal(t, time.Since(began), 8*time.Second, "the final answer must come at the deadline")
 	})
 }
@@ -227,7 +227,7 @@
 		h := newHarness(t, r, neverAnswers)
 		assert.Equal(t, h.mustRefuse(h.serve(t.Context())).Reason, relay.ReasonTimeout)
 		assert.Equal(t, time.Since(began), 3*time.Second)
-		assert.Assert(t, h.backend.sends[0].TimeLeft <= 3*time.Second, "the server must receive the time that is left")
+		assert.Assert(t, h.backend.attempts[0].TimeLeft <= 3*time.Second, "the server must receive the time that is left")
 	})
 }
 
@@ -239,7 +239,7 @@
 		began := time.Now()
 		assert.Equal(t, h.mustRefuse(h.serve(ctx)).Reason, relay.ReasonCallerLeft)
 		assert.Equal(t, time.Since(began), 100*time.Millisecond)
-		assert.Equal(t, len(h.backend.sends), 1)
+		assert.Equal(t, len(h.backend.attempts), 1)
 	})
 }
 
@@ -249,7 +249,7 @@
 	for range requests {
 		assert.Assert(t, h.serve(t.Context()) != nil)
 	}
-	retries := len(h.backend.sends) - requests
+	retries := len(h.backend.attempts) - requests
 	assert.Assert(t, retries <= requests*90/100+30, "%d retries of %d requests", retries, requests)
 	assert.Assert(t, retries > 0)
 }
@@ -259,7 +259,7 @@
 	for range 100 {
 		assert.NilError(t, h.serve(t.Context()))
 	}
-	h.backend.sends = nil
+	h.backend.attempts = nil
 	h.backend.answers = make([]func(context.Context, attempt) (*answer, error), 0, 60)
 	for range 30 {
 		h.backend.answers = append(h.backend.answers, failsWith(proxy.ErrAnswerLost), answerOK("done"))
@@ -272,7 +272,7 @@
 func TestRefusedConnectionsUseNoRetryBudget(t *testing.T) {
 	h := newHarness(t, plainRoute(relay.RetryNever), failsWith(proxy.ErrUnsent), answerOK("done"))
 	for range 300 {
-		h.backend.sends = nil
+		h.backend.attempts = nil
 		assert.NilError(t, h.serve(t.Context()))
 	}
 }
--- a/io/proxy/handler.go
+++ b/io/proxy/handler.go
@@ -25,7 +25,7 @@
 
 	service  relay.ServiceName
 	attempts query.RequestAttempts
-	// tried holds the servers that are not selected again, since they were asked already.
+	// tried holds the servers that were asked already and are not selected again.
 	tried []relay.ServerID
 	// step is the index of the current model in the route's models, which start with the smallest.
 	step int
@@ -35,8 +35,8 @@
 	responseStarted bool
 	// lastEventID is the ID of the last event that was written to the caller.
 	lastEventID string
-	// retryPaid is set when the next attempt has already been charged to the retry budget.
-	retryPaid bool
+	// isRetryCharged is set when the next attempt has already been charged to the retry budget.
+	isRetryCharged bool
 	// decision holds the inputs of the current attempt, for the records about it.
 	decision Decision
 }
@@ -78,7 +78,7 @@
 	defer load.finish()
 	current := &attemptHandler[H]{requestHandler: h, load: load, server: choice.Server, started: now, prefillTokens: prefillTokens}
 	ending, done, err := current.send(ctx)
-	// A session expires counted from the end of its last request, however long that took.
+	// The session's lifetime counts from the end of its last request, however long that took.
 	d.sessions.remember(h.service, h.job.Request.Session, choice.Server.Release, d.config.Now())
 	if !done {
 		h.attempts = h.attempts.With(ending)
@@ -142,7 +142,7 @@
 // checkRetry returns nil when another attempt is allowed, and otherwise the request's final error.
 func (h *requestHandler[H]) checkRetry(ctx context.Context, ending query.Ending) error {
 	if err := context.Cause(ctx); errors.Is(err, context.Canceled) {
-		return h.fail(h.callerGoneRefusal())
+		return h.fail(h.callerLeftRefusal())
 	}
 	left := h.timeLeft(ctx)
 	if ending == query.EndedDropped {
@@ -151,8 +151,8 @@
 	if !query.MayRetry(h.admitted.Route, ending, h.attempts, left) {
 		return h.fail(query.FinalRefusal(ending, h.attempts, left))
 	}
-	if h.retryPaid {
-		h.retryPaid = false
+	if h.isRetryCharged {
+		h.isRetryCharged = false
 		return nil
 	}
 	if ending == query.EndedUnsent {
@@ -167,9 +167,9 @@
 	return nil
 }
 
-// callerGoneRefusal returns the final refusal of a request whose connection was closed. An instance that
+// callerLeftRefusal returns the final refusal of a request whose connection was closed. An instance that
 // leaves closes the connections of requests that did not finish within its grace period.
-func (h *requestHandler[H]) callerGoneRefusal() relay.Refusal {
+func (h *requestHandler[H]) callerLeftRefusal() relay.Refusal {
 	if h.dispatcher.config.Snapshot().Leaving {
 		return relay.Refusal{Reason: relay.ReasonCallerLeft, Detail: "the connection was closed while the instance was leaving"}
 	}
--- a/io/proxy/harness_test.go
+++ b/io/proxy/harness_test.go
@@ -22,18 +22,19 @@
 	answer  = proxy.Answer[head]
 )
 
-// scriptedBackend gives its answers in order, one for each send.
+// scriptedBackend gives its answers in order, one for each attempt.
 type scriptedBackend struct {
-	mu      sync.Mutex
-	sends   []attempt
-	answers []func(ctx context.Context, sent attempt) (*answer, error)
+	mu sync.Mutex
+	// attempts are those that were sent.
+	attempts []attempt
+	answers  []func(ctx context.Context, sent attempt) (*answer, error)
 }
 
-// Send gives the next answer; the last one is given for all further sends.
+// Send gives the next answer; the last one is given for all further attempts.
 func (s *scriptedBackend) Send(ctx context.Context, sent attempt) (*answer, error) {
 	s.mu.Lock()
-	next := s.answers[min(len(s.sends), len(s.answers)-1)]
-	s.sends = append(s.sends, sent)
+	next := s.answers[min(len(s.attempts), len(s.answers)-1)]
+	s.attempts = append(s.attempts, sent)
 	s.mu.Unlock()
 	return next(ctx, sent)
 }
@@ -132,10 +133,10 @@
 // assertNoServerTwice checks that no server received the request twice.
 func (h *harness) assertNoServerTwice() {
 	h.t.Helper()
-	seen := make(map[relay.ServerID]bool)
-	for _, sent := range h.backend.sends {
-		assert.Assert(h.t, !seen[sent.Server.ID], "server %s received the request twice", sent.Server.ID)
-		seen[sent.Server.ID] = true
+	received := make(map[relay.ServerID]bool)
+	for _, sent := range h.backend.attempts {
+		assert.Assert(h.t, !received[sent.Server.ID], "server %s received the request twice", sent.Server.ID)
+		received[sent.Server.ID] = true
 	}
 }
 
--- a/io/proxy/ports.go
+++ b/io/proxy/ports.go
@@ -13,7 +13,8 @@
 var (
 	// ErrUnsent is returned when the server cannot have received the request.
 	ErrUnsent = errors.New("request was not sent")
-	// ErrAnswerLost is returned when the request was sent but no complete answer head was received.
+	// ErrAnswerLost is returned when the server may have received the request, but no complete answer head
+	// came back.
 	ErrAnswerLost = errors.New("answer was lost")
 )
 
@@ -71,7 +72,7 @@
 type ResponseWriter[H any] interface {
 	// WriteHead writes the answer's head.
 	WriteHead(a *Answer[H]) error
-	// Write writes a part of the body and flushes it.
+	// Write writes a part of the body; a part of a stream must be flushed at once.
 	Write(b []byte) error
 }
 
--- a/io/proxy/session_test.go
+++ b/io/proxy/session_test.go
@@ -40,7 +40,7 @@
 			return relay.New(relay.Member{Name: "n"}).WithFeed(f, time.Now(), 0)
 		}
 		s := state()
-		c, err := proxy.New(proxy.Config[head]{
+		dispatcher, err := proxy.New(proxy.Config[head]{
 			RetryLimits: func() proxy.RetryLimits { return proxy.RetryLimits{Window: time.Second} },
 			Backend: &scriptedBackend{answers: []func(context.Context, attempt) (*answer, error){
 				func(ctx context.Context, sent attempt) (*answer, error) {
@@ -63,7 +63,7 @@
 		session := canarySession(state())
 		s = before
 		serve := func() {
-			assert.NilError(t, c.Serve(t.Context(), proxy.Job[head]{Request: relay.Request{
+			assert.NilError(t, dispatcher.Serve(t.Context(), proxy.Job[head]{Request: relay.Request{
 				ID: "q", Host: "h", Path: "/x", Arrived: time.Now(), Session: session,
 			}}, new(responseWriter)))
 		}
--- a/io/proxy/watchdog.go
+++ b/io/proxy/watchdog.go
@@ -90,8 +90,8 @@
 	if w.stopped {
 		return
 	}
-	next, giveUp := w.check(w.responseStarted, w.now().Sub(w.lastActivity))
-	if giveUp {
+	next, cancel := w.check(w.responseStarted, w.now().Sub(w.lastActivity))
+	if cancel {
 		w.stopped, w.cancelled = true, true
 		w.cancelAttempt()
 		return
