--- a/io/canary/runner.go
+++ b/io/canary/runner.go
@@ -34,9 +34,10 @@
 	// TakeDuty takes the duty under the lease and returns its fencing token; the error wraps
 	// feeds.ErrConflict while another instance holds it.
 	TakeDuty(ctx context.Context, d relay.Duty, lease int64) (int64, error)
-	// WriteProgress replaces the progress record of the revision by compare-and-swap, and only while the duty still
-	// has the fencing token; otherwise the error wraps feeds.ErrConflict.
-	WriteProgress(ctx context.Context, p relay.Progress, duty, revision int64) error
+	// WriteProgress writes the progress by compare-and-swap: if the stored record is still that of the
+	// revision and the duty is still held under the fencing token. Otherwise the error wraps
+	// feeds.ErrConflict.
+	WriteProgress(ctx context.Context, p relay.Progress, dutyToken, revision int64) error
 }
 
 // TallySource requests tallies from other instances.
@@ -75,8 +76,8 @@
 			}
 			continue
 		}
-		turn, _ := query.TakeoverDelay(s, rollOut.Order.Service)
-		if r.waitTurn(ctx, turn, rollOut.Order.Service) {
+		delay, _ := query.TakeoverDelay(s, rollOut.Order.Service)
+		if r.waitTurn(ctx, delay, rollOut.Order.Service) {
 			continue
 		}
 		err := r.holdDuty(ctx, rollOut)
@@ -89,10 +90,11 @@
 	}
 }
 
-// waitTurn waits until it is this instance's turn to take the duty. It reports whether there is nothing
-// left to take: another instance took the duty meanwhile, the roll-out ended, or the context did.
-func (r Runner) waitTurn(ctx context.Context, turn time.Duration, service relay.ServiceName) bool {
-	if !clock.WaitFully(ctx, turn) {
+// waitTurn waits for the delay, after which it is this instance's turn to take the duty. It reports
+// whether there is nothing left to take: another instance took the duty meanwhile, the roll-out ended, or
+// the context did.
+func (r Runner) waitTurn(ctx context.Context, delay time.Duration, service relay.ServiceName) bool {
+	if !clock.WaitFully(ctx, delay) {
 		return true
 	}
 	s := r.Control.Snapshot()
--- a/io/canary/runner_test.go
+++ b/io/canary/runner_test.go
@@ -71,9 +71,9 @@
 	return s.token, nil
 }
 
-func (s *fakeStore) WriteProgress(ctx context.Context, p relay.Progress, duty, revision int64) error {
+func (s *fakeStore) WriteProgress(ctx context.Context, p relay.Progress, dutyToken, revision int64) error {
 	s.mu.Lock()
-	if duty != s.token || revision != s.progress {
+	if dutyToken != s.token || revision != s.progress {
 		s.mu.Unlock()
 		return feeds.ErrConflict
 	}
