--- a/io/feeds/follow.go
+++ b/io/feeds/follow.go
@@ -21,16 +21,17 @@
 	// storeCoalescePause is the pause between calls to the store, so that changes in quick succession
 	// are read in one call.
 	storeCoalescePause = 250 * time.Millisecond
-	// peerCoalescePause is that pause for calls to other instances. It is shorter, since several instances
-	// are asked in turn.
+	// peerCoalescePause is the pause between calls to other instances for the same purpose. It is shorter,
+	// since several instances are asked in turn.
 	peerCoalescePause = 100 * time.Millisecond
 	// minStoreRetryPause is the first pause after a failed call; it doubles up to maxStoreRetryPause.
 	minStoreRetryPause = 200 * time.Millisecond
 	maxStoreRetryPause = time.Second
 	// peerLongPoll is how long another instance may hold a call that waits for changes.
 	peerLongPoll = 300 * time.Millisecond
-	peerTimeout  = 500 * time.Millisecond
-	// bulkTimeout is the time-out of a call whose answer may be a full snapshot.
+	// peerTimeout is how long a call to another instance may take besides that wait.
+	peerTimeout = 500 * time.Millisecond
+	// bulkTimeout is the same for a call whose answer may be a full snapshot.
 	bulkTimeout    = 3 * time.Second
 	peerRetryPause = 200 * time.Millisecond
 	// readerSuspicionTime is how long a reader that failed is not asked again.
@@ -168,8 +169,8 @@
 	return f.applyFeed(ctx, feed, "store", true)
 }
 
-func (f *Follower) applyFeed(ctx context.Context, feed relay.Feed, source string, direct bool) error {
-	return f.apply(ctx, cmds.ApplyFeed{Feed: feed, From: source, FromStore: direct, Grace: f.config.Grace})
+func (f *Follower) applyFeed(ctx context.Context, feed relay.Feed, source string, fromStore bool) error {
+	return f.apply(ctx, cmds.ApplyFeed{Feed: feed, From: source, FromStore: fromStore, Grace: f.config.Grace})
 }
 
 func (f *Follower) apply(ctx context.Context, command loop.Command[relay.State, relay.Effect]) error {
--- a/io/feeds/peers.go
+++ b/io/feeds/peers.go
@@ -40,8 +40,8 @@
 	return nil
 }
 
-// waitForChanges waits for a revision newer than the requested one, and returns no changes when there is
-// none in time.
+// waitForChanges waits for a revision newer than the requested one and returns the changes up to it, or no
+// changes when there is none in time.
 func waitForChanges(control Control, request Ask, now func() time.Time) relay.Feed {
 	timer := time.NewTimer(min(request.Wait, storeLongPoll))
 	defer timer.Stop()
@@ -58,7 +58,7 @@
 	}
 }
 
-// maxChangesPerAnswer is how many changes an instance sends in an answer that was not asked for in bulk.
+// maxChangesPerAnswer bounds how many changes an instance sends in an answer that was not asked for in bulk.
 // All followers of a reader share its network link, while the store's has more bandwidth.
 const maxChangesPerAnswer = 128
 
--- a/io/feeds/registry.go
+++ b/io/feeds/registry.go
@@ -22,7 +22,7 @@
 	// Store holds the entry and its lease.
 	Store Leaser
 	Self  relay.Member
-	// OnError is called with the error of each failed call, which is then retried.
+	// OnError is called with the error of each failed call; all calls but the final release are retried.
 	OnError func(error)
 }
 
@@ -67,7 +67,7 @@
 	return lease, nil
 }
 
-// deregister releases the lease, with which the entry is removed.
+// deregister releases the lease, which also removes the entry.
 func (r Registry) deregister(ctx context.Context, lease int64) error {
 	if lease == 0 {
 		return nil
