--- a/core/state/candidates.go
+++ b/core/state/candidates.go
@@ -164,7 +164,8 @@
 	cost int64
 }
 
-// cascadesOf returns the cheapest cascades that meet the kind's quality target, cheapest first.
+// cascadesOf returns the cheapest cascades that meet the kind's quality target, cheapest first. There are
+// none without a usable judge, or for requests that must not be executed more than once.
 func cascadesOf(k value.Kind, candidates []Candidate) []Cascade {
 	if !k.Idempotent || !k.Judge.IsUsable() {
 		return nil
@@ -191,7 +192,8 @@
 	return cascades
 }
 
-// insertCascade inserts the cascade into the sorted list if it is among the cheapest and meets the target.
+// insertCascade inserts the cascade into the sorted list if it is among the cheapest and the lower bound
+// of its quality meets the target.
 func insertCascade(best []pricedCascade, priced pricedCascade, k value.Kind, candidates []Candidate) []pricedCascade {
 	index, _ := slices.BinarySearchFunc(best, priced.cost, func(other pricedCascade, cost int64) int {
 		if other.cost <= cost {
--- a/core/state/effect.go
+++ b/core/state/effect.go
@@ -39,8 +39,8 @@
 
 // StoreProgress stores a roll-out's position in the key-value service.
 //
-// The worker then installs the position that the service has with an InstallProgress command. That is
-// an earlier stored one if this one does not supersede it.
+// The worker then sends an InstallProgress command with the position that is stored: this one, or the
+// one that was stored before if this one does not supersede it.
 type StoreProgress struct {
 	Progress value.Progress
 }
@@ -48,7 +48,8 @@
 // StoreWithdrawal stores a version's withdrawal in the key-value service, from which the other
 // instances read it.
 //
-// The worker then installs the stored withdrawal with an InstallWithdrawal command.
+// The worker then sends an InstallWithdrawal command with the withdrawal that is stored: this one, or the
+// one that was stored before.
 type StoreWithdrawal struct {
 	Withdrawal value.Withdrawal
 }
--- a/core/state/membership.go
+++ b/core/state/membership.go
@@ -113,7 +113,7 @@
 }
 
 // WithNewest returns a state in which the configuration revision is known to exist; if it is newer than
-// the one in force, this instance lags behind from now on.
+// the one in force, this instance counts as lagging from now on, unless it did so already.
 func (s State) WithNewest(revision int64, now time.Time) State {
 	if revision <= s.NewestKnown {
 		return s
@@ -125,7 +125,8 @@
 	return s
 }
 
-// WithRevision returns a state that has the configuration revision in force.
+// WithRevision returns a state that has the configuration revision in force, unless a newer one is. The
+// instance no longer lags if no newer revision is known.
 func (s State) WithRevision(revision int64) State {
 	if revision < s.Self.Revision {
 		return s
--- a/core/state/rollout_limits.go
+++ b/core/state/rollout_limits.go
@@ -16,7 +16,8 @@
 	changeHorizonTrials = 1000
 )
 
-// RollOutTests holds the tests of a roll-out's new version with the trials observed so far.
+// RollOutTests holds the tests of a roll-out's new version with the trials observed so far. A trial is a
+// finished attempt or a rating.
 type RollOutTests struct {
 	// Sequential are the sequential tests of the roll-out's limits.
 	Sequential policy.SequentialTest[value.Reason]
--- a/core/state/slope_test.go
+++ b/core/state/slope_test.go
@@ -10,7 +10,7 @@
 )
 
 // BenchmarkSlopeServers reports the memory of a state with n backend servers, each with one of 38
-// versions loaded, and the processor time to apply two changes of one server.
+// versions loaded, and the time to apply two changes of one server.
 func BenchmarkSlopeServers(b *testing.B) {
 	for _, n := range []int{100, 1000, 3000, 10000} {
 		b.Run(fmt.Sprintf("Servers%d", n), func(b *testing.B) {
@@ -40,16 +40,16 @@
 	}
 }
 
-// BenchmarkSlopeAccounts reports the memory of a state with n client accounts, and the processor time
-// to put such a document in force.
+// BenchmarkSlopeAccounts reports the memory of a state with n client accounts, and the time to put a
+// document with that many in force.
 func BenchmarkSlopeAccounts(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 5000} {
 		b.Run(fmt.Sprintf("Accounts%d", n), func(b *testing.B) {
 			empty := state.New(value.Instance{ID: "self"})
 			before := heap()
-			s := empty.WithConfig(accepted(n))
+			s := empty.WithConfig(documentWithAccounts(n))
 			stateKB := float64(heap()-before) / 1024
-			a := accepted(n)
+			a := documentWithAccounts(n)
 			for b.Loop() {
 				s = s.WithConfig(a)
 			}
@@ -58,7 +58,7 @@
 	}
 }
 
-func accepted(accounts int) value.AcceptedDocument {
+func documentWithAccounts(accounts int) value.AcceptedDocument {
 	var d value.Document
 	m := value.Model{Name: "model"}
 	var keys []value.VersionKey
--- a/core/state/state.go
+++ b/core/state/state.go
@@ -111,7 +111,8 @@
 	return s.WithSelf(s.Self.WithState(value.InstanceLeaving).WithIncarnation(s.Self.Incarnation + 1))
 }
 
-// WithProgress returns a state in which the roll-out has the position.
+// WithProgress returns a state in which the roll-out has the position; the position of a withdrawn
+// roll-out also withdraws its version.
 func (s State) WithProgress(p value.Progress) State {
 	s.rollOuts = s.rollOuts.With(p.Name, p)
 	if p.Phase == value.PhaseWithdrawn {
