--- a/core/value/bill.go
+++ b/core/value/bill.go
@@ -13,7 +13,7 @@
 	OutputTokens int
 	// CostMicros is the charge in micro-units of currency.
 	CostMicros int64
-	// Runs counts the attempts that the request took: cascade steps, retries and hedges.
+	// Runs counts the attempts that the request took, including cascade steps, retries and hedges.
 	Runs int
 	At   time.Time
 }
--- a/core/value/change.go
+++ b/core/value/change.go
@@ -75,7 +75,8 @@
 	return fmt.Sprintf("refused: %s: %s", r.Reason, r.Detail)
 }
 
-// ChangeUnavailable is the error of a call that did not reach the service; nothing changed.
+// ChangeUnavailable is the error of a call that changed nothing because the instance or the key-value
+// service was not reached or, for a query, did not answer.
 type ChangeUnavailable struct {
 	Detail string
 }
