--- a/core/cmds/measure_test.go
+++ b/core/cmds/measure_test.go
@@ -23,8 +23,8 @@
 	return s
 }
 
-// BenchmarkMeasureMembers measures the cost of membership for one instance: the memory of its state, and
-// the processor time to merge one message and to choose the instances to probe.
+// BenchmarkMeasureMembers reports the cost of membership for one instance: the memory of its state, and
+// the time to merge one message and to choose the instances to probe.
 func BenchmarkMeasureMembers(b *testing.B) {
 	for _, n := range []int{7, 100, 500, 1000, 2300} {
 		b.Run(fmt.Sprintf("Instances%d", n), func(b *testing.B) {
--- a/core/cmds/members_test.go
+++ b/core/cmds/members_test.go
@@ -119,9 +119,9 @@
 
 func TestUpdateIsNoLongerPendingAfterItsMessages(t *testing.T) {
 	s := stateWithSuspect(t)
-	left, ok := s.PendingUpdates().Get("b")
+	sends, ok := s.PendingUpdates().Get("b")
 	assert.Assert(t, ok)
-	for range left {
+	for range sends {
 		s, _ = cmds.CountSentUpdates{IDs: []value.InstanceID{"b"}}.Apply(s, start)
 	}
 	assert.Equal(t, s.PendingUpdates().Len(), 0)
--- a/core/cmds/rollout_attempts.go
+++ b/core/cmds/rollout_attempts.go
@@ -30,7 +30,8 @@
 // withdrawOnAlarm withdraws the roll-out's new version if its tests raise an alarm.
 func withdrawOnAlarm(s state.State, r value.RollOut, now time.Time) (state.State, []state.Effect) {
 	reason, alarm := s.RollOutTests(r).Sequential.Alarm()
-	// All instances receive the same ratings; only the owner of the version's hash slot withdraws it.
+	// All instances receive the same ratings, and the owner of the version's hash slot also the attempts;
+	// only the owner withdraws the version.
 	if !alarm || !s.DecidesWithdrawal(r.ToKey()) {
 		return s, nil
 	}
--- a/core/cmds/rollout_test.go
+++ b/core/cmds/rollout_test.go
@@ -150,8 +150,8 @@
 	old, _ := s.Progress(rollOut)
 	s, _ = applyAll(s, testTime, cmds.AdvanceRollOut{Name: rollOut, Forced: true})
 	s, effects := applyAll(s, testTime, cmds.InstallProgress{Progress: old})
-	now, _ := s.Progress(rollOut)
-	assert.Equal(t, now.Stage, 1)
+	current, _ := s.Progress(rollOut)
+	assert.Equal(t, current.Stage, 1)
 	assert.Equal(t, len(effects), 0)
 }
 
