--- a/core/ledger/doc.go
+++ b/core/ledger/doc.go
@@ -1,6 +1,6 @@
 // Package ledger holds the decisions behind durable records: the journals that let a call with an
 // idempotency key execute at most once, and the tails and segments that let each request be billed
-// once. It does not access the store itself.
+// once. It does not itself access the store, which is the key-value service.
 //
 // A Journal holds a Record for each call of one hash slot. Journal.Decide applies a batch of
 // operations (Op) under a JournalRule and DecisionInputs and returns a Verdict for each. The journal is
--- a/core/ledger/journal_test.go
+++ b/core/ledger/journal_test.go
@@ -36,9 +36,9 @@
 }
 
 // decide applies one operation and returns the next journal and the outcome.
-func decide(j ledger.Journal, op ledger.Op, s ledger.DecisionInputs) (ledger.Journal, ledger.Outcome) {
-	next, v, _ := j.Decide([]ledger.Op{op}, rule, s)
-	return next, v[0].Outcome
+func decide(j ledger.Journal, op ledger.Op, inputs ledger.DecisionInputs) (ledger.Journal, ledger.Outcome) {
+	next, verdicts, _ := j.Decide([]ledger.Op{op}, rule, inputs)
+	return next, verdicts[0].Outcome
 }
 
 func TestCallIDsOfDifferentAccountsOrKeysDiffer(t *testing.T) {
