--- a/core/fleet/lease.go
+++ b/core/fleet/lease.go
@@ -8,11 +8,12 @@
 
 // LeaseRule sets the times of a lease.
 type LeaseRule struct {
-	// Length is how long the key-value store keeps the lease after a renewal.
+	// Length is how long the key-value service keeps the lease after a renewal.
 	Length time.Duration
 	// Renew is the time between renewals.
 	Renew time.Duration
-	// Margin is how much earlier than the store the holder considers the lease expired.
+	// Margin is how much earlier than the key-value service the holder considers the lease expired. The
+	// holder's term thus lasts for Length less Margin.
 	Margin time.Duration
 	// TakeoverDelay is how long a new holder waits before it sends orders to backend servers that ignore
 	// fencing tokens.
@@ -55,7 +56,7 @@
 	Since time.Time
 	// sentAt is when the holder sent the latest request or renewal.
 	sentAt time.Time
-	// usable is how long after sentAt the holder may act.
+	// usable is how long after sentAt the holder's term lasts, in which it may act.
 	usable time.Duration
 }
 
@@ -66,8 +67,8 @@
 
 // WithRenewal returns the lease after a renewal that was sent at sentAt and granted for the given time.
 //
-// The store counts from the arrival of the renewal, which is later, so the lease ends for the holder
-// before it ends in the store. A renewal that is answered after the holder's term has ended does not make
+// The key-value service counts from the arrival of the renewal, which is later, so the holder's term ends
+// before the service's lease. A renewal that is answered after the holder's term has ended does not make
 // the lease valid again.
 func (h HeldLease) WithRenewal(r LeaseRule, sentAt time.Time, granted time.Duration, now time.Time) HeldLease {
 	if !h.IsValid(now) {
--- a/core/fleet/member.go
+++ b/core/fleet/member.go
@@ -16,8 +16,8 @@
 	Timeout time.Duration
 	// IndirectProbes is how many other instances are asked to probe one that did not answer.
 	IndirectProbes int
-	// ViewSize is the number of instances that an instance sends probes and messages to; the choice
-	// rotates.
+	// ViewSize is the number of instances in an instance's view, which are those that it sends probes and
+	// messages to.
 	ViewSize int
 	// Rotation is the time after which an instance chooses another view.
 	Rotation time.Duration
@@ -30,7 +30,7 @@
 	ProbesPerReconnect int
 	// Fanout is how many instances are notified at once of a new configuration.
 	Fanout int
-	// Readers is how many instances of each failure domain watch the key-value store.
+	// Readers is how many instances of each failure domain watch the key-value service.
 	Readers int
 }
 
