--- a/core/steps/steps.go
+++ b/core/steps/steps.go
@@ -68,7 +68,7 @@
 	return p.WithStage(0, now).WithPhase(phase, "", now), nil
 }
 
-// Advance returns the position at the next stage or, after the last one, at the end. The error is
+// Advance returns the position at the next stage or, after the last one, in phase Done. The error is
 // NotDue while the present stage's conditions are not met.
 func Advance(r value.RollOut, p value.Progress, measurements StageMeasurements, now time.Time) (value.Progress, error) {
 	if p.Phase == value.PhaseStaged {
