--- a/core/loop/loop.go
+++ b/core/loop/loop.go
@@ -115,7 +115,8 @@
 	}
 }
 
-// Run applies commands until the context ends. It must be called once, in a goroutine of its own.
+// Run applies commands until the context ends; commands and effects that are still queued then are
+// dropped. It must be called once, in a goroutine of its own.
 func (l *Loop[S, E]) Run(ctx context.Context) {
 	defer close(l.effects)
 	defer close(l.stopped)
