--- a/core/ledger/expiry.go
+++ b/core/ledger/expiry.go
@@ -39,8 +39,9 @@
 }
 
 // withRecordFitted returns the journal with the record. If that exceeds the maximum size, bodies of
-// answers are dropped, the oldest first, until it fits. Records are never dropped for space: without
-// its body an answer can't be returned again, but without its record a call could execute twice.
+// answers are dropped, the oldest first, until it fits or none is left; a caller that adds a new record
+// checks whether it then fits. Records are never dropped for space: without its body an answer can't be
+// returned again, but without its record a call could execute twice.
 func (j Journal) withRecordFitted(r Record, rule JournalRule) Journal {
 	j = j.With(r)
 	if j.Size() <= rule.MaxBytes {
