--- a/core/cmds/install_revision.go
+++ b/core/cmds/install_revision.go
@@ -60,9 +60,9 @@
 	s = s.WithRevision(c.Revision)
 	switch {
 	case c.Rejected:
-		s = s.WithRejected(c.Revision)
+		s = s.WithRejectedRevision(c.Revision)
 	case c.Accepted.Revision > s.RejectedRevision:
-		s = s.WithRejected(0)
+		s = s.WithRejectedRevision(0)
 	}
 	if s.RejectedRevision == 0 {
 		return s
--- a/core/cmds/receive_message.go
+++ b/core/cmds/receive_message.go
@@ -35,7 +35,7 @@
 	effects = append(effects, more...)
 	s = recordContact(s, c.From, now)
 	if c.From.Revision > s.Self.Revision {
-		s = s.WithNewest(c.From.Revision, now)
+		s = s.WithNewestKnown(c.From.Revision, now)
 		effects = append(effects, state.FetchConfig{Revision: c.From.Revision, Source: c.From})
 	}
 	return s, effects
--- a/core/cmds/tick.go
+++ b/core/cmds/tick.go
@@ -17,7 +17,7 @@
 // refutations meanwhile.
 func (c Tick) Apply(s state.State, now time.Time) (state.State, []state.Effect) {
 	paused := c.Timing.WasPaused(s.LastTick, now)
-	s = s.WithTick(now)
+	s = s.WithLastTick(now)
 	var effects []state.Effect
 	for id := range s.NotLive().All() {
 		i, ok := s.Instance(id)
--- a/core/fleet/lease.go
+++ b/core/fleet/lease.go
@@ -50,8 +50,8 @@
 
 // HeldLease is what the holder of a lease knows of it; it is immutable.
 type HeldLease struct {
-	// Fence is the fencing token, which grows with each holder.
-	Fence int64
+	// FencingToken is the fencing token, which grows with each holder.
+	FencingToken int64
 	// Since is when the holder sent the request for the lease.
 	Since time.Time
 	// sentAt is when the holder sent the latest request or renewal.
@@ -62,7 +62,7 @@
 
 // NewHeldLease returns a lease that was granted on a request sent at the given time.
 func NewHeldLease(r LeaseRule, fence int64, sentAt time.Time) HeldLease {
-	return HeldLease{Fence: fence, Since: sentAt, sentAt: sentAt, usable: r.Length - r.Margin}
+	return HeldLease{FencingToken: fence, Since: sentAt, sentAt: sentAt, usable: r.Length - r.Margin}
 }
 
 // WithRenewal returns the lease after a renewal that was sent at sentAt and granted for the given time.
--- a/core/policy/quota.go
+++ b/core/policy/quota.go
@@ -28,8 +28,8 @@
 	// Ratio is how many extra attempts each first attempt allows; Allowance is added to that.
 	Ratio     float64
 	Allowance float64
-	// Optional is the share, from 0 to 1, of the allowed extra attempts that optional ones may use.
-	Optional float64
+	// OptionalShare is the share, from 0 to 1, of the allowed extra attempts that optional ones may use.
+	OptionalShare float64
 }
 
 // WithFirst returns the quota after a first attempt.
@@ -53,7 +53,7 @@
 // WithOptional returns the quota after one optional extra attempt, and whether that attempt is allowed.
 func (q Quota) WithOptional(c QuotaConfig, at time.Time) (Quota, bool) {
 	q = q.advancedTo(c, at)
-	if total := q.totals(); float64(total.optional+1) > c.Optional*(c.Ratio*float64(total.first)+c.Allowance) {
+	if total := q.totals(); float64(total.optional+1) > c.OptionalShare*(c.Ratio*float64(total.first)+c.Allowance) {
 		return q, false
 	}
 	q, ok := q.WithExtra(c, at)
--- a/core/policy/quota_test.go
+++ b/core/policy/quota_test.go
@@ -9,7 +9,7 @@
 	"endivehitch/core/policy"
 )
 
-var quota = policy.QuotaConfig{Window: 10 * time.Second, Ratio: 0.8, Allowance: 4, Optional: 0.5}
+var quota = policy.QuotaConfig{Window: 10 * time.Second, Ratio: 0.8, Allowance: 4, OptionalShare: 0.5}
 
 func TestQuotaAllowsBurstOfRetries(t *testing.T) {
 	at := time.Unix(1000, 0)
--- a/core/relay/load.go
+++ b/core/relay/load.go
@@ -114,9 +114,9 @@
 	return l.withOutcome(0, at)
 }
 
-// WithBadAnswer returns a copy in which the server has answered with an error; it counts in the
+// WithErrorAnswer returns a copy in which the server has answered with an error; it counts in the
 // failure rate only, not towards ejection.
-func (l Load) WithBadAnswer(at time.Time) Load {
+func (l Load) WithErrorAnswer(at time.Time) Load {
 	return l.withOutcome(1, at)
 }
 
--- a/core/relay/query/retry.go
+++ b/core/relay/query/retry.go
@@ -21,8 +21,8 @@
 	EndedFailed
 	// EndedSlow is the end of an attempt that the router gave up because it was silent for too long.
 	EndedSlow
-	// EndedDropped is the end of an attempt whose answer was dropped in favour of a larger model's.
-	EndedDropped
+	// EndedDiscarded is the end of an attempt whose answer was dropped in favour of a larger model's.
+	EndedDiscarded
 )
 
 // RequestAttempts counts the attempts of one request.
--- a/core/state/membership.go
+++ b/core/state/membership.go
@@ -112,9 +112,9 @@
 	return s
 }
 
-// WithNewest returns a state in which the configuration revision is known to exist; if it is newer than
+// WithNewestKnown returns a state in which the configuration revision is known to exist; if it is newer than
 // the one in force, this instance counts as lagging from now on, unless it did so already.
-func (s State) WithNewest(revision int64, now time.Time) State {
+func (s State) WithNewestKnown(revision int64, now time.Time) State {
 	if revision <= s.NewestKnown {
 		return s
 	}
@@ -139,14 +139,14 @@
 	return s.WithSelf(self)
 }
 
-// WithRejected returns a state whose RejectedRevision is the revision; zero means none.
-func (s State) WithRejected(revision int64) State {
+// WithRejectedRevision returns a state whose RejectedRevision is the revision; zero means none.
+func (s State) WithRejectedRevision(revision int64) State {
 	s.RejectedRevision = revision
 	return s
 }
 
-// WithTick returns a state whose latest membership tick was at the given time.
-func (s State) WithTick(at time.Time) State {
+// WithLastTick returns a state whose latest membership tick was at the given time.
+func (s State) WithLastTick(at time.Time) State {
 	s.LastTick = at
 	return s
 }
--- a/io/fakes/services.go
+++ b/io/fakes/services.go
@@ -154,8 +154,8 @@
 	return int(w.limiter.Tokens()), nil
 }
 
-// Take serves one load, or fails with ErrWeightsBusy.
-func (w *Weights) Take() error {
+// ReserveLoad serves one load, or fails with ErrWeightsBusy.
+func (w *Weights) ReserveLoad() error {
 	if !w.limiter.Allow() {
 		return ErrWeightsBusy
 	}
--- a/io/fakes/services_test.go
+++ b/io/fakes/services_test.go
@@ -45,9 +45,9 @@
 func TestWeightsServeNoMoreThanTheirRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		weights := fakes.NewWeights(1, 2)
-		assert.NilError(t, weights.Take())
-		assert.NilError(t, weights.Take())
-		assert.ErrorIs(t, weights.Take(), fakes.ErrWeightsBusy)
+		assert.NilError(t, weights.ReserveLoad())
+		assert.NilError(t, weights.ReserveLoad())
+		assert.ErrorIs(t, weights.ReserveLoad(), fakes.ErrWeightsBusy)
 		time.Sleep(time.Second)
 		n, err := weights.Available(t.Context())
 		assert.NilError(t, err)
--- a/io/lease/term.go
+++ b/io/lease/term.go
@@ -19,7 +19,7 @@
 
 // FencingToken returns the fencing token, which grows with each holder of the duty.
 func (t Term) FencingToken() int64 {
-	return t.held.Get().Fence
+	return t.held.Get().FencingToken
 }
 
 // IsValid reports whether the holder may still act; the duty has to check it before each action.
--- a/io/node/run.go
+++ b/io/node/run.go
@@ -90,11 +90,11 @@
 // metricSources returns the components whose counts the metrics sample.
 func (n *Node) metricSources() stats.Sources {
 	return stats.Sources{
-		Snapshot:  n.control.Snapshot,
-		Usage:     n.components.store.Usage,
-		Waiting:   n.flow.Waiting,
-		Unsettled: n.components.guard.Unsettled,
-		Unsafe:    n.components.biller.UnsafeCount,
+		Snapshot:        n.control.Snapshot,
+		Usage:           n.components.store.Usage,
+		WaitingRequests: n.flow.Waiting,
+		UnsettledClaims: n.components.guard.Unsettled,
+		UnsafeBills:     n.components.biller.UnsafeCount,
 	}
 }
 
--- a/io/proxy/attempt.go
+++ b/io/proxy/attempt.go
@@ -54,7 +54,7 @@
 		return a.handleRejected(ctx, answer, ending)
 	}
 	if a.tryStepUp(ctx, answer) {
-		return query.EndedDropped, false, nil
+		return query.EndedDiscarded, false, nil
 	}
 	if answer.Stream && answer.Status < 300 {
 		return a.relayStream(ctx, answer, watch)
@@ -133,7 +133,7 @@
 		return false
 	}
 	observed := query.ObservedAnswer{
-		Step: a.step, Confidence: answer.Confidence, Attempts: a.attempts.With(query.EndedDropped),
+		Step: a.step, Confidence: answer.Confidence, Attempts: a.attempts.With(query.EndedDiscarded),
 		TimeLeft: a.timeLeft(ctx), Throttle: a.dispatcher.throttles.Get(a.service).Value(),
 	}
 	next, ok := query.StepUp(route, observed, a.confidenceGain)
@@ -275,7 +275,7 @@
 		return "ServerFailed"
 	case query.EndedSlow:
 		return "Slow"
-	case query.EndedDropped:
+	case query.EndedDiscarded:
 		return "Dropped"
 	}
 	return "OutcomeUnknown"
--- a/io/proxy/budget.go
+++ b/io/proxy/budget.go
@@ -44,7 +44,7 @@
 	limits := d.config.RetryLimits()
 	return policy.QuotaConfig{
 		Window: limits.Window, Ratio: limits.Ratio * fleetLimitShare,
-		Allowance: limits.Allowance * fleetLimitShare / float64(instances), Optional: stepUpShare,
+		Allowance: limits.Allowance * fleetLimitShare / float64(instances), OptionalShare: stepUpShare,
 	}
 }
 
--- a/io/proxy/handler.go
+++ b/io/proxy/handler.go
@@ -82,7 +82,7 @@
 	d.sessions.remember(h.service, h.job.Request.Session, choice.Server.Release, d.config.Now())
 	if !done {
 		h.attempts = h.attempts.With(ending)
-		if len(h.tried) > 0 && ending == query.EndedDropped {
+		if len(h.tried) > 0 && ending == query.EndedDiscarded {
 			// The larger model may be asked on the same server.
 			h.tried = h.tried[:len(h.tried)-1]
 		}
@@ -145,7 +145,7 @@
 		return h.fail(h.callerLeftRefusal())
 	}
 	left := h.timeLeft(ctx)
-	if ending == query.EndedDropped {
+	if ending == query.EndedDiscarded {
 		return nil
 	}
 	if !query.MayRetry(h.admitted.Route, ending, h.attempts, left) {
--- a/io/proxy/load.go
+++ b/io/proxy/load.go
@@ -94,7 +94,7 @@
 // recordErrorAnswer records that the server answered with an error. That does not count towards ejection,
 // since the request may be at fault.
 func (t *loadTracker) recordErrorAnswer(at time.Time) {
-	t.cell.Update(func(l relay.Load) relay.Load { return l.WithBadAnswer(at) })
+	t.cell.Update(func(l relay.Load) relay.Load { return l.WithErrorAnswer(at) })
 }
 
 // recordFailure records an attempt without a valid answer, which counts towards ejection.
--- a/io/shell/start/edge.go
+++ b/io/shell/start/edge.go
@@ -55,7 +55,7 @@
 	out := logs.NewAsyncWriter(os.Stdout)
 	defer out.Close()
 	log := logs.New(out, zapcore.InfoLevel)
-	metrics, err := stats.New(stats.Config{Now: time.Now, Period: stats.RelayPeriod})
+	metrics, err := stats.New(stats.Config{Now: time.Now, Period: stats.RelaySamplePeriod})
 	if err != nil {
 		return fmt.Errorf("edge: %w", err)
 	}
@@ -65,7 +65,7 @@
 		}
 	}()
 	relay, err := boot.New(boot.Config{
-		Settings: settings, Log: log, Now: time.Now, Recorder: stats.CombinedRecorder{First: logs.RelayRecorder{Log: log}, Stats: metrics},
+		Settings: settings, Log: log, Now: time.Now, Recorder: stats.CombinedRecorder{Next: logs.RelayRecorder{Log: log}, Stats: metrics},
 		OnStoreCall: metrics.RecordStoreCall, Metrics: metrics.Handler(), OnSample: metrics.RecordRelayState,
 	})
 	if err != nil {
--- a/io/stats/relayed.go
+++ b/io/stats/relayed.go
@@ -51,15 +51,15 @@
 // CombinedRecorder is a proxy.Recorder that passes each decision to another recorder and counts it
 // in Stats.
 type CombinedRecorder struct {
-	First proxy.Recorder
+	Next  proxy.Recorder
 	Stats *Stats
 }
 
 // Record records the decision in First and Stats.
 func (r CombinedRecorder) Record(d proxy.Decision) {
-	r.First.Record(d)
+	r.Next.Record(d)
 	r.Stats.RecordRelayed(d)
 }
 
-// RelayPeriod is the Config.Period of an instance that relays requests.
-const RelayPeriod = time.Second
+// RelaySamplePeriod is the Config.Period of an instance that relays requests.
+const RelaySamplePeriod = time.Second
--- a/io/stats/sample.go
+++ b/io/stats/sample.go
@@ -34,10 +34,10 @@
 	now := from.Usage()
 	s.sampleStore(last, now)
 	s.sampleControl(from.Snapshot())
-	s.set(requestsWaiting, float64(from.Waiting()))
+	s.set(requestsWaiting, float64(from.WaitingRequests()))
 	s.set(requestsInFlight, float64(s.inFlight.Load()))
-	s.set(claimsUnsettled, float64(from.Unsettled()))
-	s.set(billsUnsafe, float64(from.Unsafe()))
+	s.set(claimsUnsettled, float64(from.UnsettledClaims()))
+	s.set(billsUnsafe, float64(from.UnsafeBills()))
 	return now
 }
 
--- a/io/stats/stats.go
+++ b/io/stats/stats.go
@@ -21,16 +21,16 @@
 	Snapshot func() state.State
 	// Usage returns the calls made to the key-value service so far.
 	Usage func() plat.Usage
-	// Waiting returns the number of requests that wait for capacity at a backend server.
-	Waiting func() int
-	// Unsettled returns the number of claims whose end is not yet recorded.
-	Unsettled func() int
-	// Unsafe returns the number of bills that would be lost with the instance.
-	Unsafe func() int
+	// WaitingRequests returns the number of requests that wait for capacity at a backend server.
+	WaitingRequests func() int
+	// UnsettledClaims returns the number of claims whose end is not yet recorded.
+	UnsettledClaims func() int
+	// UnsafeBills returns the number of bills that would be lost with the instance.
+	UnsafeBills func() int
 }
 
 func (s Sources) isComplete() bool {
-	return s.Snapshot != nil && s.Usage != nil && s.Waiting != nil && s.Unsettled != nil && s.Unsafe != nil
+	return s.Snapshot != nil && s.Usage != nil && s.WaitingRequests != nil && s.UnsettledClaims != nil && s.UnsafeBills != nil
 }
 
 // Config sets up Stats.
--- a/io/stats/stats_test.go
+++ b/io/stats/stats_test.go
@@ -121,18 +121,18 @@
 		s := newStats(t)
 		at := time.Now()
 		self := value.Instance{ID: "a", FailureDomain: "guj-a", State: value.InstanceLive}
-		now := state.New(self).WithNewest(9, at).WithInstance(value.Instance{ID: "b", State: value.InstanceSuspected})
+		now := state.New(self).WithNewestKnown(9, at).WithInstance(value.Instance{ID: "b", State: value.InstanceSuspected})
 		control := policy.NewCell(now)
 		usage := policy.NewCell(plat.Usage{Writes: 5, Throttled: 2})
 		ctx, stop := context.WithCancel(t.Context())
 		ended := make(chan error)
 		go func() {
 			ended <- s.Run(ctx, stats.Sources{
-				Snapshot:  control.Get,
-				Usage:     usage.Get,
-				Waiting:   func() int { return 3 },
-				Unsettled: func() int { return 4 },
-				Unsafe:    func() int { return 6 },
+				Snapshot:        control.Get,
+				Usage:           usage.Get,
+				WaitingRequests: func() int { return 3 },
+				UnsettledClaims: func() int { return 4 },
+				UnsafeBills:     func() int { return 6 },
 			})
 		}()
 		time.Sleep(1500 * time.Millisecond)
