--- a/core/query/plan_test.go
+++ b/core/query/plan_test.go
@@ -29,8 +29,8 @@
 			{Name: "ward-13", Versions: []value.VersionKey{small, large}, Kinds: []value.KindName{"spelling"}},
 		},
 		Models: []value.Model{{Name: "drafting-llm", Versions: []value.Version{
-			{Name: "small", InputMicros: 100, OutputMicros: 300, Quality: 0.8, QualityWeight: 200, TimeToFirstToken: time.Second},
-			{Name: "large", InputMicros: 1000, OutputMicros: 3000, Quality: 0.97, QualityWeight: 1000, TimeToFirstToken: 5 * time.Second},
+			{Name: "small", InputMicros: 100, OutputMicros: 300, Quality: 0.8, QualityWeight: 200, FirstToken: time.Second},
+			{Name: "large", InputMicros: 1000, OutputMicros: 3000, Quality: 0.97, QualityWeight: 1000, FirstToken: 5 * time.Second},
 			{Name: "next", InputMicros: 1000, OutputMicros: 3000, Quality: 0.97, QualityWeight: 1000},
 		}}},
 		Kinds: []value.Kind{
--- a/core/value/model.go
+++ b/core/value/model.go
@@ -19,8 +19,8 @@
 	Quality float64
 	// QualityWeight is the number of ratings that Quality counts for; zero means the default.
 	QualityWeight int
-	// TimeToFirstToken is the expected time to the first token.
-	TimeToFirstToken time.Duration
+	// FirstToken is the expected time to the first token.
+	FirstToken time.Duration
 	// TokenTime is the expected time between tokens.
 	TokenTime time.Duration
 	Pool      PoolName
@@ -39,7 +39,7 @@
 
 // Latency returns the expected time to a complete answer of that many tokens.
 func (v Version) Latency(outputTokens int) time.Duration {
-	return v.TimeToFirstToken + time.Duration(outputTokens)*v.TokenTime
+	return v.FirstToken + time.Duration(outputTokens)*v.TokenTime
 }
 
 // WithWithdrawn returns a copy that is withdrawn or not.
--- a/io/conf/convert.go
+++ b/io/conf/convert.go
@@ -44,15 +44,15 @@
 
 func (w wireVersion) value() value.Version {
 	return value.Version{
-		Name:             w.Name,
-		InputMicros:      w.InputMicros,
-		OutputMicros:     w.OutputMicros,
-		Quality:          w.Quality,
-		QualityWeight:    w.QualityWeight,
-		TimeToFirstToken: w.FirstToken,
-		TokenTime:        w.TokenTime,
-		Pool:             value.PoolName(w.Pool),
-		Withdrawn:        w.Withdrawn,
+		Name:          w.Name,
+		InputMicros:   w.InputMicros,
+		OutputMicros:  w.OutputMicros,
+		Quality:       w.Quality,
+		QualityWeight: w.QualityWeight,
+		FirstToken:    w.FirstToken,
+		TokenTime:     w.TokenTime,
+		Pool:          value.PoolName(w.Pool),
+		Withdrawn:     w.Withdrawn,
 	}
 }
 
