--- a/core/cmds/leave.go
+++ b/core/cmds/leave.go
@@ -9,7 +9,7 @@
 // Leave marks the instance as shutting down.
 type Leave struct{}
 
-// Apply sends a departure notice the first time; it is idempotent.
+// Apply sends a departure notice when the instance starts to leave; a repeated command does nothing.
 func (Leave) Apply(s state.State, _ time.Time) (state.State, []state.Effect) {
 	if s.Leaving {
 		return s, nil
--- a/core/cmds/rollout_advance.go
+++ b/core/cmds/rollout_advance.go
@@ -8,7 +8,8 @@
 	"endivehitch/core/value"
 )
 
-// AdvanceRollOut moves a roll-out to its next stage, or ends it after the last one.
+// AdvanceRollOut moves a roll-out to its next stage, or ends it after the last one; query.DueSteps
+// decides when it is due.
 type AdvanceRollOut struct {
 	Name value.RollOutName
 	// Stage is the stage to leave. A roll-out at another stage is not moved, so that a repeated command
@@ -18,7 +19,8 @@
 	Forced bool
 }
 
-// Apply refuses an unforced step while the stage's conditions are not met; it is idempotent.
+// Apply refuses an unforced step while the stage's conditions are not met. A repeated command is refused
+// and changes nothing.
 func (c AdvanceRollOut) Apply(s state.State, now time.Time) (state.State, []state.Effect) {
 	r, ok := s.RollOut(c.Name)
 	if !ok {
@@ -26,7 +28,7 @@
 	}
 	position := s.Position(r)
 	if position.Stage != c.Stage {
-		return s, logRefusal(c.Name, "roll-out has left that stage")
+		return s, logRefusal(c.Name, "roll-out is at another stage than the one to advance from")
 	}
 	p, err := c.nextProgress(r, position, steps.StageMeasurements{Ratings: s.RollOutTests(r).Ratings}, now)
 	if err != nil {
--- a/core/query/placement.go
+++ b/core/query/placement.go
@@ -9,7 +9,7 @@
 	"endivehitch/core/value"
 )
 
-// The reasons for placements, loads first by urgency, then unloads.
+// The reasons for placements: three for loads, the most urgent first, and two for unloads.
 const (
 	ReasonNoServerHasVersion   value.Reason = "NoServerCarriesVersion"
 	ReasonTooFewDomains        value.Reason = "TooFewFailureDomains"
@@ -73,8 +73,8 @@
 	state  state.State
 	rule   PlacementRule
 	demand PlacementDemand
-	// versions, by server, and servers, by version, hold what the orders so far change; the rest is
-	// as in the state.
+	// versions holds the versions of each server, and servers the servers of each version, that the
+	// orders so far change. What has no entry here is as in the state.
 	versions map[value.ServerID][]value.VersionKey
 	servers  map[value.VersionKey][]value.BackendServer
 	// domains counts each pool's failure domains.
@@ -102,6 +102,8 @@
 	return min(p.rule.Domains, p.domains[pool])
 }
 
+// unloadWithdrawn returns the orders that unload withdrawn versions. The last server of a version with
+// pinned sessions keeps it.
 func (p *planner) unloadWithdrawn() []Placement {
 	var orders []Placement
 	for _, b := range p.state.Servers().All() {
@@ -141,7 +143,7 @@
 	version value.VersionKey
 	pool    value.PoolName
 	reason  value.Reason
-	// shortage is the version's demand for each server that has it.
+	// shortage is the version's demand divided by the number of servers that have it.
 	shortage float64
 	server   value.BackendServer
 	// evict is the version to unload first to free capacity, or empty.
@@ -203,7 +205,8 @@
 }
 
 // assignServer picks a server in the failure domain where the fewest servers have the version, and
-// there the server with the fewest versions.
+// there the server with the fewest versions. A version that is in too few failure domains is assigned
+// only to one that does not have it yet.
 func (p *planner) assignServer(n need) (need, bool) {
 	serversByDomain := make(map[value.FailureDomain]int)
 	for _, b := range p.plannedServers(n.version) {
--- a/core/query/queue.go
+++ b/core/query/queue.go
@@ -9,7 +9,8 @@
 	"endivehitch/core/value"
 )
 
-// Lane identifies one of the queues of a client account; each has its own weight in fair queueing.
+// Lane identifies one of the queues of a client account. Fair queueing serves the lanes of an account in
+// proportion to their weights, which depend on the priority.
 type Lane struct {
 	Priority value.Priority
 	Version  value.VersionKey
@@ -85,8 +86,8 @@
 	return queue
 }
 
-// CheckWait decides whether the request may wait for capacity; the error is a value.Refusal with
-// NotRun set.
+// CheckWait decides whether the request may wait for capacity: not if the client account's part of the
+// queue is full or the request would miss its deadline. The error is a value.Refusal with NotRun set.
 //
 // Each client account has a part of the queue in proportion to its share, so that one account's
 // demand cannot fill the part of another. The servers' capacity is not divided: it is always used
@@ -103,8 +104,8 @@
 	return nil
 }
 
-// CheckDeadline checks whether a request that has waited can still be answered before its deadline;
-// the error is a value.Refusal.
+// CheckDeadline checks whether an attempt that starts now can end before the request's deadline; the
+// error is a value.Refusal.
 func CheckDeadline(r value.Request, estimate DurationEstimate, now time.Time) error {
 	if remaining := r.Deadline.Sub(now); estimate.Duration > remaining {
 		return refuseWithRetryAfter(value.ReasonOverloaded, "deadline is too near for a run", estimate.Duration)
@@ -112,7 +113,8 @@
 	return nil
 }
 
-// expectedWait returns the time until a new request is served; zero means that it is not known.
+// expectedWait returns the time until a new request is served, if the client account gets a part of the
+// target's throughput in proportion to its weight; zero means that the throughput is not known.
 func (q QueueState) expectedWait(ownWeight float64) time.Duration {
 	if q.PerSecond <= 0 {
 		return 0
--- a/core/relay/query/release.go
+++ b/core/relay/query/release.go
@@ -13,11 +13,12 @@
 	// A large fleet gets enough answers with less, down to minCanaryShare.
 	canaryShare    = 0.08
 	minCanaryShare = 0.02
-	// canaryFleet is the number of instances from which canaryShare is halved; each further
-	// canaryFleet instances raise the divisor by one.
+	// canaryFleet is the number of instances at which canaryShare is divided by two; every canaryFleet
+	// instances more raise the divisor by one.
 	canaryFleet = 16
-	// canaryEnd, halfShareAt and fullShareAt are the fractions of the order's Within at which the
-	// new release gets a quarter of the traffic, half of it, and all of it.
+	// canaryEnd, halfShareAt and fullShareAt are the times at which the new release gets a quarter of
+	// the traffic, half of it, and all of it, as fractions of the order's Within: the time that the
+	// roll-out may take.
 	canaryEnd   = 0.52
 	halfShareAt = 0.60
 	fullShareAt = 0.68
@@ -26,7 +27,7 @@
 )
 
 // TrafficShare returns the share of the service's traffic, from 0 to 1, that the roll-out's release
-// receives in a fleet of so many instances.
+// receives in a fleet of the given number of instances.
 func TrafficShare(rollOut relay.RollOutState, members int, now time.Time) float64 {
 	switch rollOut.Phase() {
 	case relay.PhaseCompleted:
@@ -52,9 +53,12 @@
 	return now.Sub(rollOut.OrderedAt) < time.Duration(canaryEnd*float64(rollOut.Order.Within))
 }
 
-// Release returns the release that must run a request of the service, or empty for any. The last
-// release is the one that the request's session ran on; uniform is a number that is uniformly
-// distributed over requests and stands in for the session's hash when there is no session.
+// Release returns the release that must run a request of the service, or "" for any.
+//
+// The parameter last is the release of the session's last request, or "". A session that is at the new
+// release stays there unless the roll-out is reverted, and one at another release stays there during
+// the canary period. Otherwise the hash of the session decides, or, without a session, uniform, a
+// number that is uniformly distributed over requests.
 func Release(state relay.State, service relay.ServiceName, session string, last relay.Release, uniform uint64, now time.Time) relay.Release {
 	rollOut, ok := state.RollOut(service)
 	if !ok || rollOut.Order.Target == "" {
@@ -86,8 +90,8 @@
 const shareSteps = 10000
 
 // releases returns the release that the service ran before the target, and whether any server runs
-// the target; draining servers don't count. Of several other releases, that of the last server
-// counts.
+// the target; draining servers don't count. If servers run several other releases, that of the server
+// with the highest identifier is returned.
 func releases(state relay.State, service relay.ServiceName, target relay.Release) (relay.Release, bool) {
 	var previous relay.Release
 	hasTarget := false
--- a/core/relay/query/release_test.go
+++ b/core/relay/query/release_test.go
@@ -26,6 +26,7 @@
 	return relay.New(relay.Member{Name: "n1"}).WithFeed(feed, orderedAt, 0)
 }
 
+// The number 0 is within every share of the traffic above zero, and 9999 only within the whole traffic.
 func TestReleaseFollowsShareSessionAndPhase(t *testing.T) {
 	state := stateInRollOut(now, 7, relay.PhaseUnderWay)
 	early, late := now.Add(time.Second), now.Add(19*time.Second)
@@ -61,7 +62,7 @@
 	baseline := tally("v1", 500, 2, 5)
 	assert.Equal(t, judge(time.Second, baseline, tally("v2", 10, 5, 0)), relay.PhaseReverted)
 	assert.Equal(t, judge(time.Second, baseline, tally("v2", 20, 0, 9)), relay.PhaseReverted)
-	assert.Equal(t, judge(time.Second, baseline, tally("v2", 3, 1, 0)), relay.PhaseUnderWay, "one failure proves nothing")
+	assert.Equal(t, judge(time.Second, baseline, tally("v2", 3, 1, 0)), relay.PhaseUnderWay, "one failure is too few to revert a release")
 	assert.Equal(t, judge(19*time.Second, baseline, tally("v2", 100, 1, 1)), relay.PhaseCompleted)
 	assert.Equal(t, judge(19*time.Second, baseline, tally("v2", 5, 0, 0)), relay.PhaseUnderWay, "too few answers to complete")
 	assert.Equal(t, judge(10*time.Second, baseline, tally("v2", 100, 0, 0)), relay.PhaseUnderWay, "faults may show late, so it is too early to complete")
--- a/core/relay/tally.go
+++ b/core/relay/tally.go
@@ -1,6 +1,7 @@
 package relay
 
-// Tally counts the attempts of one instance at one release of a service since the instance started.
+// Tally counts the attempts that one instance has sent to one release of a service since the instance
+// started.
 type Tally struct {
 	Service ServiceName
 	Release Release
@@ -24,7 +25,7 @@
 	return t
 }
 
-// Plus returns the sum of the tallies of two instances.
+// Plus returns the sum of the tallies of two instances for the same service and release.
 func (t Tally) Plus(other Tally) Tally {
 	t.Runs += other.Runs
 	t.Failed += other.Failed
--- a/core/value/instance.go
+++ b/core/value/instance.go
@@ -23,7 +23,8 @@
 	// suspicion or to announce that it is leaving.
 	Incarnation int64
 	State       InstanceState
-	// LastContact is when this process last received a message from the instance.
+	// LastContact is when this process last received a message from the instance; it is zero for the
+	// process's own instance.
 	LastContact time.Time
 	// Since is when this process learned of the instance's present state.
 	Since time.Time
@@ -31,10 +32,10 @@
 	Listed bool
 	// Revision is the configuration revision that the instance has in force.
 	Revision int64
-	// Digest identifies the document in force.
+	// Digest identifies the document that the instance has in force.
 	Digest string
-	// LaggingSince is when the instance learned of a revision that it does not yet have completely in
-	// force; zero means that it is up to date.
+	// LaggingSince is when the instance learned of a newer revision that it has not put in force, or
+	// has rejected; zero means that it is up to date.
 	LaggingSince time.Time
 }
 
@@ -87,7 +88,7 @@
 }
 
 // CanOwnSlots reports whether the instance may own hash slots. A suspected instance keeps its slots,
-// so that a short pause of an instance moves none.
+// so that a short pause of an instance does not move slots to others.
 func (i Instance) CanOwnSlots() bool {
 	return i.State == InstanceLive || i.State == InstanceSuspected
 }
