--- a/io/admin/cmds/promote_test.go
+++ b/io/admin/cmds/promote_test.go
@@ -53,6 +53,8 @@
 	})
 }
 
+// The store makes the change of the first call but its answer is lost, and it is down before the call can
+// read the change back. The outcome is unknown to the operator, who sends the same change again.
 func TestRetriedPromoteAfterALostStoreAnswerWritesOnce(t *testing.T) {
 	withFixture(t, func(t *testing.T, f fixture) {
 		_, err := f.apply("asha", "one", 0, "one")
--- a/io/admin/route/route.go
+++ b/io/admin/route/route.go
@@ -41,7 +41,8 @@
 	return Route{Method: method, Path: path, Handler: handler}
 }
 
-// decode decodes the JSON body, or for a GET the URL's query, all of whose fields are strings.
+// decode decodes the JSON body, or for a GET the URL's query parameters; the fields of In must then be
+// strings. Of a parameter that is given more than once, the first value counts.
 func decode[In any](w http.ResponseWriter, r *http.Request) (In, error) {
 	var in In
 	if r.Method != http.MethodGet {
@@ -61,6 +62,8 @@
 	return in, nil
 }
 
+// decodeStrict decodes the JSON body and refuses unknown fields, so that a misspelled field is not
+// silently ignored.
 func decodeStrict(body io.Reader, into any) error {
 	d := json.NewDecoder(body)
 	d.DisallowUnknownFields()
--- a/io/engine/http.go
+++ b/io/engine/http.go
@@ -36,8 +36,8 @@
 	TLS *tls.Config
 }
 
-// HTTP implements Runner, Reporter, Commander and CacheMover: it uses the chat-completions format
-// with engines and plain HTTP with services.
+// HTTP implements Runner, Reporter, Commander and CacheMover. A call with a version goes to an engine in
+// the chat-completions format, and one without a version to a plain HTTP service.
 type HTTP struct {
 	pooled *http.Client
 	// unpooled opens a connection for each call. It is used for calls that must not be sent twice: on
@@ -78,7 +78,7 @@
 	}
 }
 
-// Start sends the call and returns once the answer's head has arrived.
+// Start sends the call and returns once the answer's status and headers have been received.
 func (h *HTTP) Start(ctx context.Context, b value.BackendServer, c Call) (Answer, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	req, err := newRequest(ctx, b, c)
@@ -135,8 +135,8 @@
 	return req, nil
 }
 
-// withModel returns the body with the call's version as the model and, for a streamed answer, with
-// the request for its usage.
+// withModel returns the call's body with the version as its model. For a streamed answer it also sets
+// stream_options, so that the engine reports the token usage at the end of the stream.
 func withModel(c Call) ([]byte, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(c.Body, &fields); err != nil {
@@ -166,9 +166,9 @@
 	return err
 }
 
-// checkHead returns an error if the status means failure or the answer belongs to another request.
-// An engine fails with 300 or more; a plain service only with 500 or more, since any other status
-// is its answer.
+// checkHead returns an error if the status means failure or the answer belongs to another request; it
+// then closes the body. An engine's status means failure from 300 on, a plain service's only from 500
+// on, since any other status is part of its answer to the caller.
 func checkHead(resp *http.Response, c Call) error {
 	minFailure := http.StatusInternalServerError
 	if c.Version != "" {
--- a/io/faults/step.go
+++ b/io/faults/step.go
@@ -30,7 +30,7 @@
 	StepLeave       Step = "Leave"
 )
 
-// Steps returns all steps, in the order in which the work passes them.
+// Steps returns all steps: those of a request in the order of its handling, then those of control work.
 func Steps() []Step {
 	return []Step{
 		StepAccept, StepAdmit, StepQueue, StepPin, StepRoute, StepRecordIntent, StepDispatch, StepFirstByte, StepMidStream,
--- a/io/flow/measure_test.go
+++ b/io/flow/measure_test.go
@@ -22,7 +22,7 @@
 )
 
 // inVirtualTime runs the function in a synctest bubble and on one processor, so that each run gives
-// the same figures.
+// the same figures. It runs as a test, because synctest accepts only a *testing.T.
 func inVirtualTime(b *testing.B, do func()) {
 	b.Helper()
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
@@ -30,7 +30,8 @@
 		{Name: b.Name(), F: func(t *testing.T) {
 			synctest.Test(t, func(*testing.T) {
 				do()
-				// Virtual time must advance until the goroutines of the measurement have ended.
+				// Virtual time stops once this function returns, so it waits until the timers of the
+				// remaining goroutines have fired.
 				time.Sleep(time.Minute)
 			})
 		}},
@@ -40,6 +41,7 @@
 	}
 }
 
+// capacity returns how many short requests the servers can complete in a second.
 func (d deployment) capacity() float64 {
 	return float64(d.servers*serverSlots) / shortWork.Seconds()
 }
@@ -51,8 +53,9 @@
 
 func normalSpeed(value.ServerID) float64 { return 1 }
 
-// withSlowServers returns a slowdown: after ten normal seconds, a tenth of the servers are ten
-// times slower. In each period, they are other servers.
+// withSlowServers returns the factor by which each server is slowed down: for the first ten seconds,
+// none is; after that, a tenth of the servers take ten times as long. Each period has other slow
+// servers than the one before.
 func (d deployment) withSlowServers(period time.Duration) func(value.ServerID) float64 {
 	began := time.Now()
 	return func(id value.ServerID) float64 {
@@ -120,7 +123,8 @@
 	newServe func(d deployment, sim *simulation) serveFunc
 }
 
-// newFlowVariant returns the flow under the configuration as the function edits it.
+// newFlowVariant returns a variant of the flow whose configuration the function has edited; nil
+// leaves it as it is.
 func newFlowVariant(edit func(*value.Document)) func(d deployment, sim *simulation) serveFunc {
 	return func(d deployment, sim *simulation) serveFunc {
 		document := d.document()
@@ -242,10 +246,11 @@
 // times longer.
 func BenchmarkMeasureLong(b *testing.B) {
 	measureAll(b, variants, func(size deployment, tested variant) map[string]float64 {
-		// Both streams together use six tenths of the capacity.
-		jobs := 0.6 * size.capacity() / (0.95 + 0.05*50)
-		short := requestStream{until: time.Minute, perSecond: 0.95 * jobs, kind: "short", account: "ward-9", work: shortWork, timeout: longTimeout}
-		long := requestStream{until: time.Minute, perSecond: 0.05 * jobs, kind: "long", account: "ward-9", work: longWork, timeout: longTimeout}
+		// Both streams together use six tenths of the capacity, which counts short requests: a long one
+		// takes as much as fifty of them.
+		perSecond := 0.6 * size.capacity() / (0.95 + 0.05*50)
+		short := requestStream{until: time.Minute, perSecond: 0.95 * perSecond, kind: "short", account: "ward-9", work: shortWork, timeout: longTimeout}
+		long := requestStream{until: time.Minute, perSecond: 0.05 * perSecond, kind: "long", account: "ward-9", work: longWork, timeout: longTimeout}
 		without := size.simulate(tested.newServe(size, newSimulation(size.servers, normalSpeed)), 1, short)
 		with := size.simulate(tested.newServe(size, newSimulation(size.servers, normalSpeed)), 1, short, long)
 		return map[string]float64{
--- a/io/flow/memory_test.go
+++ b/io/flow/memory_test.go
@@ -14,7 +14,7 @@
 	byRequest map[value.RequestID]value.Bill
 }
 
-// StoreBill stores the bill once for each request.
+// StoreBill stores the first bill of each request and ignores later ones.
 func (b *memoryBiller) StoreBill(_ context.Context, bill value.Bill) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -40,7 +40,8 @@
 	inDoubt bool
 }
 
-// Claim grants the key to the first caller.
+// Claim grants the key to the first caller. Later ones receive the stored answer, or a refusal if there is
+// none.
 func (g *memoryGuard) Claim(_ context.Context, r value.Request) (flow.Claim, *flow.StoredAnswer, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/io/plat/lists.go
+++ b/io/plat/lists.go
@@ -22,8 +22,7 @@
 	Kind     value.KindName
 	Version  value.VersionKey
 	Accepted bool
-	// Rate is the share, from 0 to 1, of the answers with this verdict that are rated; zero means
-	// unknown.
+	// Rate is the sampling rate, from 0 to 1, of answers with this verdict; zero means unknown.
 	Rate float64
 	At   time.Time
 }
@@ -36,6 +35,6 @@
 
 // WeightStore holds the weights of versions and is rate-limited.
 type WeightStore interface {
-	// Available returns the number of loads that the store would serve at once now.
+	// Available returns how many loads the store would serve at present without refusing any.
 	Available(ctx context.Context) (int, error)
 }
--- a/io/proxy/budget.go
+++ b/io/proxy/budget.go
@@ -7,14 +7,14 @@
 	"endivehitch/core/relay"
 )
 
-// RetryLimits limits, separately for each service, the attempts of the whole fleet beyond each request's
-// first.
+// RetryLimits limits extra attempts: retries and attempts with larger models, beyond the first attempt of
+// each request. The limits apply to the whole fleet and to each service separately.
 type RetryLimits struct {
 	// Window is the length of the sliding window in which the limits apply.
 	Window time.Duration
-	// Ratio is how many extra attempts each request allows.
+	// Ratio is how many extra attempts are allowed for each request within the window.
 	Ratio float64
-	// Allowance is how many extra attempts the whole fleet may make in addition.
+	// Allowance is how many extra attempts the whole fleet may make within the window on top of Ratio.
 	Allowance float64
 }
 
@@ -22,7 +22,7 @@
 type budgetUse int
 
 const (
-	// useRetry is an attempt after a failure.
+	// useRetry is an attempt after one that failed or was cancelled because the server was silent too long.
 	useRetry budgetUse = iota
 	// useStepUp is an attempt with a larger model; it may use only a part of the budget, so that the rest
 	// remains for retries.
@@ -59,7 +59,7 @@
 	})
 }
 
-// countFirstAttempt counts the first attempt of a request, which adds Ratio to the budget.
+// countFirstAttempt counts the first attempt of a request, which adds Ratio to the service's budget.
 func (d *Dispatcher[H]) countFirstAttempt(service relay.ServiceName) {
 	limits, now := d.budgetLimits(), d.config.Now()
 	d.retryBudgets.Cell(service).Update(func(q policy.Quota) policy.Quota { return q.WithFirst(limits, now) })
--- a/io/proxy/session.go
+++ b/io/proxy/session.go
@@ -7,7 +7,8 @@
 	"endivehitch/core/relay"
 )
 
-// sessions holds the release that each session's last request was sent to.
+// sessions holds the release that each session's last request was assigned to, so that the session's next
+// requests can stay at that release during a roll-out.
 type sessions struct {
 	lifetime time.Duration
 	mu       sync.Mutex
@@ -28,7 +29,7 @@
 	return &sessions{lifetime: lifetime, releases: make(map[sessionKey]sessionRelease)}
 }
 
-// release returns the session's release, or empty when the session is unknown or has expired.
+// release returns the session's release, or "" when the session is unknown or has expired.
 func (s *sessions) release(service relay.ServiceName, session string, now time.Time) relay.Release {
 	if session == "" {
 		return ""
--- a/io/shell/query/check.go
+++ b/io/shell/query/check.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// settingsExtension is the extension of the platform's settings files.
+// settingsExtension is the extension of the platform's settings files; any other file is a document.
 const settingsExtension = ".toml"
 
 func checkSettings(c *cli.Command, path string) error {
