--- a/core/query/audit.go
+++ b/core/query/audit.go
@@ -25,8 +25,9 @@
 	return len(a.Missing) == 0 && len(a.Duplicated) == 0 && len(a.Unknown) == 0
 }
 
-// Reconcile charges each request once, even if several instances stored its bill: the earliest bill
-// counts, and of bills with the same time the one with the lowest owner and sequence number.
+// Reconcile compares the stored bills with the answered requests. It charges each request once, even
+// if several instances stored its bill: the earliest bill counts, and of bills with the same time
+// the one with the lowest owner, then the lowest sequence number.
 func Reconcile(segments []ledger.Segment, answered []value.RequestID) Audit {
 	stored := make(map[value.RequestID][]ownedEntry)
 	for _, s := range segments {
--- a/core/query/explore.go
+++ b/core/query/explore.go
@@ -11,13 +11,13 @@
 	// to a cheaper version whose quality bounds lie on both sides of the target.
 	minExploreShare = 200
 	maxExploreShare = 5000
-	// basisPoints and fullPercent are the whole, in basis points and in percent.
+	// basisPoints and fullPercent are a share of 100 %, in basis points and in percent.
 	basisPoints = 10000
 	fullPercent = 100
 )
 
-// considerExploration sends a bounded share of sessions to the cheaper version with the fewest
-// ratings, so that it gets more of them.
+// considerExploration returns a plan with the cheaper version that has the fewest ratings for a
+// bounded share of sessions, so that it gets more ratings; other sessions keep the given plan.
 //
 // Only idempotent kinds are explored, and only while ratings arrive. The share is at least
 // minExploreShare. It is larger if the plan's quality exceeds the target, but only so far that the
--- a/core/relay/orderage.go
+++ b/core/relay/orderage.go
@@ -36,7 +36,8 @@
 	return false
 }
 
-// WithOrderAges returns a state in which orders of unknown age have the ages reported by others.
+// WithOrderAges returns a state in which orders of unknown age have the ages that other instances
+// reported at the given time.
 func (s State) WithOrderAges(reported []OrderAge, at time.Time) State {
 	rollOuts := make(map[ServiceName]RollOutState, len(s.rollOuts))
 	for name, r := range s.rollOuts {
@@ -57,9 +58,10 @@
 }
 
 // estimatedOrderTime estimates when the order was given by the median start time of the servers
-// that run its target release: they were started for the order, and single ones may have restarted
-// since. The estimate depends on the wall clocks of several machines, so ages reported by other
-// instances replace it. It is at most the order's Within before the given time.
+// that run its target release: they were started for the order, and the median is little affected
+// by single ones that have restarted since. The start times come from the wall clocks of several
+// machines, so ages reported by other instances replace the estimate. It is never later than the
+// given time, and never earlier by more than the order's Within.
 func (r RollOutState) estimatedOrderTime(servers []Server, at time.Time) time.Time {
 	var startTimes []time.Time
 	for _, server := range servers {
