--- a/io/feeds/follow_test.go
+++ b/io/feeds/follow_test.go
@@ -90,6 +90,7 @@
 		s.removeKey("x")
 		s.removeKey("y")
 		s.update(func() { s.unreachable = false })
+		// This is still within graceTime after the outage.
 		time.Sleep(1700 * time.Millisecond)
 		assert.Equal(t, len(i.loop.Snapshot().Servers("app")), 2)
 		s.putServer("y")
@@ -141,6 +142,7 @@
 				own := relay.New(m).WithFeed(snapshot, time.Now(), 0)
 				_, isFollower := query.Reader(own, func(relay.MemberName) bool { return false })
 				readFrom := s
+				// Each domain has two members, in the order of domains.
 				if !isFollower && n/2 < stalledDomains {
 					readFrom = stalled
 				}
@@ -151,7 +153,8 @@
 				}
 			}
 			time.Sleep(5 * time.Second)
-			// The stalled readers' waiting calls return no changes, and the readers get no error from them.
+			// The stalled readers' store does not get the new version, so their watch calls end without
+			// changes and without errors.
 			s.putConfig(2)
 			began := time.Now()
 			for _, i := range followers {
@@ -183,6 +186,7 @@
 		time.Sleep(20 * time.Second)
 		s.mu.Lock()
 		defer s.mu.Unlock()
+		// A call waits up to 2 s for changes, so a reader makes about ten calls in 20 s.
 		assert.Assert(t, s.changeReads-before <= 2*12, "two readers made %d calls in 20 s", s.changeReads-before)
 	})
 }
--- a/io/once/full_test.go
+++ b/io/once/full_test.go
@@ -31,6 +31,8 @@
 		a := h.guard("a")
 		granted := 0
 		for i := range 50 {
+			// The quotes and backslashes in the key's stored form are escaped once more by JSON, which the
+			// byte limit has to cover.
 			c, _, err := a.Claim(t.Context(), request(fmt.Sprint("\"k\\\xff<", i)))
 			if err != nil {
 				var refusal value.Refusal
--- a/io/plat/embed_test.go
+++ b/io/plat/embed_test.go
@@ -74,6 +74,7 @@
 		assert.Equal(t, (<-events).Entry.Key, "x/1")
 		put("x/2")
 		assert.Equal(t, (<-events).Entry.Revision, int64(3))
+		// More changes than the history holds, while nothing receives from the watch.
 		for range 12 {
 			put("x/3")
 		}
--- a/io/proxy/session_test.go
+++ b/io/proxy/session_test.go
@@ -15,7 +15,7 @@
 	"endivehitch/io/proxy"
 )
 
-// canarySession returns a session name that would be assigned to the canary if it were a new session.
+// canarySession returns a session name that is assigned to the canary release v2 as a new session.
 func canarySession(s relay.State) string {
 	for i := 0; ; i++ {
 		name := fmt.Sprint("session-", i)
@@ -55,13 +55,14 @@
 			Snapshot: func() relay.State { return s }, Now: time.Now, Recorder: new(recorder), SessionLifetime: lifetime,
 		})
 		assert.NilError(t, err)
-		next := append(entries,
+		withCanary := append(entries,
 			relay.Entry{Server: &relay.Server{ID: "new", Service: "app", Release: "v2", Slots: 4}},
 			relay.Entry{RollOut: &relay.RollOut{Service: "app", Target: "v2", Within: time.Minute}})
-		before := s
-		entries = next
+		withoutCanary := s
+		entries = withCanary
+		// Only the record of its earlier request keeps this session on v1 once the canary has started.
 		session := canarySession(state())
-		s = before
+		s = withoutCanary
 		serve := func() {
 			assert.NilError(t, dispatcher.Serve(t.Context(), proxy.Job[head]{Request: relay.Request{
 				ID: "q", Host: "h", Path: "/x", Arrived: time.Now(), Session: session,
