--- a/io/conf/settings.go
+++ b/io/conf/settings.go
@@ -77,7 +77,8 @@
 	return wire.value(), nil
 }
 
-// checkDistinct reports entries of a section whose identity an earlier entry has.
+// checkDistinct adds a fault for each entry of a section that has the same identity as an earlier
+// one.
 func checkDistinct[T any](r *reader, path string, list []T, identity func(T) string) {
 	first := make(nameIndex, len(list))
 	for i, v := range list {
@@ -133,6 +134,7 @@
 // hashLength is the length of a SHA-256 sum in bytes.
 const hashLength = 32
 
+// checkHash returns what is wrong with the text, or nothing if it is a SHA-256 sum in hexadecimal.
 func checkHash(s string) string {
 	sum, err := hex.DecodeString(s)
 	if err != nil || len(sum) != hashLength {
--- a/io/faults/ports.go
+++ b/io/faults/ports.go
@@ -16,8 +16,8 @@
 	"endivehitch/io/plat"
 )
 
-// pausableStore is the key-value store as seen by one instance: calls wait while the instance is
-// paused and fail once it has ended.
+// pausableStore is the key-value store as one instance uses it: reads and writes of entries wait
+// while the instance is paused and fail once it has ended. Watches and leases are passed through.
 type pausableStore struct {
 	plat.Store
 	instance *instance
@@ -85,7 +85,8 @@
 	return g.Guard.Claim(ctx, r)
 }
 
-// noopClaim is a claim that excludes nobody; it stands for a broken idempotency guard.
+// noopClaim is a claim that does not keep the request from running again; it simulates a broken
+// idempotency guard.
 type noopClaim struct{}
 
 // Finish implements flow.Claim.
@@ -123,12 +124,13 @@
 	return nil
 }
 
-// misroute returns the attempt with a server or version that the broken invariant forbids, or
-// unchanged if no such invariant is broken.
+// misroute replaces the server or the version of a call by one that the broken invariant forbids,
+// and changes nothing if no such invariant is broken.
 func misroute(fleet *Fleet, server value.BackendServer, call engine.Call) (value.BackendServer, engine.Call) {
 	request := fleet.requestByID(call.Request)
 	switch {
 	case call.Version == "":
+		// A plain service has no versions.
 	case fleet.brokenInvariant == InvariantAllowedVersion && request.Account == smallOnly,
 		fleet.brokenInvariant == InvariantWithdrawnGetsNoWork && request.Account != smallOnly && request.Pinned == "",
 		fleet.brokenInvariant == InvariantSessionKeepsVersion && request.Pinned != "":
@@ -139,8 +141,8 @@
 	return server, call
 }
 
-// decodeConfig decodes changed store entries: the scenario's document, which is stored by its name,
-// and the roll-outs and withdrawals, which have the product's own encoding.
+// decodeConfig decodes changed store entries: the scenario's document, whose entry holds only its
+// name, and the roll-outs and withdrawals, which have the product's own encoding.
 func (n *instance) decodeConfig(changed []plat.Entry) (cmds.InstallRevision, error) {
 	var install cmds.InstallRevision
 	var otherEntries []plat.Entry
--- a/io/flow/shared.go
+++ b/io/flow/shared.go
@@ -48,8 +48,8 @@
 	return &sharedExecutions{byKey: make(map[query.ShareKey]*sharedExecution)}
 }
 
-// join adds a caller to the shared execution for the key, which it starts if there is none, and
-// reports whether it did.
+// join adds a caller to the shared execution for the key. If there is none, it starts one and
+// reports true.
 func (s *sharedExecutions) join(k query.ShareKey, start func() *sharedExecution) (*sharedExecution, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -100,8 +100,8 @@
 		if err == nil {
 			return e.finish(ctx, answer)
 		}
-		// The execution ran with the deadline of the caller that started it, so that a failure for
-		// that caller may still be a success for another one.
+		// A caller that joined may try again: the shared execution had the deadline of the caller
+		// that started it, which may be earlier than its own.
 		if isLeader || e.answerStarted || ctx.Err() != nil || try == maxSharedTries {
 			return Result{}, err
 		}
@@ -199,7 +199,7 @@
 }
 
 // countSharedAttempt counts an attempt as sent, unless the shared execution was refused without
-// having sent any.
+// having sent any. A caller's own refusal says by this count whether its request may have run.
 func (e *execution) countSharedAttempt(last sharedAnswer) {
 	var refusal value.Refusal
 	if errors.As(last.err, &refusal) && refusal.NotRun {
--- a/io/lease/runner.go
+++ b/io/lease/runner.go
@@ -53,6 +53,7 @@
 // Runner contends for the leases of its duties and runs each duty while it holds the lease.
 type Runner struct {
 	Config
+	// mu guards rnd.
 	mu  sync.Mutex
 	rnd *rand.Rand
 }
@@ -86,8 +87,8 @@
 	return nil
 }
 
-// contendRepeatedly contends for the duty whenever this instance is a candidate; it backs off after
-// failures and ends with the context.
+// contendRepeatedly contends for the duty whenever this instance is a candidate, until the context
+// ends. It pauses after each time, and longer after consecutive failures.
 func (r *Runner) contendRepeatedly(ctx context.Context, duty Duty) {
 	backoff := policy.Backoff{InitialDelay: initialBackoff, MaxDelay: maxBackoff}
 	for r.awaitCandidacy(ctx, duty.Name) {
@@ -117,7 +118,8 @@
 	return false
 }
 
-// contend acquires and runs the duty, or waits until the current holder has released it.
+// contend acquires and runs the duty, or waits until the current holder's lease is released or
+// expires.
 func (r *Runner) contend(ctx context.Context, d Duty) error {
 	acquired, err := r.acquire(ctx, d.Name)
 	var conflict plat.Conflict
@@ -130,8 +132,8 @@
 	return r.serveTerm(ctx, d, acquired)
 }
 
-// awaitVacancy returns when the duty's key is deleted, when the watch ends, or after DutyRotation,
-// because the duty's candidates have changed by then.
+// awaitVacancy returns when the duty's key is deleted, as it is when the holder's lease ends, when
+// the watch ends, or after DutyRotation, because the duty's candidates have changed by then.
 func (r *Runner) awaitVacancy(ctx context.Context, held plat.Entry) error {
 	ctx, cancel := context.WithTimeout(ctx, query.DutyRotation)
 	defer cancel()
--- a/io/logs/relayed.go
+++ b/io/logs/relayed.go
@@ -8,7 +8,7 @@
 	"endivehitch/io/proxy"
 )
 
-// RelayRecorder logs the decisions about relayed requests; it is a proxy.Recorder.
+// RelayRecorder logs the decisions about relayed requests; it implements proxy.Recorder.
 type RelayRecorder struct {
 	Log *zap.Logger
 }
@@ -54,7 +54,8 @@
 	r.Log.Info(string(d.Kind), fields...)
 }
 
-// ReportDroppedLines logs and counts the dropped lines at each tick, until stop is closed.
+// ReportDroppedLines logs and counts, at each tick, the lines that were dropped since the last one,
+// until stop is closed.
 func ReportDroppedLines(log *zap.Logger, a *AsyncWriter, count func(int64), ticks <-chan time.Time, stop <-chan struct{}) {
 	for {
 		select {
--- a/io/once/commit.go
+++ b/io/once/commit.go
@@ -16,6 +16,8 @@
 var errContended = errors.New("other writers kept coming first")
 
 // commit decides the group, writes the journal if it changes, and only then delivers the verdicts.
+// It forgets the last journal after an error, and if another instance owns the slot, since that one
+// writes the journal as well.
 func (s *slot) commit(ctx context.Context, group []submission) {
 	verdicts, err := s.decide(ctx, group)
 	if err != nil || !s.guard.decidesLocally(s.number) {
@@ -25,9 +27,9 @@
 	deliver(group, verdicts, err)
 }
 
-// decide returns the verdicts on the group once they are safe: either the journal with their
-// changes has been written, or nothing changes and the journal came from the store, since the one
-// that this worker wrote last may have been replaced there.
+// decide returns the verdicts on the group once the journal with their changes has been written.
+// Verdicts that change nothing need no write, but must be based on a journal from the store: the
+// one that this worker wrote last may have been replaced there.
 func (s *slot) decide(ctx context.Context, group []submission) ([]ledger.Verdict, error) {
 	ops := make([]ledger.Op, len(group))
 	for i, sub := range group {
--- a/io/peer/codec.go
+++ b/io/peer/codec.go
@@ -67,7 +67,8 @@
 	return nil
 }
 
-// limitedReader reads at most maxMessageBytes between resets.
+// limitedReader reads at most maxMessageBytes between resets. It has ReadByte because gob otherwise
+// adds a buffer, which would read beyond the end of a message.
 type limitedReader struct {
 	reader   *bufio.Reader
 	consumed int
--- a/io/plat/limited.go
+++ b/io/plat/limited.go
@@ -18,8 +18,8 @@
 // LimitedStoreConfig configures a LimitedStore.
 type LimitedStoreConfig struct {
 	Store Store
-	// ReadsPerSecond and Writes are the calls per second that this instance may make; a watch counts as one
-	// read when it opens.
+	// ReadsPerSecond and WritesPerSecond are the calls per second that this instance may make; a watch
+	// counts as one read when it opens.
 	ReadsPerSecond  float64
 	WritesPerSecond float64
 	// Burst is the number of reads, writes and retries that may each be made at once after a pause.
@@ -94,9 +94,9 @@
 	case c.Store == nil:
 		return nil, errors.New("limited store: Store is missing")
 	case c.ReadsPerSecond <= 0 || c.WritesPerSecond <= 0 || c.Burst < 1:
-		return nil, errors.New("limited store: Reads, Writes and Burst must be positive")
+		return nil, errors.New("limited store: ReadsPerSecond, WritesPerSecond and Burst must be positive")
 	case c.MaxQueue < 1 || c.MaxAttempts < 1 || c.Timeout <= 0:
-		return nil, errors.New("limited store: Queue, MaxAttempts and Timeout must be positive")
+		return nil, errors.New("limited store: MaxQueue, MaxAttempts and Timeout must be positive")
 	}
 	return &LimitedStore{
 		config:  c,
@@ -116,8 +116,8 @@
 	l.usage.Update(apply)
 }
 
-// admit waits in the bounded queue until the limiter lets the call pass, or returns a Throttled
-// error.
+// admit waits in the bounded queue until the limiter lets the call pass. It returns a Throttled
+// error if the queue is full or if the wait would outlast the context.
 func (l *LimitedStore) admit(ctx context.Context, limiter *rate.Limiter) error {
 	defer l.queued.Add(-1)
 	if l.queued.Add(1) > int64(l.config.MaxQueue) {
--- a/io/proxy/confidence.go
+++ b/io/proxy/confidence.go
@@ -25,9 +25,10 @@
 	return h.dispatcher.confidenceGains.Get()[modelPair{models[smaller], models[larger]}]
 }
 
-// learnConfidenceGain adds the answer's confidence to the decision. If a smaller model's answer was
-// discarded, it also records how much more confident the current model is, unless the response has
-// already started.
+// learnConfidenceGain sets the decision's confidence to the answer's. If a smaller model's answer was
+// discarded, it also records how much more confident the current model is. It skips that once the
+// response has started, since the answer then only continues an earlier one. Until an answer is
+// discarded, both steps are zero.
 func (a *attemptHandler[H]) learnConfidenceGain(answer *Answer[H]) {
 	a.decision.Confidence = answer.Confidence
 	if answer.Confidence < 0 || a.responseStarted || a.step <= a.discarded.step {
--- a/io/shell/query/config.go
+++ b/io/shell/query/config.go
@@ -43,8 +43,8 @@
 	if err != nil {
 		return err
 	}
-	e := value.Environment(c.String(flagEnvironment))
-	record, err := query.FetchConfig(ctx, client, e)
+	environment := value.Environment(c.String(flagEnvironment))
+	record, err := query.FetchConfig(ctx, client, environment)
 	if err != nil {
 		return fmt.Errorf("ask for document: %w", err)
 	}
@@ -54,7 +54,7 @@
 	}
 	current := record.Current
 	_, err = fmt.Fprintf(c.Root().Writer, "%s: revision %d, change %s by %s at %s\ndigest %s\n",
-		e, current.Revision, current.Change.ID, current.Change.Who, current.Change.At.UTC().Format(time.RFC3339), current.Change.Digest)
+		environment, current.Revision, current.Change.ID, current.Change.Who, current.Change.At.UTC().Format(time.RFC3339), current.Change.Digest)
 	return err
 }
 
