--- a/core/cmds/count_sent_updates.go
+++ b/core/cmds/count_sent_updates.go
@@ -7,12 +7,12 @@
 	"endivehitch/core/value"
 )
 
-// CountSentUpdates records that one message carried the updates on the instances.
+// CountSentUpdates records that one gossip message carried the state updates of the listed instances.
 type CountSentUpdates struct {
 	IDs []value.InstanceID
 }
 
-// Apply lowers the number of messages in which each update is still to be sent.
+// Apply subtracts one from the number of messages that are still to carry each update.
 func (c CountSentUpdates) Apply(s state.State, _ time.Time) (state.State, []state.Effect) {
 	for _, id := range c.IDs {
 		if sends, ok := s.PendingUpdates().Get(id); ok {
--- a/core/policy/estimate_test.go
+++ b/core/policy/estimate_test.go
@@ -24,7 +24,7 @@
 )
 
 // withRatings adds ratings of answers of the given quality; bad answers are sampled four times as
-// often as good ones.
+// often as good ones. Unless known is set, the ratings don't state their sampling rates.
 func withRatings(e policy.Estimate, rnd *rand.Rand, quality float64, answers int, known bool) policy.Estimate {
 	for i := range answers {
 		good := rnd.Float64() < quality
@@ -62,6 +62,8 @@
 			above++
 		}
 	}
+	// The deviation of 1.2816 stands for a one-sided confidence of 90 %, so about 10 % of the lower
+	// bounds are above the true share; the limit leaves room for chance.
 	assert.Assert(t, above < trials*14/100, "bound above the truth in %d of %d", above, trials)
 }
 
@@ -82,7 +84,7 @@
 		previous = current
 	}
 	later := e.With(policy.Rating{Good: true, At: start.Add(1000 * time.Hour)})
-	assert.Assert(t, later.Bound(start.Add(1000*time.Hour)).Lower < 0.7, "one late rating brought the prior back")
+	assert.Assert(t, later.Bound(start.Add(1000*time.Hour)).Lower < 0.7, "one late rating restored the prior")
 }
 
 func TestRatingOutOfOrderGivesTheSameEstimate(t *testing.T) {
--- a/core/query/duty.go
+++ b/core/query/duty.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// dutyCandidates is how many instances contend for a duty's lease, which bounds the calls to
-	// the key-value service.
+	// dutyCandidates is how many instances contend for a duty's lease. The limit keeps the number of
+	// calls to the key-value service independent of the fleet's size.
 	dutyCandidates = 3
 	// DutyRotation is how long the candidates stay the same. If none of them can reach the
 	// key-value service, other instances become candidates after this time.
--- a/core/query/route.go
+++ b/core/query/route.go
@@ -31,8 +31,8 @@
 	Reason     value.Reason
 }
 
-// Route picks a backend server for the target; the error is a value.Refusal, whose reason is
-// Overloaded if the servers that could take the target have no capacity at present.
+// Route picks a backend server for the target; the error is a value.Refusal. Its reason is Overloaded
+// if no server can take the target and at least one was excluded for lack of capacity.
 func Route(s state.State, t Target, loads LoadLookup, rnd policy.Rand, now time.Time) (Choice, error) {
 	if IsWithdrawn(s, t) {
 		return Choice{}, refuse(value.ReasonVersionWithdrawn, "version "+string(t.Version)+" is withdrawn")
@@ -47,8 +47,8 @@
 	if r.saturated {
 		return Choice{}, refuse(value.ReasonOverloaded, "backend servers have no room")
 	}
-	// All other servers are excluded, so ejected ones are tried too: a slow answer is better than
-	// none.
+	// No server was excluded for lack of capacity, so all were tried or are ejected. The ejected ones
+	// are allowed now, since a slow answer is better than none.
 	r.includeEjected = true
 	if b, ok = randomChoice.Pick(servers, rnd); ok {
 		return Choice{Server: b, Candidates: len(servers), Reason: value.ReasonLeastLoaded}, nil
@@ -66,13 +66,13 @@
 }
 
 // sampleSize is how many random servers are compared. Two remove most of the imbalance of a random
-// choice; with more, instances with the same view would herd on the same server.
+// choice; with more, instances that observe the same loads would often choose the same server.
 const sampleSize = 2
 
 const (
 	// estimateHalfLife is the age at which an observed time to first token counts half.
 	estimateHalfLife = 10 * time.Second
-	// reportMaxAge is the age at which a server's load report is ignored.
+	// reportMaxAge is the age from which a server's load report is ignored.
 	reportMaxAge = 2 * time.Second
 	// otherDomainFactor is the penalty on the score of servers in other failure domains. As a
 	// factor on a score that grows with load, it cannot overload the instance's own domain.
@@ -80,7 +80,8 @@
 	// minEstimate is the time to first token assumed for a server without observations; it is
 	// small, so that the server is tried soon.
 	minEstimate = time.Millisecond
-	// affinityBound is how many times the sampled server's score a server with the prefix may have.
+	// affinityBound is the highest score of a server that is chosen for its cached prefix, as a
+	// multiple of the sampled server's score.
 	affinityBound = 2.0
 	// affinityTries is how many servers are considered as those that have the prefix cached.
 	affinityTries = 3
--- a/core/relay/request.go
+++ b/core/relay/request.go
@@ -12,11 +12,11 @@
 
 // Request is one request of a caller.
 type Request struct {
-	// ID is the caller's own identifier of this attempt.
+	// ID is the identifier that the caller gave this request; it is the same in all attempts at servers.
 	ID     string
 	Method string
 	Host   string
-	// Path is the path alone, which selects the route.
+	// Path is the URL's path, without the query; it and Host select the route.
 	Path string
 	// Key is the caller's API key, or empty.
 	Key string
@@ -50,8 +50,8 @@
 	return q.Arrived.Add(timeout)
 }
 
-// Shared returns the last part of the prompt that other requests may share: the last but one. It
-// reports false when there is none.
+// Shared returns the second to last part of the prompt, with which the prefix that other requests may
+// share ends. It reports false when the prompt has fewer than two parts.
 func (q Request) Shared() (Part, bool) {
 	if len(q.Prompt) < 2 {
 		return Part{}, false
--- a/io/bills/harness_test.go
+++ b/io/bills/harness_test.go
@@ -29,7 +29,7 @@
 	mesh  fakes.Mesh
 	mu    sync.Mutex
 	fleet []value.Instance
-	// departed holds the instances that the others take to have departed.
+	// departed holds the instances that the others consider departed.
 	departed map[value.InstanceID]bool
 	// adjust changes the configuration of the billers that are created after it is set.
 	adjust func(*bills.Config)
@@ -52,6 +52,7 @@
 	stop func()
 }
 
+// biller starts the instance and its Biller, which run until stop is called or the test ends.
 func (h *billsHarness) biller(id value.InstanceID) biller {
 	h.t.Helper()
 	self := value.Instance{ID: id, PeerAddress: string(id), FailureDomain: value.FailureDomain(id), State: value.InstanceLive}
--- a/io/conf/rules.go
+++ b/io/conf/rules.go
@@ -17,8 +17,9 @@
 type rules struct {
 	required bool
 	format   string
-	low      string
-	high     string
+	// low and high are the ends of the range, written as in the tag.
+	low  string
+	high string
 }
 
 var (
@@ -32,7 +33,7 @@
 	return rules{required: f.Tag.Get("need") == "true", format: f.Tag.Get("form"), low: low, high: high}
 }
 
-// The check methods and functions return what is wrong with a value, or nothing.
+// The check methods and functions return what is wrong with a value, or an empty string.
 
 func (r rules) checkText(s string) string {
 	if s == "" && r.format != "" {
--- a/io/conf/wire.go
+++ b/io/conf/wire.go
@@ -3,8 +3,8 @@
 import "time"
 
 // The wire types are the document's format. The tag "need" marks a required field, "form" names the
-// format of its text, and "range" is its minimum and maximum; the range of a list bounds its
-// length. rulesOf reads the tags.
+// format of its text or of each text in its list, and "range" is its minimum and maximum, or those of
+// a list's length. rulesOf reads the tags.
 
 type wireDocument struct {
 	Name           string        `need:"true" form:"name"`
--- a/io/event/split.go
+++ b/io/event/split.go
@@ -23,7 +23,8 @@
 }
 
 // Feed adds a chunk and returns the events that are now complete, each with the blank line that ends it.
-// The result is valid until the next call.
+// The result may share the chunk's memory, so it is valid only until the caller changes the chunk. With
+// ErrTooLong, no event is returned and the chunk is dropped.
 func (s *Splitter) Feed(chunk []byte) ([]byte, error) {
 	data := chunk
 	if len(s.partial) > 0 {
@@ -51,7 +52,7 @@
 	return s.lastEventID
 }
 
-// endOfLastEvent returns the position after the last blank line.
+// endOfLastEvent returns the position after the last blank line, or 0 if there is none.
 func endOfLastEvent(data []byte) int {
 	end := 0
 	if i := bytes.LastIndex(data, []byte("\n\n")); i >= 0 {
@@ -71,6 +72,7 @@
 	case i >= 0:
 		events = events[i+len(field):]
 	case bytes.HasPrefix(events, field[1:]):
+		// No newline precedes the field if it is on the first line.
 		events = events[len(field)-1:]
 	default:
 		return "", false
--- a/io/faults/cell.go
+++ b/io/faults/cell.go
@@ -71,7 +71,7 @@
 	}
 	_ = clock.Wait(ctx, 2*time.Second)
 	// The first document is applied without faults, also in cells whose faults begin at a change of
-	// the document.
+	// the document: while triggered is set, no step begins them.
 	fleet.triggered.Store(cell.Step == StepApply || cell.Step == StepDisseminate)
 	fleet.applyDocument(firstDocument)
 	_ = clock.Wait(ctx, time.Second)
@@ -176,6 +176,7 @@
 	}
 }
 
+// sendCommand gives the command to a live instance without waiting for it, and reaches the step there.
 func (f *Fleet) sendCommand(s Step, c command) {
 	n := f.liveInstance(1)
 	if n == nil {
--- a/io/faults/fleet.go
+++ b/io/faults/fleet.go
@@ -37,7 +37,7 @@
 	mesh           fakes.Mesh
 	instanceList   *instanceList
 	lastToken      atomic.Int64
-	// triggered is set once the cell's faults have begun.
+	// triggered is set once the cell's faults have begun, and earlier while they must not begin.
 	triggered    atomic.Bool
 	observations policy.Cell[Observations]
 	behaviours   policy.Cell[policy.Table[string, Behaviour]]
@@ -83,8 +83,8 @@
 	return append([]*instance(nil), f.instances...)
 }
 
-// liveInstance returns the first instance, from the given index on, that has neither been killed nor
-// left, or nil.
+// liveInstance returns the first instance that has neither been killed nor left, or nil if there is
+// none. The search starts at the given index and wraps around.
 func (f *Fleet) liveInstance(first int) *instance {
 	all := f.allInstances()
 	for i := range all {
@@ -261,6 +261,7 @@
 	now := time.Now()
 	if entry.Key == conf.DocumentKey(environment) {
 		f.record(func(o Observations) Observations {
+			// The text of a scenario's document is unique, so it serves as the change identifier.
 			return o.WithAccepted(Event[value.ChangeID]{Subject: value.ChangeID(entry.Value), Revision: entry.Revision, At: now})
 		})
 	}
--- a/io/feeds/peers.go
+++ b/io/feeds/peers.go
@@ -59,7 +59,7 @@
 }
 
 // maxChangesPerAnswer bounds how many changes an instance sends in an answer that was not asked for in bulk.
-// All followers of a reader share its network link, while the store's has more bandwidth.
+// All instances that follow this one share its network link, while the store's has more bandwidth.
 const maxChangesPerAnswer = 128
 
 // LimitFeed returns the feed, or an empty one marked TooMuch when the requesting instance should read
--- a/io/front/problem.go
+++ b/io/front/problem.go
@@ -20,7 +20,8 @@
 	Status int    `json:"status"`
 	Detail string `json:"detail,omitempty"`
 	Reason string `json:"Reason"`
-	NotRun bool   `json:"NotRun"`
+	// NotRun is true only if the request was sent to no backend server, so that a retry cannot run it twice.
+	NotRun bool `json:"NotRun"`
 	// Request is the request identifier, which the explain command takes.
 	Request string `json:"Request"`
 }
--- a/io/proxy/handler.go
+++ b/io/proxy/handler.go
@@ -35,7 +35,8 @@
 	responseStarted bool
 	// lastEventID is the ID of the last event that was written to the caller.
 	lastEventID string
-	// isRetryCharged is set when the next attempt has already been charged to the retry budget.
+	// isRetryCharged is set when the watchdog cancelled the last attempt, and so has already charged the
+	// next one to the retry budget.
 	isRetryCharged bool
 	// decision holds the inputs of the current attempt, for the records about it.
 	decision Decision
@@ -56,8 +57,8 @@
 	}
 }
 
-// requestHash returns a number that is evenly distributed over requests and the same for each attempt
-// of one.
+// requestHash returns a hash of the request's ID: evenly distributed over requests, and the same for all
+// attempts of one request.
 func (h *requestHandler[H]) requestHash() uint64 {
 	return xxhash.Sum64String(h.job.Request.ID)
 }
@@ -90,7 +91,8 @@
 	return ending, done, err
 }
 
-// selectServer selects a server for the next attempt, and assigns the request's session to its release.
+// selectServer selects a server for the next attempt, and assigns the request's session to the server's
+// release.
 func (h *requestHandler[H]) selectServer(state relay.State, now time.Time) (query.Choice, bool) {
 	request := h.job.Request
 	lastRelease := h.dispatcher.sessions.release(h.service, request.Session, now)
@@ -146,6 +148,7 @@
 	}
 	left := h.timeLeft(ctx)
 	if ending == query.EndedDiscarded {
+		// The next attempt asks a larger model, which the budget has already allowed.
 		return nil
 	}
 	if !query.MayRetry(h.admitted.Route, ending, h.attempts, left) {
--- a/io/proxy/load.go
+++ b/io/proxy/load.go
@@ -37,7 +37,9 @@
 // loadTracker updates a server's load with the progress of one attempt. The first byte and the end are
 // counted once, however often they are recorded.
 type loadTracker struct {
-	cell         *policy.Cell[relay.Load]
+	cell *policy.Cell[relay.Load]
+	// expectedWork is the attempt's expected time to first byte, which is part of the server's load until
+	// the first byte arrives.
 	expectedWork time.Duration
 	started      time.Time
 	// firstByteTime is the time from the start to the first byte.
