--- a/io/fakes/mesh.go
+++ b/io/fakes/mesh.go
@@ -21,11 +21,11 @@
 	Delay time.Duration
 	// Unsent makes a call fail before anything is sent, and drops a reply.
 	Unsent bool
-	// LoseRequest drops the message, LoseReply the reply to it, so that the caller waits until its
-	// context ends.
+	// LoseRequest drops the message itself, LoseReply the reply to it; either way the caller waits
+	// until its context ends.
 	LoseRequest bool
 	LoseReply   bool
-	// Duplicate delivers the request twice.
+	// Duplicate delivers the request twice; the caller gets the second reply.
 	Duplicate bool
 }
 
@@ -56,8 +56,8 @@
 // frameOverhead is the estimated size of one message's net/rpc, TLS and TCP headers in bytes.
 const frameOverhead = 120
 
-// SetDelivery makes the function, which must be pure, choose the delivery of each message from now
-// on.
+// SetDelivery makes the function choose the delivery of each message from now on. It must be pure,
+// since calls run concurrently.
 func (m *Mesh) SetDelivery(choose func(from, to value.Instance) Delivery) {
 	m.chooseDelivery.Update(func(func(from, to value.Instance) Delivery) func(from, to value.Instance) Delivery { return choose })
 }
@@ -130,7 +130,7 @@
 	target, ok := p.mesh.ports.Load(to.PeerAddress)
 	delivery := p.mesh.deliveryOf(p.self, to)
 	if !ok || delivery.Unsent {
-		return fmt.Errorf("no instance at %s: %w", to.PeerAddress, peer.ErrUnreachable)
+		return fmt.Errorf("call to %s: %w", to.PeerAddress, peer.ErrUnreachable)
 	}
 	p.countSent(method, args)
 	answered := make(chan meshReply, 2)
@@ -172,7 +172,7 @@
 	lastDot := strings.LastIndex(method, ".")
 	receiver, ok := p.methods.Load(method[:lastDot])
 	if !ok {
-		r.err = errors.New("no such method: " + method)
+		r.err = errors.New("call of unregistered method: " + method)
 		return r
 	}
 	out := reflect.ValueOf(receiver).MethodByName(method[lastDot+1:]).Call([]reflect.Value{reflect.ValueOf(args), r.reply})
@@ -226,6 +226,7 @@
 	if !ok {
 		encoder = gob.NewEncoder(m)
 		m.encoders[key] = encoder
+		// The first encoding includes the type descriptions, which are not to be counted.
 		_ = encoder.Encode(body)
 	}
 	before := m.bytes
--- a/io/shell/query/explain_log.go
+++ b/io/shell/query/explain_log.go
@@ -36,7 +36,7 @@
 		}
 		found++
 		if _, err := fmt.Fprintln(w, text); err != nil {
-			return fmt.Errorf("print decision: %w", err)
+			return fmt.Errorf("print log line: %w", err)
 		}
 	}
 	if err := scanner.Err(); err != nil {
