--- a/core/query/plan.go
+++ b/core/query/plan.go
@@ -11,8 +11,9 @@
 // Plan holds the versions to try, in order, and the reason for the choice.
 type Plan struct {
 	// Versions has one entry, or two for a cascade; it must not be changed.
-	Versions   []value.VersionKey
-	Reason     value.Reason
+	Versions []value.VersionKey
+	Reason   value.Reason
+	// Candidates counts the versions that were considered.
 	Candidates int
 	// CostMicros is the expected cost in micro-units of currency.
 	CostMicros int64
@@ -26,7 +27,7 @@
 	return len(p.Versions) > 1
 }
 
-// Last returns the version that answers if no verdict of the judge can be had.
+// Last returns the version that answers if the judge gives no verdict.
 func (p Plan) Last() value.VersionKey {
 	return p.Versions[len(p.Versions)-1]
 }
@@ -35,7 +36,8 @@
 // quality meets the kind's target; the error is a value.Refusal.
 //
 // If no version is known to meet the target, it returns the one with the best lower bound. A
-// session that is pinned to an allowed version stays on it.
+// session that is pinned to an allowed version stays on it. For other requests, exploration or the
+// stage of a roll-out may replace the choice.
 func ChoosePlan(s state.State, a Admitted, r value.Request, now time.Time) (Plan, error) {
 	c := chooser{state: &s, kind: a.Kind, request: r, now: now}
 	c.set, _ = s.Candidates(a.Kind.Name)
@@ -82,6 +84,7 @@
 	return c.singleVersion(i, value.ReasonPinned), true
 }
 
+// choose returns the plan of a request that stays on no pinned version.
 func (c *chooser) choose() (Plan, bool) {
 	p, ok := c.cheapest()
 	if !ok {
@@ -105,8 +108,8 @@
 	found := -1
 	var lowest int64
 	for i := range c.set.Candidates {
-		// The candidates are sorted by their reference cost, so that the more expensive checks are
-		// rarely reached.
+		// The candidates are sorted by their reference cost. Most after the first match cost more, so
+		// the bound and the eligibility, which take longer to compute, are rarely needed.
 		if cost := c.cost(i); found < 0 || cost < lowest {
 			if c.lowerBound(i) >= c.kind.QualityTarget && c.eligible(i) {
 				found, lowest = i, cost
@@ -148,8 +151,8 @@
 	return i < len(c.allowedCandidates) && c.allowedCandidates[i]
 }
 
-// eligible reports whether the version may be chosen for its own estimate: it can take the request,
-// and no roll-out holds it back or has replaced it.
+// eligible reports whether the version may be chosen by its own estimate, not only through a roll-out:
+// it can take the request, and no roll-out holds it back or has replaced it.
 func (c *chooser) eligible(i int) bool {
 	candidate := &c.set.Candidates[i]
 	if candidate.RollOutOnly || !c.canTake(i) {
--- a/core/relay/query/escalation.go
+++ b/core/relay/query/escalation.go
@@ -24,11 +24,10 @@
 const (
 	// goodConfidence is the confidence from which an answer is expected to be good.
 	goodConfidence = 52
-	// escalateBelow is the confidence below which an answer is dropped for that of a larger model,
-	// other than the largest, that is expected to reach goodConfidence. escalateToLargestBelow is the
-	// same for the largest model, which is asked when none of the others is expected to; it is lower,
-	// because the largest model costs its servers many times what the others do. The throttle scales
-	// both.
+	// escalateBelow is the confidence below which an answer is dropped if a larger model, other than
+	// the largest, is expected to reach goodConfidence. If none is, only the largest model is left, and
+	// the answer is dropped below escalateToLargestBelow. That limit is lower, because the largest
+	// model costs its servers many times what the others do. The throttle scales both limits.
 	escalateBelow          = 56
 	escalateToLargestBelow = 40
 )
@@ -50,8 +49,9 @@
 
 // StepUp returns the position of the larger model to escalate to, and whether the answer is dropped
 // for that model's. The model is the smallest that is expected to reach goodConfidence, or else the
-// largest. An answer is dropped only if it reports its confidence and there are a larger model, a
-// further attempt and enough time.
+// largest. An answer is dropped only if it reports its confidence, there is a larger model, the route
+// allows another attempt, and at least half of the route's latency objective is left until the
+// deadline.
 func StepUp(route relay.Route, answer ObservedAnswer, gains GainLookup) (int, bool) {
 	if answer.Step >= len(route.Models)-1 || answer.Confidence < 0 || answer.Attempts.Run >= route.Attempts {
 		return 0, false
--- a/core/state/rollout.go
+++ b/core/state/rollout.go
@@ -30,7 +30,7 @@
 	return value.RollOut{}, false
 }
 
-// Position returns the known position of the roll-out, or the planned one if none is known.
+// Position returns the known position of the roll-out, or one in PhasePlanned if none is known.
 func (s State) Position(r value.RollOut) value.Progress {
 	p, ok := s.rollOuts.Get(r.Name)
 	if !ok {
@@ -56,9 +56,9 @@
 	return list
 }
 
-// rollOutOnlyVersions returns the new versions of all roll-outs that are not done, also of those that a
-// later document dropped before they were done. A version is exempt if the old version of its staged
-// roll-out is withdrawn.
+// rollOutOnlyVersions returns the versions that receive new sessions only through their roll-outs: the
+// new versions of all roll-outs that are not done, also of roll-outs that a later document dropped. It
+// omits the new version of a staged roll-out whose old version is withdrawn.
 func (s State) rollOutOnlyVersions() map[value.VersionKey]bool {
 	versions := make(map[value.VersionKey]bool)
 	add := func(p value.Progress) {
@@ -75,8 +75,9 @@
 	return versions
 }
 
-// isOldVersionWithdrawn reports whether the old version of a staged roll-out is withdrawn, so that the
-// new version is chosen by its own estimate.
+// isOldVersionWithdrawn reports whether the roll-out is staged and its old version is withdrawn. The old
+// version is then never chosen, so it has no share of sessions to pass on to the new one, which is
+// chosen by its own estimate instead.
 func (s State) isOldVersionWithdrawn(p value.Progress) bool {
 	r, ok := s.RollOut(p.Name)
 	return ok && p.Phase == value.PhaseStaged && s.IsWithdrawn(r.FromKey())
--- a/core/value/bill.go
+++ b/core/value/bill.go
@@ -8,10 +8,11 @@
 	Account AccountName
 	Kind    KindName
 	Version VersionKey
-	// InputTokens and OutputTokens are what the engine reported.
+	// InputTokens and OutputTokens are what the engine reported for the answer that the caller got.
 	InputTokens  int
 	OutputTokens int
-	// CostMicros is the charge in micro-units of currency.
+	// CostMicros is the charge in micro-units of currency; it includes rejected answers of a cascade
+	// and the judge's verdicts.
 	CostMicros int64
 	// Runs counts the attempts that the request took, including cascade steps, retries and hedges.
 	Runs int
