--- a/io/fakes/etcd.go
+++ b/io/fakes/etcd.go
@@ -93,12 +93,14 @@
 	}
 }
 
+// writeError answers with the HTTP status and, in the body, the gRPC status code.
 func writeError(w http.ResponseWriter, status, code int, err error) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(etcdError{Error: err.Error(), Code: code, Message: err.Error()})
 }
 
+// list returns the entry with the key, or with a range end the entries whose keys have it as prefix.
 func (g Etcd) list(r *http.Request, query etcdRange) (etcdListing, error) {
 	if len(query.RangeEnd) == 0 {
 		e, err := g.Store.Get(r.Context(), string(query.Key))
--- a/io/flow/attempt.go
+++ b/io/flow/attempt.go
@@ -59,7 +59,8 @@
 const maxRacingAttempts = 2
 
 // runRace starts an attempt, and a hedged one if the first piece is late. It returns the attempt
-// that gets an answer first, and cancels the other.
+// that gets an answer first, and cancels the other. It fails once no attempt is left, or at the first
+// failure that the request itself caused.
 func (e *execution) runRace(ctx context.Context, target query.Target, slot *serverSlot) (*attempt, error) {
 	race := &attemptRace{execution: e, target: target, done: make(chan *attempt, maxRacingAttempts)}
 	if err := e.lifecycle.apply(ctx, eventDispatch); err != nil {
@@ -182,8 +183,8 @@
 	return t.C, func() { t.Stop() }
 }
 
-// startHedge starts a hedged attempt if no request waits, a server has capacity now, and the budget
-// allows it.
+// startHedge starts a hedged attempt if a server has capacity now and the budget allows it. Waiting
+// requests come first, so there is no hedged attempt while any request waits for capacity.
 func (r *attemptRace) startHedge(ctx context.Context) {
 	e := r.execution
 	target := r.target
--- a/io/plat/embed.go
+++ b/io/plat/embed.go
@@ -65,7 +65,8 @@
 	return listing, nil
 }
 
-// Swap replaces the entry and returns its new revision.
+// Swap replaces the entry if its revision is the expected one, and returns its new revision. It
+// stores a copy of the value.
 func (e *Embedded) Swap(ctx context.Context, s Swap) (int64, error) {
 	if len(s.Value) > ValueLimit {
 		return 0, fmt.Errorf("swap %s: %w", s.Key, TooLarge{Key: s.Key, Bytes: len(s.Value)})
@@ -115,7 +116,7 @@
 	return id, nil
 }
 
-// KeepAlive renews the lease and returns its remaining time.
+// KeepAlive renews the lease for its original length, and returns that length.
 func (e *Embedded) KeepAlive(ctx context.Context, id LeaseID) (time.Duration, error) {
 	var ttl time.Duration
 	err := e.update(ctx, func(current snapshot) (snapshot, error) {
@@ -155,7 +156,8 @@
 	e.publish(current, current.withoutHistory(revision))
 }
 
-// expire ends the lease, or checks again at its new end if it was renewed.
+// expire runs when a lease was due to end: it ends the lease, or runs again at the new end if the
+// lease was renewed.
 func (e *Embedded) expire(id LeaseID) {
 	e.writeMutex.Lock()
 	defer e.writeMutex.Unlock()
--- a/io/plat/writes.go
+++ b/io/plat/writes.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// Swap replaces the entry. If the answer is lost, it reads the entry back, and unless that shows
-// the new value it sends the swap again with the same expected revision, so that at most one of the
-// two takes effect.
+// Swap replaces the entry if its revision is the expected one. If the answer is lost, it reads the
+// entry back. Unless that shows the new value, it sends the swap again with the same expected
+// revision, so that at most one of the two takes effect.
 //
 // An error that wraps both ErrUnknown and Conflict means that the change may have taken effect
 // before another writer replaced it.
@@ -95,7 +95,8 @@
 	return writeOnce(ctx, l, func(ctx context.Context) (time.Duration, error) { return l.config.Store.KeepAlive(ctx, id) })
 }
 
-// Revoke ends the lease and deletes its entries; it is retried if its answer is lost.
+// Revoke ends the lease and deletes its entries. If the answer is lost, it revokes again; a lease that
+// is then missing counts as revoked.
 func (l *LimitedStore) Revoke(ctx context.Context, id LeaseID) error {
 	revoke := func(ctx context.Context) (struct{}, error) { return struct{}{}, l.config.Store.Revoke(ctx, id) }
 	_, err := writeOnce(ctx, l, revoke)
--- a/io/shell/start/demo.go
+++ b/io/shell/start/demo.go
@@ -104,8 +104,8 @@
 	return f.audit(context.WithoutCancel(ctx))
 }
 
-// audit prints how many requests were answered, and how many the bills in the key-value service
-// charge for.
+// audit prints how many requests were answered, and for how many of them the key-value service has a
+// bill.
 func (f *demoFleet) audit(ctx context.Context) error {
 	segments, err := bills.ReadSegments(ctx, f.store)
 	if err != nil {
@@ -156,9 +156,9 @@
 func (f *demoFleet) setInstanceLists() {
 	list := plat.StaticList{ListedServers: f.settings.Servers}
 	for _, inst := range f.instances {
-		i := inst.node.Self
-		i.PeerAddress = inst.node.Peers.Listener.Addr().String()
-		list.ListedInstances = append(list.ListedInstances, i)
+		self := inst.node.Self
+		self.PeerAddress = inst.node.Peers.Listener.Addr().String()
+		list.ListedInstances = append(list.ListedInstances, self)
 	}
 	for i := range f.instances {
 		f.instances[i].node.List = list
@@ -166,6 +166,7 @@
 }
 
 func (f *demoFleet) newInstance(i int) (instance, error) {
+	// The listeners for callers, operators and peers.
 	var listeners [3]net.Listener
 	for k := range listeners {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/io/shell/start/demo_requests.go
+++ b/io/shell/start/demo_requests.go
@@ -91,7 +91,8 @@
 	return value.RequestID(resp.Header.Get("X-Request-Id")), nil
 }
 
-// explain asks the instance after the one that served the request for the explanation.
+// explain prints the explanation of the request. It asks another instance than the one that served the
+// request, since any instance can explain it.
 func (f *demoFleet) explain(ctx context.Context, index int, id value.RequestID) error {
 	next := (index + 1) % len(f.instances)
 	if err := f.printHeading("explain %s, asked at %s", id, f.instances[next].node.Self.ID); err != nil {
