--- a/io/admin/admin_test.go
+++ b/io/admin/admin_test.go
@@ -203,7 +203,7 @@
 	req.Header.Set("Authorization", "Bearer key")
 	resp, err := c.HTTP.Do(req)
 	if err != nil {
-		// The server may close the connection before the complete body is sent.
+		// The server may close the connection while the client still sends the body.
 		return
 	}
 	defer resp.Body.Close()
--- a/io/flow/deployment_test.go
+++ b/io/flow/deployment_test.go
@@ -110,8 +110,9 @@
 	}
 }
 
-// newBaseline returns a function that serves with nothing but the given choice of a server at each
-// instance.
+// newBaseline returns a function that serves without a flow, to compare flows with: it sends each job
+// straight to the server that choose returns. Choose gets the requests in flight from this instance
+// at each server, and a turn that grows by one with each job.
 func (d deployment) newBaseline(sim *simulation, choose func(inFlight []int, turn int) int) serveFunc {
 	var mu sync.Mutex
 	inFlight, turns := make([][]int, d.instances), make([]int, d.instances)
@@ -161,7 +162,7 @@
 	return best
 }
 
-// withFIFO limits the concurrent requests of each instance to its part of all slots; the others
+// withFIFO limits the concurrent requests of each instance to its share of all slots; further ones
 // wait in order of arrival.
 func (d deployment) withFIFO(inner serveFunc) serveFunc {
 	permits := make([]chan struct{}, d.instances)
@@ -192,13 +193,16 @@
 
 // requestStream describes requests with exponentially distributed gaps.
 type requestStream struct {
+	// from and until bound the time of sending, counted from the start of the simulation.
 	from, until time.Duration
 	perSecond   float64
 	kind        value.KindName
 	account     value.AccountName
-	work        time.Duration
-	timeout     time.Duration
-	prefixes    int
+	// work is the mean time that a server without slowdown takes for a request.
+	work    time.Duration
+	timeout time.Duration
+	// prefixes is the number of distinct prompt prefixes; zero means that requests have none.
+	prefixes int
 }
 
 // simulate sends the requests of all streams to random instances and returns their results.
@@ -231,6 +235,8 @@
 	return results
 }
 
+// newJob returns a job whose call tells the simulation the request's work in its body, and the prefix
+// in its path.
 func (s requestStream) newJob(id string, rnd *rand.Rand) flow.Job {
 	work := time.Duration(float64(s.work) * (0.5 + rnd.Float64()))
 	r := value.Request{
--- a/io/gossip/wire_test.go
+++ b/io/gossip/wire_test.go
@@ -18,8 +18,8 @@
 	"endivehitch/io/peer"
 )
 
-// TestMessagesSurviveNetRPCEncoding guards against messages that lose data in their encoding, which
-// the in-memory transport of the other tests does not use.
+// TestMessagesSurviveNetRPCEncoding guards against messages that lose data when net/rpc encodes them.
+// The other tests use an in-memory transport, which encodes nothing.
 func TestMessagesSurviveNetRPCEncoding(t *testing.T) {
 	store := newFakePlatform()
 	ctx, cancel := context.WithCancel(t.Context())
--- a/io/stats/pages_test.go
+++ b/io/stats/pages_test.go
@@ -135,9 +135,8 @@
 	return literals(c.Args[0])
 }
 
-// eventNames returns the names that the event of a RecordDecision can have, which its first field
-// holds: a literal, a prefix with each state, the literals that callers pass to the enclosing
-// function, or those that the called function returns.
+// eventNames returns the event names that a RecordDecision literal can have, and nothing for other
+// literals. The event is the first field of the literal; its expression may take four forms.
 func (s messageScan) eventNames(in ast.Decl, c *ast.CompositeLit) []string {
 	if sel, ok := c.Type.(*ast.SelectorExpr); !ok || sel.Sel.Name != "RecordDecision" {
 		return nil
@@ -147,16 +146,19 @@
 	case *ast.BasicLit:
 		found = literals(event)
 	case *ast.BinaryExpr:
+		// A prefix and a state: every constant of the type that is named after the prefix.
 		prefix := literals(event.X)[0]
 		for _, st := range constants(s.values, prefix+"State") {
 			found = append(found, prefix+st)
 		}
 	case *ast.Ident:
+		// A parameter of the enclosing function: the literals that its callers pass.
 		found = s.literalsWithin(func(n ast.Node) bool {
 			call, ok := n.(*ast.CallExpr)
 			return ok && strings.HasSuffix(selectedName(call.Fun), in.(*ast.FuncDecl).Name.Name)
 		})
 	case *ast.CallExpr:
+		// The result of a function: the literals in that function.
 		found = s.literalsWithin(func(n ast.Node) bool {
 			f, ok := n.(*ast.FuncDecl)
 			return ok && f.Name.Name == selectedName(event.Fun)
