--- a/core/cmds/rating.go
+++ b/core/cmds/rating.go
@@ -13,7 +13,8 @@
 	Ratings []value.Rating
 }
 
-// Apply withdraws a version if its ratings break the quality limit of its roll-out.
+// Apply adds the ratings, withdraws a version if its ratings break the quality limit of its roll-out,
+// and recomputes the candidate versions of each rated kind.
 func (c ObserveRatings) Apply(s state.State, now time.Time) (state.State, []state.Effect) {
 	var effects []state.Effect
 	var kinds []value.KindName
--- a/core/cmds/servers.go
+++ b/core/cmds/servers.go
@@ -33,6 +33,7 @@
 	}
 	var removed []value.ServerID
 	if known == s.Servers().Len() {
+		// Every known server is listed, so there are none to remove.
 		return s.WithServers(changed, nil), effects
 	}
 	for _, id := range s.Servers().Keys() {
--- a/core/policy/table.go
+++ b/core/policy/table.go
@@ -67,8 +67,8 @@
 	return next
 }
 
-// Edit returns a table without the given keys and with the entries of the map, which win where a key
-// is in both; it copies each shard at most once.
+// Edit returns a table without the given keys and with the entries of the map; for a key in both,
+// the map takes precedence. It copies each shard at most once.
 func (t Table[K, V]) Edit(entries map[K]V, without []K) Table[K, V] {
 	if len(entries) == 0 && len(without) == 0 {
 		return t
--- a/core/query/eject.go
+++ b/core/query/eject.go
@@ -14,7 +14,7 @@
 const (
 	// failuresToEject is the number of consecutive failures after which a server is ejected.
 	failuresToEject = 5
-	// slowFactor is how many times the peers' median time to first token counts as slow.
+	// slowFactor is the multiple of the peers' median time to first token above which a server is slow.
 	slowFactor = 3.0
 	// minSamplesToEject is the sample weight needed before a server's first ejection for slowness.
 	minSamplesToEject = 3
--- a/core/relay/query/server.go
+++ b/core/relay/query/server.go
@@ -45,8 +45,8 @@
 	affinityServers = 2
 	rankedServers   = 5
 	// sampledServers is how many random draws are compared besides, and maxDraws how many draws are
-	// made for them. A draw that hits an ejected server is discarded; one that hits a server that is
-	// compared already counts.
+	// made for them. A draw of an ejected server is discarded. A draw of a server that is already
+	// chosen is not repeated, so fewer servers may be compared.
 	sampledServers = 3
 	maxDraws       = 8
 	// msPerRequest is the expected delay in milliseconds that each running request adds at an
@@ -198,7 +198,8 @@
 }
 
 // timeToFirstEvent returns the score of an engine: the expected time until the first event, in
-// milliseconds. The second server with affinity is assumed to hold the shared part half the time.
+// milliseconds. The second server with affinity is assumed to hold the shared part half the time. A
+// millisecond is added, so that the slowdown also raises the score of an idle server.
 func (s *selector) timeToFirstEvent(server relay.Server, load relay.Load) float64 {
 	wait := msPerRequest*s.occupancy(server, load)*float64(max(1, server.Slots)) + milliseconds(load.Work)
 	if s.criteria.Shared != "" {
--- a/core/relay/server.go
+++ b/core/relay/server.go
@@ -54,7 +54,8 @@
 	Revision int64
 }
 
-// Duty records which instance runs a service's roll-out: a singleton task of a lease's holder.
+// Duty records which instance runs a service's roll-out; a duty is a singleton task that the holder of
+// a lease runs.
 type Duty struct {
 	Service ServiceName
 	Holder  MemberName
--- a/core/value/kind.go
+++ b/core/value/kind.go
@@ -41,7 +41,7 @@
 	QualityTarget float64
 	Priority      Priority
 	// Idempotent requests may be executed more than once: retried after dispatch, hedged or answered by
-	// a cascade. Only their answers may be shared.
+	// a cascade. Only answers to idempotent requests may be shared.
 	Idempotent bool
 	// Deadline is the time limit of a request whose caller states none.
 	Deadline time.Duration
--- a/io/bills/replicate.go
+++ b/io/bills/replicate.go
@@ -29,7 +29,7 @@
 	Have int64
 }
 
-var errHeldTailFull = errors.New("holder's copy of the tail has reached its maximum number of entries")
+var errHeldTailFull = errors.New("holder's copy of the tail would exceed its maximum number of entries")
 
 // nthHighest returns the nth highest number, or zero if there are fewer than n; it sorts the list.
 func nthHighest(list []int64, n int) int64 {
@@ -71,7 +71,7 @@
 	return len(b.holders)
 }
 
-// sendTail sends entries to the holder until it has the whole tail or a call fails. Entries that
+// sendTail sends entries to the holder until it has the complete tail or a call fails. Entries that
 // are appended during a call are sent by the next one.
 //
 // After a failed call, or one after which the holder has no more entries than before, it starts an
--- a/io/engine/order.go
+++ b/io/engine/order.go
@@ -43,7 +43,7 @@
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, b.Address+path, bytes.NewReader(body))
 	if err != nil {
-		return fmt.Errorf("address %s: %w", b.Address, err)
+		return fmt.Errorf("create order request for address %s: %w", b.Address, err)
 	}
 	req.Header.Set("Content-Type", jsonType)
 	req.Header.Set(headerFencingToken, strconv.FormatInt(o.FencingToken, 10))
--- a/io/fakes/store.go
+++ b/io/fakes/store.go
@@ -14,7 +14,7 @@
 	"endivehitch/io/plat"
 )
 
-// Store is a key-value store with switchable faults over another store.
+// Store wraps a key-value store and injects the faults that SetFaults sets.
 type Store struct {
 	backing plat.Store
 	state   policy.Cell[faultState]
@@ -238,7 +238,7 @@
 	}
 }
 
-// takeLostAnswer reports whether the answer must be lost, and counts it off if so.
+// takeLostAnswer reports whether the answer must be lost, and if so decrements LostAnswers.
 func (s *Store) takeLostAnswer() bool {
 	return s.state.TryUpdate(func(now faultState) (faultState, bool) {
 		if now.faults.LostAnswers == 0 {
--- a/io/faults/results.go
+++ b/io/faults/results.go
@@ -101,7 +101,8 @@
 	return n
 }
 
-// Print writes a table with a row for each step; Run counts the cells that were run.
+// Print writes a table with a row for each step; its column Run counts the cells that were run, which
+// excludes those that are not applicable.
 func (c StateCounts) Print(w io.Writer, title string) error {
 	states := []State{StateHeld, StateViolated, StateNotReached, StateNotApplicable}
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
--- a/io/flow/cascade.go
+++ b/io/flow/cascade.go
@@ -31,7 +31,7 @@
 	errJudgeFailed = errors.New("judge failed")
 )
 
-// judgeTimeoutFactor times its expected latency is the time that a judge may take.
+// judgeTimeoutFactor is the judge's timeout as a multiple of its expected latency.
 const judgeTimeoutFactor = 4
 
 // cascade is the state of an execution that tries a cheaper version first and holds its answer back
--- a/io/gossip/disseminator.go
+++ b/io/gossip/disseminator.go
@@ -50,7 +50,8 @@
 // from the key-value service or pulls from other instances, and serves them to others.
 type disseminator struct {
 	Config
-	rnd          *lockedRand
+	rnd *lockedRand
+	// listRead is closed after the first attempt to read the instance list.
 	listRead     <-chan struct{}
 	current      policy.Cell[entrySet]
 	pullRequests chan state.FetchConfig
--- a/io/gossip/reader.go
+++ b/io/gossip/reader.go
@@ -19,8 +19,8 @@
 // watchWhileReader watches the key-value service while the instance is one of its failure domain's
 // readers.
 func (d *disseminator) watchWhileReader(ctx context.Context) error {
-	// An instance that knows of no others yet counts as a reader, so the first read of the instance
-	// list comes before.
+	// An instance that knows of no others counts as a reader, so it first waits for the first attempt
+	// to read the instance list.
 	select {
 	case <-d.listRead:
 	case <-ctx.Done():
--- a/io/node/decode.go
+++ b/io/node/decode.go
@@ -17,7 +17,7 @@
 		c, err := conf.Decode(env, changed...)
 		install := cmds.InstallRevision{Accepted: c.Accepted, RollOuts: c.RollOuts, Withdrawals: c.Withdrawals}
 		if err != nil {
-			return install, fmt.Errorf("read configuration: %w", err)
+			return install, fmt.Errorf("decode configuration: %w", err)
 		}
 		return install, nil
 	}
--- a/io/proxy/prefill.go
+++ b/io/proxy/prefill.go
@@ -16,7 +16,8 @@
 	defaultTimePerToken = 20 * time.Microsecond
 )
 
-// timePerTokenConfig takes a low quantile, the time per token of attempts that hardly had to queue.
+// timePerTokenConfig estimates a low quantile, because the shortest times are those of attempts that
+// hardly had to queue.
 var timePerTokenConfig = policy.QuantileConfig{Level: 0.2, Step: 0.1, MinSamples: 3}
 
 // prefillRates estimates how long each model takes to process a prompt token.
@@ -25,7 +26,8 @@
 	byModel map[relay.ModelName]policy.Quantile
 }
 
-// observe records the time until the first byte of an attempt that had the tokens to process.
+// observe records the time per token of an attempt, given the time until its first byte and the number
+// of prompt tokens that the server had to process.
 func (p *prefillRates) observe(model relay.ModelName, tokens int, elapsed time.Duration) {
 	if tokens < minObservedTokens {
 		return
--- a/io/shell/start/serve.go
+++ b/io/shell/start/serve.go
@@ -124,8 +124,8 @@
 		}
 		return store, nil
 	}
-	// A watch's response stays open without limit, so that only the wait for a response's headers
-	// has a time-out.
+	// A watch's response stays open without limit, so only the wait for a response's headers has a
+	// timeout.
 	client := &http.Client{Transport: &http.Transport{ResponseHeaderTimeout: responseHeaderTimeout}}
 	store, err := plat.NewEtcd(plat.EtcdConfig{Base: platform, Client: client})
 	if err != nil {
