--- a/core/cmds/install_config.go
+++ b/core/cmds/install_config.go
@@ -22,7 +22,8 @@
 	return next, append(effects, state.AnnounceConfig{Config: c.Accepted})
 }
 
-// installDocument puts a newer document in force; announcing it is left to the caller.
+// installDocument puts a newer document in force. The caller announces it, because InstallRevision also
+// announces revisions that leave the document as it is.
 func installDocument(s state.State, a value.AcceptedDocument) (state.State, []state.Effect) {
 	if a.Revision <= s.Config.Revision {
 		return s, nil
--- a/core/policy/quota.go
+++ b/core/policy/quota.go
@@ -39,7 +39,7 @@
 	return q
 }
 
-// WithExtra returns the quota after one extra attempt, and whether that attempt is allowed.
+// WithExtra reports whether one more extra attempt is allowed; the quota returned counts it if it is.
 func (q Quota) WithExtra(c QuotaConfig, at time.Time) (Quota, bool) {
 	q = q.advancedTo(c, at)
 	total := q.totals()
@@ -50,7 +50,7 @@
 	return q, true
 }
 
-// WithOptional returns the quota after one optional extra attempt, and whether that attempt is allowed.
+// WithOptional is WithExtra for an optional extra attempt, which OptionalShare bounds as well.
 func (q Quota) WithOptional(c QuotaConfig, at time.Time) (Quota, bool) {
 	q = q.advancedTo(c, at)
 	if total := q.totals(); float64(total.optional+1) > c.OptionalShare*(c.Ratio*float64(total.first)+c.Allowance) {
--- a/core/query/outcome.go
+++ b/core/query/outcome.go
@@ -25,8 +25,9 @@
 // OutcomeOf returns the outcome of a change, given the current record.
 //
 // At most one change can replace a revision. If the change that replaced the expected revision is
-// another one, this change never takes effect. The outcome is also valid for a record that was read
-// from an older state.
+// another one, this change never takes effect. So whether the change took effect is certain with
+// OutcomeApplied, OutcomeSuperseded and OutcomeConflict, even if the record is outdated; OutcomeOpen
+// holds only for the record given.
 func OutcomeOf(current value.CurrentRecord, change value.Change) Outcome {
 	if current.Revision < change.Expect {
 		return OutcomeStaleRecord
--- a/core/relay/query/silence.go
+++ b/core/relay/query/silence.go
@@ -28,7 +28,8 @@
 // set when this instance has no other attempt at the server.
 //
 // A busy server is slow for all requests, and starting one over elsewhere adds to the load, so only
-// a server that seems to be dead is given up early.
+// a server that seems to be dead is given up early. An attempt that began when the server was silent
+// already gets the whole time-out from its own start.
 func SilenceTimeout(route relay.Route, answerStarted, sole bool, serverSilent, silent time.Duration) time.Duration {
 	if !route.Stream {
 		return route.Objective*4/5 - silent
--- a/core/relay/state.go
+++ b/core/relay/state.go
@@ -150,7 +150,7 @@
 	return Feed{Changes: changes, After: revision, Revision: s.Revision}
 }
 
-// WithLeaving returns a state in which the instance is shutting down, between the two times.
+// WithLeaving returns a state in which the instance shuts down from since until end at the latest.
 func (s State) WithLeaving(since, end time.Time) State {
 	s.Leaving, s.LeavingSince, s.LeavesBy = true, since, end
 	return s
@@ -226,7 +226,8 @@
 		updated = updated.withChange(c, at, grace)
 	}
 	updated.Revision = feed.Revision
-	// Changes delayed by an outage may contain orders that were given at any time during it.
+	// Changes delayed by an outage may contain orders that were given at any time during it. The feed
+	// that ends an outage of the whole fleet is applied at the very time that StoreRecoveredAt holds.
 	observed := !feed.Whole && s.StoreUnreachableSince.IsZero() && !s.StoreRecoveredAt.Equal(at)
 	return updated.indexed().withOrderTimes(s.rollOuts, observed, at)
 }
@@ -259,7 +260,8 @@
 
 // withChange applies one change; it writes to the state's entries and missing, which must be copies.
 func (s State) withChange(change Change, at time.Time, grace time.Duration) State {
-	// A full snapshot is read page by page, so a later page may hold a newer revision already.
+	// A full snapshot is read page by page, so an entry of a later page may be newer than the revision
+	// of the snapshot. An older change that follows must not replace it.
 	if s.entries[change.Key].Revision > change.Revision {
 		return s
 	}
@@ -282,7 +284,7 @@
 	return s
 }
 
-// withWarmUpEnd sets when the server's warm-up period ends: the rest of it counts from the time.
+// withWarmUpEnd sets when the server's warm-up period ends: at the given time plus the rest of the period.
 func (c Change) withWarmUpEnd(at time.Time) Change {
 	if server := c.Entry.Server; server != nil && server.Cold > 0 {
 		warming := server.WithWarmUpUntil(at.Add(server.Cold))
@@ -293,7 +295,7 @@
 
 // isRemovalInDoubt reports whether a removal may only be a consequence of a store outage: a live
 // server writes its entry again soon after the store has recovered. While this instance can't reach
-// the store, removals reported by other instances count, since the store has served them.
+// the store, it applies removals that other instances report, since those have read them there.
 func (s State) isRemovalInDoubt(removed Change, at time.Time, grace time.Duration) bool {
 	if removed.Entry.Server == nil || removed.Entry.Server.Draining || s.StoreRecoveredAt.IsZero() {
 		return false
--- a/io/admin/cmds/write.go
+++ b/io/admin/cmds/write.go
@@ -147,7 +147,8 @@
 }
 
 // settleConflict returns the change's result, judged by the entry that the key-value service
-// reported when it refused the compare-and-swap.
+// reported when it refused the compare-and-swap. An entry older than the expected revision is a
+// conflict as well.
 func (w *writer) settleConflict(conflict plat.Conflict) *result {
 	record, err := conf.DecodeRecord(conflict.Current)
 	if err != nil {
--- a/io/conf/tree.go
+++ b/io/conf/tree.go
@@ -32,9 +32,9 @@
 // because the parser's time grows with the square of the depth.
 const maxNesting = 16
 
-// findTooDeepLine returns the line at which open brackets, or list and key marks within the line,
-// exceed maxNesting, or zero if there is none. It needs only the tokens, so that a deeply nested
-// document is rejected before it is parsed.
+// findTooDeepLine returns the first line at which more than maxNesting brackets are open or which has
+// more than maxNesting list markers ("-") and key markers ("?"), or zero if there is none. It needs only
+// the tokens, so that a deeply nested document is rejected before it is parsed.
 func findTooDeepLine(tokens token.Tokens) int {
 	brackets, marks, line := 0, 0, 0
 	for _, t := range tokens {
--- a/io/fakes/etcdtxn.go
+++ b/io/fakes/etcdtxn.go
@@ -39,8 +39,8 @@
 
 var errUnsupportedTxn = errors.New("stand-in supports only one comparison of a modification revision and one change")
 
-// put writes unconditionally, as this path of the gateway does: it retries its compare-and-swap
-// until no other writer interferes.
+// put writes the key whatever its revision is, as a put of etcd does. The store has only a
+// compare-and-swap, so it is retried until no other writer interferes.
 func (g Etcd) put(r *http.Request, request etcdPut) (etcdListing, error) {
 	for {
 		e, err := g.Store.Get(r.Context(), string(request.Key))
--- a/io/faults/fault.go
+++ b/io/faults/fault.go
@@ -71,6 +71,7 @@
 
 func serverFaults() []Fault {
 	reset := newServerFault("ServerResets", Behaviour{Reset: true}, reasonOutsideAttempt)
+	// Pieces that are due within this time fail; a retry gets its first piece after it.
 	reset.Duration = pieceDelay / 2
 	return []Fault{
 		newServerFault("ServerDies", Behaviour{Reset: true, Server: leavingServer}, noReason),
--- a/io/feeds/follow.go
+++ b/io/feeds/follow.go
@@ -69,7 +69,7 @@
 // New returns a follower, or an error when the configuration is incomplete.
 func New(c Config) (*Follower, error) {
 	if c.Store == nil || c.Peers == nil || c.Control == nil || c.Seeds == nil || c.Now == nil {
-		return nil, errors.New("follower: store, peers, control, seeds and clock are needed")
+		return nil, errors.New("follower: Store, Peers, Control, Seeds and Now are required")
 	}
 	return &Follower{config: c, suspectedUntil: make(map[relay.MemberName]time.Time)}, nil
 }
--- a/io/flow/counters.go
+++ b/io/flow/counters.go
@@ -14,6 +14,7 @@
 // attemptCounters counts the outcomes of the versions that roll-outs introduce, until the control
 // loop takes the counts.
 type attemptCounters struct {
+	// cells maps a value.VersionKey to a *policy.Cell[value.AttemptCounts].
 	cells sync.Map
 }
 
--- a/io/gossip/status.go
+++ b/io/gossip/status.go
@@ -44,7 +44,8 @@
 }
 
 // queryStatus returns the instance as known here, updated with its own statement about its
-// configuration if it answers.
+// configuration if it answers. A reply under another ID is ignored: it comes from another instance at
+// the same address.
 func (m *membership) queryStatus(ctx context.Context, i value.Instance) value.Instance {
 	ctx, cancel := context.WithTimeout(ctx, m.Timing.Period)
 	defer cancel()
--- a/io/stats/relayed.go
+++ b/io/stats/relayed.go
@@ -55,7 +55,7 @@
 	Stats *Stats
 }
 
-// Record records the decision in First and Stats.
+// Record records the decision in Next and Stats.
 func (r CombinedRecorder) Record(d proxy.Decision) {
 	r.Next.Record(d)
 	r.Stats.RecordRelayed(d)
