--- a/core/ledger/journal.go
+++ b/core/ledger/journal.go
@@ -12,9 +12,9 @@
 	// Retention is how long a finished or in-doubt record is retained; afterwards the same key may be used
 	// for a new call.
 	Retention time.Duration
-	// AbandonAfter is how long an execution counts as running after its deadline, or since its claim if the
-	// holder has departed, and how long a released record is retained; it must exceed the clock skew
-	// between instances.
+	// AbandonAfter is how long after its deadline an execution still counts as running; if its holder has
+	// departed, the time counts from the claim. A released record is retained for the same time. It must
+	// exceed the clock skew between instances.
 	AbandonAfter time.Duration
 	// MaxBytes is the maximum size of the journal's stored form.
 	MaxBytes int
--- a/core/policy/rendezvous.go
+++ b/core/policy/rendezvous.go
@@ -18,8 +18,8 @@
 // Rendezvous assigns slots to members by rendezvous hashing: each slot is owned by the member with the
 // highest weight for it.
 //
-// It is immutable and stores the owner of every slot, so that a lookup is one slice access. Adding or
-// removing a member moves only the slots that this member gains or loses.
+// It is immutable and stores the owner of every slot, so that a lookup is one slice access. When a member
+// is added or removed, only the slots that it gains or loses change their owner.
 type Rendezvous[K ~string] struct {
 	slots   int
 	members []hashedKey[K]
--- a/core/relay/query/judge.go
+++ b/core/relay/query/judge.go
@@ -9,21 +9,22 @@
 )
 
 const (
-	// minBadAnswers is the least number of bad answers for which a release is reverted.
+	// minBadAnswers is the least number of bad answers, failed or slow, for which a release is reverted.
 	minBadAnswers = 4
-	// revertDeviations is how many standard deviations the number of bad answers must exceed the one
-	// expected at the baseline's share.
+	// revertDeviations is the number of standard deviations by which the number of bad answers must exceed
+	// the number expected at the baseline's share for the release to be reverted.
 	revertDeviations = 3.0
-	// minRuns is how many answered attempts of a release it takes to complete its roll-out, unless
-	// the baseline has none.
+	// minRuns is the number of answered attempts of a release below which its roll-out is not completed,
+	// unless the baseline has no answered attempts.
 	minRuns = 20
-	// minNormalShare is the least share of bad answers assumed for the baseline.
-	minNormalShare = 0.02
+	// minBaselineShare is the least share of bad answers assumed for the baseline.
+	minBaselineShare = 0.02
 )
 
 // Judge returns the roll-out's next phase, from the tallies of all instances together, and the
 // counts that it is based on. A release is reverted when its share of failed or of slow answers is
-// significantly higher than that of the previous release, the baseline.
+// significantly higher than that of the previous release, the baseline. Otherwise its roll-out is
+// completed once the fraction completeAt of the order's Within has passed and minRuns is reached.
 func Judge(state relay.State, rollOut relay.RollOutState, tallies []relay.Tally, now time.Time) (relay.Phase, string) {
 	if rollOut.Phase().IsFinal() {
 		return rollOut.Phase(), ""
@@ -59,9 +60,9 @@
 	if bad < minBadAnswers || runs == 0 {
 		return false
 	}
-	baselineShare := max(minNormalShare, (float64(baselineBad)+1)/(float64(baselineRuns)+2))
+	baselineShare := max(minBaselineShare, (float64(baselineBad)+1)/(float64(baselineRuns)+2))
 	if baselineRuns == 0 {
-		baselineShare = minNormalShare
+		baselineShare = minBaselineShare
 	}
 	n := float64(runs)
 	return float64(bad)-n*baselineShare > revertDeviations*math.Sqrt(n*baselineShare*(1-baselineShare))
