--- a/io/conf/progress.go
+++ b/io/conf/progress.go
@@ -78,8 +78,8 @@
 	return none, fmt.Errorf("store %s: no attempt of %d succeeded: %w", request.key, maxStoreAttempts, plat.ErrUnavailable)
 }
 
-// canReadBack reports whether the next attempt can learn the outcome of a failed write from the
-// current entry, which is so after a conflict or a lost answer.
+// canReadBack reports whether the write failed by a conflict or a lost answer. In both cases the next
+// attempt reads the current entry, which shows the outcome.
 func canReadBack(err error) bool {
 	var conflict plat.Conflict
 	return errors.As(err, &conflict) || errors.Is(err, plat.ErrUnknown)
--- a/io/engine/report.go
+++ b/io/engine/report.go
@@ -48,7 +48,7 @@
 }
 
 // parseGauge parses a line of the Prometheus text format into a name without labels and a value,
-// cut to a whole number; it returns false for comments and for lines that hold no number.
+// truncated to an integer; it returns false for comments and for lines that don't end with a number.
 func parseGauge(line string) (string, int, bool) {
 	if strings.HasPrefix(line, "#") {
 		return "", 0, false
@@ -96,7 +96,7 @@
 func (h *HTTP) get(ctx context.Context, b value.BackendServer, path string) ([]byte, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, b.Address+path, http.NoBody)
 	if err != nil {
-		return nil, fmt.Errorf("address %s: %w", b.Address, err)
+		return nil, fmt.Errorf("build GET request to address %s: %w", b.Address, err)
 	}
 	resp, err := h.pooled.Do(req)
 	if err != nil {
--- a/io/faults/instance.go
+++ b/io/faults/instance.go
@@ -44,7 +44,7 @@
 	ctx    context.Context
 	cancel context.CancelFunc
 	// processCtx ends when the instance is killed or has left; ctx, its parent, ends only when the
-	// instance has left or the cell is over.
+	// instance has left or the run of the cell has ended.
 	processCtx context.Context
 	endProcess context.CancelFunc
 	paused     policy.Cell[chan struct{}]
@@ -305,7 +305,7 @@
 		n.fleet.mesh.Remove(n.self.PeerAddress)
 		n.fleet.record(func(o Observations) Observations { return o.WithEndedInstance(n.self.ID) })
 		n.fleet.instanceList.removeInstance(n.self.ID)
-		// ctx ends first: by it sendRequest tells a graceful shutdown from a kill.
+		// ctx must end before processCtx: afterProcessEnd takes the end of processCtx alone for a kill.
 		n.cancel()
 		n.endProcess()
 	}
--- a/io/faults/server.go
+++ b/io/faults/server.go
@@ -65,6 +65,7 @@
 		return nil, err
 	}
 	if r.fleet.brokenInvariant == InvariantNotRunIsTrue {
+		// The attempt is recorded above, so this error breaks the invariant on purpose.
 		return nil, engine.ErrNotSent
 	}
 	return scripted, nil
--- a/io/flow/execution.go
+++ b/io/flow/execution.go
@@ -107,7 +107,7 @@
 	}
 	s := e.flow.Snapshot()
 	e.flow.stats.countFirstAttempt(query.RetryBudget(s), query.HedgeBudget(s))
-	var failed error
+	var lastFailure error
 	for {
 		if target, err = e.currentTarget(target); err != nil {
 			return completeAnswer{}, err
@@ -117,6 +117,7 @@
 			return answer, nil
 		}
 		if isWithdrawn(err) {
+			// currentTarget replaces the withdrawn version.
 			continue
 		}
 		if next, ok := e.escalate(ctx, target, err); ok {
@@ -124,9 +125,9 @@
 			continue
 		}
 		if !e.allowRetry(ctx, err) {
-			return completeAnswer{}, moreInformative(failed, err)
+			return completeAnswer{}, moreInformative(lastFailure, err)
 		}
-		failed = err
+		lastFailure = err
 		if err := e.lifecycle.apply(ctx, eventRetry); err != nil {
 			return completeAnswer{}, err
 		}
@@ -135,12 +136,12 @@
 
 // moreInformative returns the earlier attempt's failure if the later error only says that there is
 // no further server, and the later error otherwise.
-func moreInformative(failed, err error) error {
+func moreInformative(earlier, later error) error {
 	var refusal value.Refusal
-	if failed != nil && errors.As(err, &refusal) && refusal.Reason == value.ReasonNoServer {
-		return failed
+	if earlier != nil && errors.As(later, &refusal) && refusal.Reason == value.ReasonNoServer {
+		return earlier
 	}
-	return err
+	return later
 }
 
 func (e *execution) plan(ctx context.Context) (query.Target, error) {
@@ -241,8 +242,8 @@
 	return time.Duration(float64(elapsed) / max(e.estimate.Cost, 1))
 }
 
-// allowRetry reports whether to retry after the failure, and takes the retry from the budget if it
-// counts against it.
+// allowRetry reports whether to retry after the failure. A retry that counts against the retry budget is
+// charged to it.
 func (e *execution) allowRetry(ctx context.Context, err error) bool {
 	var refusal value.Refusal
 	if errors.As(err, &refusal) || ctx.Err() != nil || isRequestFault(err) {
--- a/io/node/components.go
+++ b/io/node/components.go
@@ -22,28 +22,28 @@
 )
 
 const (
-	storeTimeout          = 2 * time.Second
-	storeBurst            = 16
-	maxQueuedStoreCalls   = 1024
-	maxStoreWatches       = 64
-	maxStoreAttempts      = 4
-	storeRetriesPerSecond = 5
-	initialBackoff        = 50 * time.Millisecond
-	maxBackoff            = 5 * time.Second
-	maxJournalBytes       = 512 << 10
-	maxAnswerBytes        = 8 << 10
-	journalRetention      = 24 * time.Hour
-	claimAbandonAfter     = 30 * time.Second
-	journalWriteInterval  = 20 * time.Millisecond
-	maxJournalGroup       = 256
-	maxQueuedClaims       = 1024
-	ownerTimeout          = time.Second
-	claimRecordWait       = 2 * time.Second
-	maxClaimBacklog       = 4096
-	minBillCopies         = 1
-	billStoreTimeout      = 5 * time.Second
-	maxBillBacklog        = 16384
-	maxSegmentBytes       = 256 << 10
+	storeTimeout           = 2 * time.Second
+	storeBurst             = 16
+	maxQueuedStoreCalls    = 1024
+	maxStoreWatches        = 64
+	maxStoreAttempts       = 4
+	storeRetriesPerSecond  = 5
+	initialBackoff         = 50 * time.Millisecond
+	maxBackoff             = 5 * time.Second
+	maxJournalBytes        = 512 << 10
+	maxAnswerBytes         = 8 << 10
+	journalRetention       = 24 * time.Hour
+	claimAbandonAfter      = 30 * time.Second
+	journalWriteInterval   = 20 * time.Millisecond
+	maxJournalGroup        = 256
+	maxQueuedClaims        = 1024
+	ownerTimeout           = time.Second
+	claimRecordWait        = 2 * time.Second
+	maxClaimBacklog        = 4096
+	minBillCopies          = 1
+	billReplicationTimeout = 5 * time.Second
+	maxBillBacklog         = 16384
+	maxSegmentBytes        = 256 << 10
 )
 
 // components holds the parts of the node that the request flow and the duties use.
@@ -167,7 +167,7 @@
 		NeedsTakeover:      control.needsBillTakeover,
 		MinCopies:          minBillCopies,
 		FlushInterval:      func() time.Duration { return query.FlushInterval(control.Snapshot()) },
-		ReplicationTimeout: billStoreTimeout,
+		ReplicationTimeout: billReplicationTimeout,
 		CallTimeout:        storeTimeout,
 		MaxBacklog:         maxBillBacklog,
 		MaxSegmentBytes:    maxSegmentBytes,
--- a/io/once/slot.go
+++ b/io/once/slot.go
@@ -11,7 +11,8 @@
 	"endivehitch/io/clock"
 )
 
-// submission is an operation waiting at its slot; done is buffered for its one result.
+// submission is an operation in the queue of its slot. done has room for its one result, so that the worker
+// does not wait for a caller that has stopped waiting.
 type submission struct {
 	ctx  context.Context
 	op   ledger.Op
@@ -23,7 +24,8 @@
 	err     error
 }
 
-// slot queues the operations on one journal; at most one worker at a time writes them, in groups.
+// slot queues the operations on the journal of one hash slot; at most one worker at a time writes them, in
+// groups.
 type slot struct {
 	guard  *Guard
 	number int
@@ -33,7 +35,8 @@
 	hasWorker bool
 
 	// The fields below are used by the worker only.
-	last    snapshot
+	last snapshot
+	// written is the time at which the latest commit of a group ended, also without success.
 	written time.Time
 }
 
--- a/io/proxy/attempt.go
+++ b/io/proxy/attempt.go
@@ -36,6 +36,7 @@
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	watch := a.startWatchdog(ctx, cancel)
+	// A watchdog that cancelled the attempt has charged the next one to the retry budget.
 	defer func() { a.isRetryCharged = watch.stop() }()
 	answer, err := a.dispatcher.config.Backend.Send(ctx, a.buildAttempt(ctx))
 	if err != nil {
@@ -125,8 +126,8 @@
 	return ending, false, nil
 }
 
-// tryStepUp reports whether the answer is discarded because its confidence is low, so that a larger
-// model is asked next.
+// tryStepUp discards an answer whose confidence is low, so that a larger model is asked next, and reports
+// whether it did. It needs a cascade route, a response that has not started, and budget for the step.
 func (a *attemptHandler[H]) tryStepUp(ctx context.Context, answer *Answer[H]) bool {
 	route := a.admitted.Route
 	if !route.IsCascade() || a.responseStarted {
--- a/io/proxy/throttle.go
+++ b/io/proxy/throttle.go
@@ -3,7 +3,8 @@
 import "endivehitch/core/relay"
 
 // updateThrottle adjusts the service's throttle by whether a larger model's answer started within the
-// route's objective; responseStarted is false when there was no answer.
+// route's objective; responseStarted is false when there was no answer. Answers of the route's first and
+// smallest model, at step 0, don't count.
 func (h *requestHandler[H]) updateThrottle(responseStarted bool) {
 	if h.step == 0 {
 		return
--- a/io/shell/start/instance.go
+++ b/io/shell/start/instance.go
@@ -105,6 +105,7 @@
 	return httpd.ServeUntil(ctx, server, listener, func(s *http.Server) error {
 		shutdownCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopTimeout)
 		defer cancel()
+		// Requests that are still open after stopTimeout don't keep the instance from stopping.
 		if err := s.Shutdown(shutdownCtx); err != nil && !errors.Is(err, context.DeadlineExceeded) {
 			return fmt.Errorf("stop operators' API: %w", err)
 		}
--- a/io/stats/sample.go
+++ b/io/stats/sample.go
@@ -31,39 +31,39 @@
 
 // sample reads all sources once and returns the store usage up to which calls have been counted.
 func (s *Stats) sample(from Sources, last plat.Usage) plat.Usage {
-	now := from.Usage()
-	s.sampleStore(last, now)
+	current := from.Usage()
+	s.sampleStore(last, current)
 	s.sampleControl(from.Snapshot())
 	s.set(requestsWaiting, float64(from.WaitingRequests()))
 	s.set(requestsInFlight, float64(s.inFlight.Load()))
 	s.set(claimsUnsettled, float64(from.UnsettledClaims()))
 	s.set(billsUnsafe, float64(from.UnsafeBills()))
-	return now
+	return current
 }
 
 // sampleStore counts the calls to the key-value service since the last sample.
-func (s *Stats) sampleStore(last, now plat.Usage) {
-	s.count(storeCalls, now.Reads-last.Reads, "Read")
-	s.count(storeCalls, now.Writes-last.Writes, "Write")
-	s.count(storeCalls, now.Watches-last.Watches, "Watch")
-	s.count(storeCalls, now.Retries-last.Retries, "Retry")
-	s.count(storeCalls, now.Coalesced-last.Coalesced, "Coalesced")
-	s.count(storeCalls, now.Throttled-last.Throttled, "Throttled")
-	s.set(openWatches, float64(now.OpenWatches))
+func (s *Stats) sampleStore(last, current plat.Usage) {
+	s.count(storeCalls, current.Reads-last.Reads, "Read")
+	s.count(storeCalls, current.Writes-last.Writes, "Write")
+	s.count(storeCalls, current.Watches-last.Watches, "Watch")
+	s.count(storeCalls, current.Retries-last.Retries, "Retry")
+	s.count(storeCalls, current.Coalesced-last.Coalesced, "Coalesced")
+	s.count(storeCalls, current.Throttled-last.Throttled, "Throttled")
+	s.set(openWatches, float64(current.OpenWatches))
 }
 
-func (s *Stats) sampleControl(now state.State) {
-	s.set(configRevision, float64(now.Self.Revision))
-	s.set(configLag, s.configLagOf(now.Self).Seconds())
+func (s *Stats) sampleControl(snapshot state.State) {
+	s.set(configRevision, float64(snapshot.Self.Revision))
+	s.set(configLag, s.configLagOf(snapshot.Self).Seconds())
 	instanceCounts := make(map[value.InstanceState]int)
-	for _, i := range now.Instances().All() {
+	for _, i := range snapshot.Instances().All() {
 		instanceCounts[i.State]++
 	}
 	for _, st := range instanceStates() {
 		s.set(instances, float64(instanceCounts[st]), string(st))
 	}
 	serverCounts := make(map[value.ServerState]int)
-	for _, b := range now.Servers().All() {
+	for _, b := range snapshot.Servers().All() {
 		serverCounts[b.State]++
 	}
 	for _, st := range serverStates() {
@@ -71,8 +71,8 @@
 	}
 }
 
-// configLagOf returns the time since the instance has known of a newer configuration revision than
-// the one in force, or zero.
+// configLagOf returns how long the instance has lagged, or zero if it doesn't: it knows of a newer
+// configuration revision than the one in force, or could not decode entries of a revision.
 func (s *Stats) configLagOf(i value.Instance) time.Duration {
 	if i.LaggingSince.IsZero() {
 		return 0
