--- a/core/fleet/lease.go
+++ b/core/fleet/lease.go
@@ -61,8 +61,8 @@
 }
 
 // NewHeldLease returns a lease that was granted on a request sent at the given time.
-func NewHeldLease(r LeaseRule, fence int64, sentAt time.Time) HeldLease {
-	return HeldLease{FencingToken: fence, Since: sentAt, sentAt: sentAt, usable: r.Length - r.Margin}
+func NewHeldLease(r LeaseRule, fencingToken int64, sentAt time.Time) HeldLease {
+	return HeldLease{FencingToken: fencingToken, Since: sentAt, sentAt: sentAt, usable: r.Length - r.Margin}
 }
 
 // WithRenewal returns the lease after a renewal that was sent at sentAt and granted for the given time.
--- a/core/query/cascade.go
+++ b/core/query/cascade.go
@@ -38,8 +38,8 @@
 	return c.kind.Judge.Cost(c.cost(cascade.First), c.cost(cascade.Second), firstQuality)
 }
 
-// cascadeLatency returns the expected time to an answer if the judge rejects the first version's
-// one.
+// cascadeLatency returns the expected time to the second version's answer if the judge rejects the
+// first version's.
 func (c *chooser) cascadeLatency(cascade *state.Cascade) time.Duration {
 	first := c.set.Candidates[cascade.First].Version.Latency(c.request.MaxTokens)
 	return first + c.kind.Judge.Latency + c.set.Candidates[cascade.Second].Version.Latency(c.request.MaxTokens)
--- a/core/query/gossip.go
+++ b/core/query/gossip.go
@@ -36,7 +36,8 @@
 // ProbeTarget returns the instance to probe next, and false if there is none.
 //
 // On average one probe in t.ProbesPerReconnect goes to an instance that counts as departed but is
-// still on the platform's list. This is how the parts of a partitioned fleet find each other again.
+// still on the platform's list. This is how the parts of a partitioned fleet rejoin
+// after the partition has ended.
 func ProbeTarget(s state.State, t fleet.Timing, rnd policy.Rand, now time.Time) (value.Instance, bool) {
 	if departed := departedButListed(s); len(departed) > 0 && rnd.IntN(t.ProbesPerReconnect) == 0 {
 		return departed[rnd.IntN(len(departed))], true
--- a/core/relay/query/reader.go
+++ b/core/relay/query/reader.go
@@ -35,8 +35,8 @@
 }
 
 // readerOf returns the failure domain's reader for this instance: of the instances there that fall
-// into the same group as this one, the one with the highest hash, or else the one with the highest
-// hash of all.
+// into the same group as this one, the one with the highest hash. If none of them can be used, it is
+// the instance with the highest hash in the whole failure domain.
 func readerOf(state relay.State, domain relay.FailureDomain, suspected func(relay.MemberName) bool) relay.Member {
 	groups := groupCount(state, domain)
 	own := groupOf(state.Self.Name, groups)
--- a/core/state/candidates.go
+++ b/core/state/candidates.go
@@ -34,7 +34,7 @@
 	Replacement Replacement
 
 	estimate policy.Estimate
-	// freshBound is the estimate's bound until freshUntil, or without end if that is zero.
+	// freshBound is the estimate's bound until freshUntil, or at any time if that is zero.
 	freshBound policy.Bound
 	freshUntil time.Time
 }
@@ -114,7 +114,7 @@
 	return candidates
 }
 
-// referenceCost returns the cost of the longest answer of the kind to a prompt that is as long as it.
+// referenceCost returns the cost of the longest answer of the kind to a prompt of the same length.
 func (c *Candidate) referenceCost(k value.Kind) int64 {
 	return c.Version.Cost(k.MaxTokens, k.MaxTokens)
 }
@@ -208,7 +208,8 @@
 	return best[:min(len(best), maxCascades)]
 }
 
-// CascadeLowerBound returns the lower bound of a cascade's quality, from the estimates of its steps.
+// CascadeLowerBound returns the lower bound of a cascade's quality, from the estimates of its two
+// versions.
 func CascadeLowerBound(j value.Judge, first, second policy.Bound) float64 {
 	return j.Quality(first.Mean, second.Mean) -
 		j.QualityMargin(first.Mean, second.Mean, first.Mean-first.Lower, second.Mean-second.Lower)
--- a/core/value/rollout.go
+++ b/core/value/rollout.go
@@ -14,13 +14,13 @@
 	MaxErrorRate float64
 	// MinQuality is the share of acceptable answers, from 0 to 1, below which the version is withdrawn.
 	MinQuality float64
-	// SlowAfter is the time to a complete answer beyond which an attempt counts as slow; zero switches
-	// the test off.
+	// SlowAfter is the time to a complete answer beyond which an attempt counts as slow; zero disables
+	// the check.
 	SlowAfter time.Duration
 	// MaxSlowRate is the share of slow attempts, from 0 to 1, above which the version is withdrawn.
 	MaxSlowRate float64
 	// CostAbove is the cost in micro-units of currency beyond which an attempt counts as costly; zero
-	// switches the test off.
+	// disables the check.
 	CostAbove int64
 	// MaxCostlyRate is the share of costly attempts, from 0 to 1, above which the version is withdrawn.
 	MaxCostlyRate float64
--- a/io/bills/bills.go
+++ b/io/bills/bills.go
@@ -28,11 +28,11 @@
 	// NeedsTakeover reports whether the holders should write the rest of the instance's chain, because
 	// the instance has departed or has been leaving for too long.
 	NeedsTakeover func(value.InstanceID) bool
-	// MinCopies is the number of holders that must have a bill before Biller.Store returns.
+	// MinCopies is the number of holders that must have a bill before Biller.StoreBill returns.
 	MinCopies int
 	// FlushInterval returns the time between two flushes; it may change with the size of the fleet.
 	FlushInterval func() time.Duration
-	// ReplicationTimeout limits how long Biller.Store waits until a bill is safe.
+	// ReplicationTimeout limits how long Biller.StoreBill waits until a bill is safe.
 	ReplicationTimeout time.Duration
 	// CallTimeout limits each call to a holder or the store.
 	CallTimeout time.Duration
@@ -58,7 +58,7 @@
 	case c.MinCopies < 1 || c.MaxBacklog < 1 || c.MaxHeldEntries < 1:
 		return errors.New("bills: MinCopies, MaxBacklog and MaxHeldEntries must be positive")
 	case c.FlushInterval == nil || c.ReplicationTimeout <= 0 || c.CallTimeout <= 0:
-		return errors.New("bills: FlushInterval is required, and StoreTimeout and CallTimeout must be positive")
+		return errors.New("bills: FlushInterval is required, and ReplicationTimeout and CallTimeout must be positive")
 	case c.MaxSegmentBytes < 1 || c.MaxSegmentBytes > plat.ValueLimit:
 		return fmt.Errorf("bills: segment size of %d bytes is out of range", c.MaxSegmentBytes)
 	}
--- a/io/fakes/plain.go
+++ b/io/fakes/plain.go
@@ -7,8 +7,8 @@
 	"sync"
 )
 
-// PlainService is a stand-in for a service that is no model, such as one that places reorders. It
-// counts its effects; its zero value is ready for use.
+// PlainService is a fake backend server of a plain service, one that is not a model engine. It counts
+// its effects; its zero value is ready for use.
 type PlainService struct {
 	// Name is part of each answer.
 	Name string
--- a/io/node/servers.go
+++ b/io/node/servers.go
@@ -26,7 +26,7 @@
 }
 
 // run reads the list periodically until the context ends. While the list can't be read, the servers
-// from the last successful read stay in force.
+// from the last successful read stay in use.
 func (s *serverSyncer) run(ctx context.Context) error {
 	for {
 		if err := s.sync(ctx); err != nil && ctx.Err() == nil {
--- a/io/peer/server.go
+++ b/io/peer/server.go
@@ -85,7 +85,7 @@
 	err := s.accept(ctx, listener, &handlers)
 	s.drain(listener)
 	if !s.awaitConnections(&handlers) {
-		return errors.Join(err, errors.New("peer server: calls under way outlasted the grace time"))
+		return errors.Join(err, errors.New("peer server: calls in progress outlasted the grace time"))
 	}
 	return err
 }
@@ -98,7 +98,7 @@
 			return nil
 		}
 		if err != nil {
-			return fmt.Errorf("accept peer: %w", err)
+			return fmt.Errorf("accept peer connection: %w", err)
 		}
 		handlers.Go(func() {
 			defer func() { <-s.connectionSlots }()
--- a/io/proxy/dispatcher.go
+++ b/io/proxy/dispatcher.go
@@ -25,7 +25,8 @@
 	DecisionAnswered DecisionKind = "Answered"
 	// DecisionSteppedUp means that an answer of low confidence was discarded and a larger model is asked.
 	DecisionSteppedUp DecisionKind = "SteppedUp"
-	// DecisionAttemptFailed means that an attempt yielded no valid answer, or an error of the server.
+	// DecisionAttemptFailed means that an attempt yielded no valid answer, or the server answered with an
+	// error.
 	DecisionAttemptFailed DecisionKind = "RunFailed"
 	// DecisionRefused means that the request was refused and no server has run it.
 	DecisionRefused DecisionKind = "Refused"
@@ -44,7 +45,7 @@
 	Model   relay.ModelName
 	// Candidates is how many servers were eligible for the request.
 	Candidates int
-	// Score is the chosen server's score.
+	// Score is the chosen server's score; lower is better.
 	Score float64
 	// Reason is the cause in one Pascal-case word.
 	Reason string
@@ -100,15 +101,15 @@
 func New[H any](c Config[H]) (*Dispatcher[H], error) {
 	switch {
 	case c.Backend == nil:
-		return nil, errors.New("dispatcher: no backend")
+		return nil, errors.New("dispatcher: Config.Backend is not set")
 	case c.Snapshot == nil:
-		return nil, errors.New("dispatcher: no snapshot")
+		return nil, errors.New("dispatcher: Config.Snapshot is not set")
 	case c.Now == nil:
-		return nil, errors.New("dispatcher: no clock")
+		return nil, errors.New("dispatcher: Config.Now is not set")
 	case c.Recorder == nil:
-		return nil, errors.New("dispatcher: no recorder")
+		return nil, errors.New("dispatcher: Config.Recorder is not set")
 	case c.RetryLimits == nil:
-		return nil, errors.New("dispatcher: no retry limits")
+		return nil, errors.New("dispatcher: Config.RetryLimits is not set")
 	}
 	return &Dispatcher[H]{
 		config: c, loads: new(loadTable), sessions: newSessions(c.SessionLifetime), tallies: new(tallies),
--- a/io/proxy/watchdog.go
+++ b/io/proxy/watchdog.go
@@ -40,11 +40,12 @@
 	return w
 }
 
-// checkSilence reports whether to cancel the attempt after it was silent for the time, or else returns the
-// time until the next check. A true result has been charged to the retry budget.
+// checkSilence reports whether to cancel the attempt that has been silent for the given time, or else
+// returns the time until the next check. A true result has been charged to the retry budget.
 func (a *attemptHandler[H]) checkSilence(ctx context.Context, responseStarted bool, silent time.Duration) (time.Duration, bool) {
 	left := a.timeLeft(ctx)
 	if !query.MayRetry(a.admitted.Route, query.EndedSlow, a.attempts.With(query.EndedSlow), left) {
+		// No retry will be allowed later either, so no check is needed before the deadline.
 		return left + time.Second, false
 	}
 	now := a.dispatcher.config.Now()
--- a/io/shell/reach/reach.go
+++ b/io/shell/reach/reach.go
@@ -51,8 +51,8 @@
 	return append(flags, Flags()...)
 }
 
-// NewClient returns a client for the instance that the flags name, or exit.UsageError without a
-// key.
+// NewClient returns a client for the instance that the flags name; the error is an exit.UsageError if
+// no key is given.
 func NewClient(c *cli.Command) (route.Client, error) {
 	if c.String(flagKey) == "" {
 		return route.Client{}, exit.UsageError{Message: "an operator's key is needed: --key or ENDIVEHITCH_OPERATOR_KEY"}
--- a/io/shell/start/options.go
+++ b/io/shell/start/options.go
@@ -23,18 +23,20 @@
 type options struct {
 	self        value.Instance
 	environment value.Environment
-	callers     string
-	operators   string
-	peers       string
-	peerTLS     peerTLS
-	rates       node.StoreRates
-	platform    string
-	document    string
-	settings    conf.Settings
-	signer      *front.Signer
-	tls         *tls.Config
-	grace       time.Duration
-	level       zapcore.Level
+	// callers, operators and peers are the addresses to listen on.
+	callers   string
+	operators string
+	peers     string
+	peerTLS   peerTLS
+	rates     node.StoreRates
+	// platform is the address of the key-value service; empty means an embedded one.
+	platform string
+	document string
+	settings conf.Settings
+	signer   *front.Signer
+	tls      *tls.Config
+	grace    time.Duration
+	level    zapcore.Level
 }
 
 const (
--- a/io/stage/report.go
+++ b/io/stage/report.go
@@ -57,8 +57,9 @@
 }
 
 // reportAttempts reports each version's attempts to the instance that evaluates it, which is the
-// owner of the version's hash slot. One test thus counts the attempts of the whole fleet; separate
-// tests at each instance would each need as many attempts, and their false alarms would add up.
+// owner of the version's hash slot. One sequential test thus counts the attempts of the whole fleet;
+// separate tests at each instance would each need as many attempts, and their false alarms would
+// add up.
 func (c *Collector) reportAttempts(ctx context.Context) {
 	for _, counts := range c.config.DrainCounts() {
 		c.unsent[counts.Version] = c.unsent[counts.Version].WithCounts(counts)
--- a/io/stats/stats.go
+++ b/io/stats/stats.go
@@ -54,9 +54,9 @@
 func New(c Config) (*Stats, error) {
 	switch {
 	case c.Now == nil:
-		return nil, errors.New("stats: no clock")
+		return nil, errors.New("stats: Config.Now is not set")
 	case c.Period <= 0:
-		return nil, errors.New("stats: period must be positive")
+		return nil, errors.New("stats: Config.Period must be positive")
 	}
 	registry := prometheus.NewRegistry()
 	var failed error
--- a/tools/fleet/load.go
+++ b/tools/fleet/load.go
@@ -20,7 +20,7 @@
 	retryInterval = 250 * time.Millisecond
 	// retryTimeout is how long a caller retries one operation.
 	retryTimeout = 90 * time.Second
-	// keyedInterval is how many operations a caller runs for each one with an idempotency key.
+	// keyedInterval means that one in that many operations of a caller has an idempotency key.
 	keyedInterval = 5
 )
 
