--- a/core/cmds/mark_replaced.go
+++ b/core/cmds/mark_replaced.go
@@ -13,7 +13,7 @@
 	ID value.InstanceID
 }
 
-// Apply marks the instance as gone; it is idempotent.
+// Apply marks the instance as gone; it is idempotent. This instance never marks itself, since it is running.
 func (c MarkReplaced) Apply(s state.State, now time.Time) (state.State, []state.Effect) {
 	known, ok := s.Instance(c.ID)
 	if !ok || known.State == value.InstanceGone || c.ID == s.Self.ID {
--- a/core/cmds/rollout_withdraw.go
+++ b/core/cmds/rollout_withdraw.go
@@ -9,7 +9,7 @@
 	"endivehitch/core/value"
 )
 
-// WithdrawVersion takes a version out of service for good and ends the roll-outs that introduce it.
+// WithdrawVersion takes a version out of service permanently and ends the roll-outs that introduce it.
 type WithdrawVersion struct {
 	Version value.VersionKey
 	Reason  value.Reason
@@ -42,7 +42,8 @@
 	Withdrawal value.Withdrawal
 }
 
-// Apply ends the version's roll-outs as well, so that none stays staged if its position was lost.
+// Apply ends the version's roll-outs as well, so that none stays staged here if the withdrawn position
+// of the roll-out was not stored or has not arrived.
 func (c InstallWithdrawal) Apply(s state.State, now time.Time) (state.State, []state.Effect) {
 	next, effects := WithdrawVersion{Version: c.Withdrawal.Version, Reason: c.Withdrawal.Reason}.Apply(s, now)
 	return next, onlyLogEffects(effects)
--- a/core/fleet/member.go
+++ b/core/fleet/member.go
@@ -76,7 +76,8 @@
 	return now.Sub(begun) > timeouts*t.Timeout+t.Period
 }
 
-// retransmitFactor makes it likely that an update reaches every instance.
+// retransmitFactor is how many times an update is transmitted for each power of two in the fleet's size;
+// with it, an update is likely to reach every instance.
 const retransmitFactor = 3
 
 // TransmitCount returns how many times an instance transmits an update in a fleet of the given size.
--- a/core/ledger/record.go
+++ b/core/ledger/record.go
@@ -93,7 +93,8 @@
 }
 
 const (
-	// recordBytes is the most that a record takes in its stored form, its strings and body apart.
+	// recordBytes is the most that a record takes in its stored form, the digest included and the body and
+	// all other strings apart.
 	recordBytes = 384
 	// A body is stored in base64, which takes four bytes for three.
 	bodyNumerator, bodyDenominator = 4, 3
@@ -112,7 +113,8 @@
 	return n
 }
 
-// Size returns an upper bound of the record's size in its stored form, in bytes; it includes a digest.
+// Size returns an upper bound of the record's size in its stored form, in bytes; it allows for a digest,
+// even if the record has none yet.
 func (r Record) Size() int {
 	bodyBytes := len(r.Answer.Body)*bodyNumerator/bodyDenominator + bodyNumerator
 	textBytes := storedLen(r.ID) + storedLen(r.Kind) + storedLen(r.Token) + storedLen(r.Holder) + storedLen(r.Answer.ContentType)
--- a/core/policy/sequential.go
+++ b/core/policy/sequential.go
@@ -18,7 +18,8 @@
 	Limits []SignalLimit[S]
 	// FalseAlarm bounds the probability that an alarm is ever raised while no limit is exceeded.
 	FalseAlarm float64
-	// Horizon is the number of trials within which a change is expected, if there is one.
+	// Horizon is the number of trials within which a change is expected, if there is one: half of the
+	// reserved stake is placed over that many trials.
 	Horizon float64
 }
 
@@ -96,7 +97,8 @@
 	return s.tests[i].trials
 }
 
-// Alarm returns the first signal whose test has found its limit exceeded, if there is one.
+// Alarm returns the first signal whose test has found its limit exceeded, if there is one. The
+// probability of a false alarm is shared equally by all limits.
 func (s SequentialTest[S]) Alarm() (S, bool) {
 	threshold := float64(len(s.tests)) / s.config.FalseAlarm
 	for i, l := range s.config.Limits {
@@ -128,7 +130,7 @@
 	return s
 }
 
-// withDueStake adds the part of the reserved stake that falls due over the next trials.
+// withDueStake adds the part of the reserved stake that is to be placed over the next trials.
 func (t limitTest) withDueStake(horizon float64, trials int) limitTest {
 	dueShare := horizon/(horizon+float64(t.trials)) - horizon/(horizon+float64(t.trials+trials))
 	for j := range t.capital {
--- a/core/query/duration.go
+++ b/core/query/duration.go
@@ -66,7 +66,7 @@
 	return m
 }
 
-// longFactor is how many times the median duration makes an attempt long.
+// longFactor is the multiple of the median duration from which on an attempt counts as long.
 const longFactor = 8.0
 
 // DurationEstimate is the estimate of an attempt's duration.
--- a/core/relay/cmds/feed.go
+++ b/core/relay/cmds/feed.go
@@ -7,14 +7,16 @@
 	"endivehitch/core/relay"
 )
 
-// ApplyFeed takes in a feed from the store or from another instance; an older feed adds no entries.
+// ApplyFeed applies a feed from the store or from another instance; a feed that is not newer than
+// the state, or leaves a gap after it, adds no entries.
 type ApplyFeed struct {
 	Feed relay.Feed
 	// From names the sender.
 	From string
 	// FromStore is set when this instance read the feed from the store itself.
 	FromStore bool
-	// Grace is how long, after a store outage, a server whose entry vanished in it stays in use.
+	// Grace is how long after a store outage a server stays in use whose entry vanished during the
+	// outage.
 	Grace time.Duration
 }
 
--- a/core/relay/query/retry.go
+++ b/core/relay/query/retry.go
@@ -44,7 +44,8 @@
 const (
 	// minTimeLeft is the time to the deadline below which a retry isn't worth a server's capacity.
 	minTimeLeft = 30 * time.Millisecond
-	// maxUnrunAttempts is how many attempts that no server has run may be followed by another one.
+	// maxUnrunAttempts is the highest number of a request's attempts that no server has run after which
+	// the request is still retried.
 	maxUnrunAttempts = 4
 )
 
--- a/core/value/pool.go
+++ b/core/value/pool.go
@@ -5,7 +5,8 @@
 // Pool is a set of backend servers that serve the same models or plain service.
 type Pool struct {
 	Name PoolName
-	// MaxInFlight is the initial bound on concurrent requests at one server.
+	// MaxInFlight is the bound on concurrent requests at one server that the instances share equally at
+	// first; each then adapts its part to the observed latency. Zero means no bound.
 	MaxInFlight int
 	// SlowStart is the time in which a new server's weight grows to its full value.
 	SlowStart time.Duration
--- a/io/fakes/answer.go
+++ b/io/fakes/answer.go
@@ -77,7 +77,8 @@
 }
 
 // waitForWord waits for the time between words. In the middle of the answer it applies FaultStall
-// and FaultTruncate; it panics with http.ErrAbortHandler to close the connection.
+// and FaultTruncate. To close the connection, on FaultTruncate or when the caller has disconnected,
+// it panics with http.ErrAbortHandler.
 func (a chatAnswer) waitForWord(i int) {
 	wordTime := a.chat.WordTime
 	if wordTime == 0 {
--- a/io/faults/observations.go
+++ b/io/faults/observations.go
@@ -37,8 +37,8 @@
 	At       time.Time
 }
 
-// Observations is what callers, backend servers, operators and the store observed while one cell
-// ran. It is immutable.
+// Observations is what callers, backend servers, operators and the store observed during the run of
+// one Cell of the fault matrix. It is immutable.
 type Observations struct {
 	Attempts     []Attempt
 	Replies      []Reply
--- a/io/flow/lifecycle.go
+++ b/io/flow/lifecycle.go
@@ -27,6 +27,7 @@
 	eventPlan     = "Plan"
 	eventRoute    = "Route"
 	eventDispatch = "Dispatch"
+	// eventHead occurs when an attempt has begun to answer; the request's other attempts are cancelled.
 	eventHead     = "Head"
 	eventComplete = "Complete"
 	eventBill     = "Bill"
@@ -34,8 +35,10 @@
 	eventRetry    = "Retry"
 	eventEscalate = "Escalate"
 	eventRefuse   = "Refuse"
-	eventJoin     = "Join"
-	eventLeave    = "Leave"
+	// eventJoin occurs when the request shares one execution with identical requests, and eventLeave
+	// when that execution failed and the request makes another try.
+	eventJoin  = "Join"
+	eventLeave = "Leave"
 )
 
 var lifecycleEvents = fsm.Events{
--- a/io/flow/slot.go
+++ b/io/flow/slot.go
@@ -47,8 +47,8 @@
 	s.updateEjection(e)
 }
 
-// cancelledFactor times its elapsed time is the assumed time to first token of a cancelled attempt,
-// of which it is known only that it would have taken longer.
+// cancelledFactor is the assumed time to first token of a cancelled attempt, as a multiple of the time
+// until it was cancelled. The real time is not known, but would have been longer than that.
 const cancelledFactor = 2
 
 // observeCancelled updates the server's load by an attempt that was cancelled before its first
--- a/io/lease/hold.go
+++ b/io/lease/hold.go
@@ -37,6 +37,8 @@
 
 // acquire obtains a lease and binds the duty's key to it by compare-and-swap; the key's revision is
 // the fencing token. If the duty has a holder, the error is a plat.Conflict with the current entry.
+// The time-out is the length of the holder's term, which counts from the request: an answer that
+// came later would be of no use.
 func (r *Runner) acquire(ctx context.Context, duty string) (acquiredLease, error) {
 	ctx, cancel := context.WithTimeout(ctx, r.Rule.Length-r.Rule.Margin)
 	defer cancel()
--- a/io/shell/cmds/change.go
+++ b/io/shell/cmds/change.go
@@ -32,15 +32,15 @@
 	}
 }
 
-// changeID returns the change identifier of the flags, or a new one. It prints it before the order
-// is sent, so that the operator can retry the order if no answer comes.
+// changeID returns the change identifier from the flags, or a new one if they have none. It prints the
+// identifier before the order is sent, so that the operator can retry the order if no answer comes.
 func changeID(c *cli.Command) (value.ChangeID, error) {
 	id := c.String(flagChange)
 	if id == "" {
 		id = uuid.NewString()
 	}
 	if _, err := fmt.Fprintf(c.Root().Writer, "change %s\n", id); err != nil {
-		return "", fmt.Errorf("print change: %w", err)
+		return "", fmt.Errorf("print change identifier: %w", err)
 	}
 	return value.ChangeID(id), nil
 }
--- a/tools/fleet/main.go
+++ b/tools/fleet/main.go
@@ -109,7 +109,8 @@
 	return nil
 }
 
-// apply sends the document to the last instance, and retries until it is applied.
+// apply sends the document to the last instance. It retries until the document is applied, up to
+// maxApplyTries times.
 func (f *fleet) apply(ctx context.Context, document []byte, expect int64) error {
 	order := cmds.ApplyOrder{Environment: environment, Change: value.ChangeID(fmt.Sprint("change-", expect)), Expect: expect, Document: document}
 	var lastErr error
