--- a/core/relay/state.go
+++ b/core/relay/state.go
@@ -52,8 +52,7 @@
 	Order RollOut
 	// OrderedAt is when the order was given; it is an estimate unless AgeKnown is set.
 	OrderedAt time.Time
-	// AgeKnown is set when this instance, or a peer that reported it, observed the order being
-	// given.
+	// AgeKnown is set when this instance, or a peer that reported it, observed the order.
 	AgeKnown bool
 	Progress Progress
 	// ProgressRevision is the revision of the progress's entry; 0 means that there is none.
